--- a/minthitch/cli/folder.py
+++ b/minthitch/cli/folder.py
@@ -12,42 +12,45 @@
 import msgpack
 from msgspec import DecodeError, json
 
-from minthitch.mesh.raft.messages import DATA, MEMBERS, Entry, Saved
-from minthitch.mesh.storage.store import Store, StoreBroken, StoreFull, Header, Kind
+from minthitch.mesh.raft.actions import PersistedState
+from minthitch.mesh.raft.log import DATA, MEMBERS, Entry
+from minthitch.mesh.storage.errors import StoreError
+from minthitch.mesh.storage.records import Header
+from minthitch.mesh.storage.store import Condition, Store
 from minthitch.config import ConfigError
 from minthitch.mesh.control.state import CLAIM, CONFIG, ROTATE, TIME, State
 
 FILE = "data.mdb"
 LEAST_MAP = 16 * 1024 * 1024  # bytes
 MEANS = {
-    Kind.EMPTY: "nothing was ever written: a start takes it for a new disk",
-    Kind.TORN: "something acknowledged may be missing: a start gives it up and rejoins under a new name",
-    Kind.FOREIGN: "no file of a control node: a start moves it aside",
-    Kind.NEWER: "written by a later version: this one leaves it alone and does not start",
+    Condition.EMPTY: "nothing was ever written: a start takes it for a new disk",
+    Condition.TORN: "something acknowledged may be missing: a start gives it up and rejoins under a new name",
+    Condition.FOREIGN: "no file of a control node: a start moves it aside",
+    Condition.NEWER: "written by a later version: this one leaves it alone and does not start",
 }
 
 
 class Found:
     """What is in a folder. `saved` is None unless it is whole and something was decided."""
 
-    def __init__(self, kind: Kind, header: Header, saved: Saved | None) -> None:
-        self.kind, self.header, self.saved = kind, header, saved
+    def __init__(self, condition: Condition, header: Header, saved: PersistedState | None) -> None:
+        self.condition, self.header, self.saved = condition, header, saved
         self.entries = saved.entries if saved is not None else ()
 
     @property
     def members(self) -> tuple[str, ...]:
         """The voters by the log's last word on them."""
         tables = [entry for entry in self.entries if entry.kind == MEMBERS]
-        return tuple(msgpack.unpackb(tables[-1].data)) if tables else self.header.members
+        return tuple(msgpack.unpackb(tables[-1].data)) if tables else self.header.voters
 
     def told(self) -> str:
         """In one line."""
-        if self.kind is not Kind.WHOLE:
-            return f"{self.kind.value}: {MEANS[self.kind]}"
+        if self.condition is not Condition.INTACT:
+            return f"{self.condition.value}: {MEANS[self.condition]}"
         header = self.header
-        snapshot = f"image up to {header.snap_index}, " if header.snap_index else ""
-        return (f"{self.kind.value}: disk {header.name!r}, term {header.term}, {snapshot}"
-                f"{len(self.entries)} entries, last index {header.last}, "
+        snapshot = f"image up to {header.snapshot_index}, " if header.snapshot_index else ""
+        return (f"{self.condition.value}: disk {header.incarnation!r}, term {header.term}, {snapshot}"
+                f"{len(self.entries)} entries, last index {header.last_index}, "
                 f"members {', '.join(self.members) or 'none'}")
 
 
@@ -69,17 +72,17 @@
             file = Path(copy, FILE)
             store = Store(copy, max(2 * file.stat().st_size if file.exists() else 0, LEAST_MAP))
             try:
-                return Found(store.kind, store.header, store.load())
+                return Found(store.condition, store.header, store.load())
             finally:
                 store.close()
-    except (OSError, StoreBroken, StoreFull) as err:
+    except (OSError, StoreError) as err:
         raise ConfigError(f"{folder}: can't be read: {err}") from None
 
 
 def whole(folder: Path) -> Found:
     """Raises ConfigError where the folder is not whole: what it holds must not be taken for the truth."""
     found = look(folder)
-    if found.kind is not Kind.WHOLE:
+    if found.condition is not Condition.INTACT:
         raise ConfigError(f"{folder}: {found.told()}")
     return found
 
@@ -88,7 +91,7 @@
     """What is agreed as of the image, before the entries."""
     state = State()
     if found.saved is not None:
-        state.load(found.saved.snapshot)
+        state.load(found.saved.snapshot.data)
     return state
 
 
@@ -104,9 +107,9 @@
 def log_lines(found: Found, first: int) -> Iterator[str]:
     """A line for each entry from `first` on: index, term, kind, what it does."""
     state = begun(found)
-    if found.header.snap_index >= max(first, 1):
+    if found.header.snapshot_index >= max(first, 1):
         claims = state.claims.count()
-        yield (f"image up to {found.header.snap_index}, term {found.header.snap_term}: "
+        yield (f"image up to {found.header.snapshot_index}, term {found.header.snapshot_term}: "
                f"configuration {state.items.index}, {claims} claims")
     for entry in found.entries:
         line = _told(state, entry)
--- a/minthitch/cli/mesh.py
+++ b/minthitch/cli/mesh.py
@@ -14,7 +14,7 @@
 from msgspec import json
 from rich.console import Console
 
-from minthitch.mesh.storage.store import Kind
+from minthitch.mesh.storage.store import Condition
 from minthitch.cli import ask, catalogue, change, folder, settings, shown
 from minthitch.config import ConfigError
 from minthitch.mesh.configuration import boot
@@ -59,7 +59,7 @@
     def run(self) -> int:
         found = folder.look(self.folder)
         print(f"{self.folder}: {found.told()}")
-        return 0 if found.kind is Kind.WHOLE else 1
+        return 0 if found.condition is Condition.INTACT else 1
 
 
 @dataclass
--- a/minthitch/mesh/control/aging.py
+++ b/minthitch/mesh/control/aging.py
@@ -9,13 +9,13 @@
 from minthitch.mesh.control.proposals import Proposals
 from minthitch.mesh.control.state import ROTATE, TIME, State
 from minthitch.mesh.idempotency.rotation import ReignClock
-from minthitch.mesh.raft.core import Core
+from minthitch.mesh.raft.node import RaftNode
 
 
 class Host(Protocol):
     """The control node whose claims they are."""
 
-    core: Core
+    core: RaftNode
     state: State
     proposals: Proposals
 
@@ -30,13 +30,13 @@
     def look(self, now: float, slack: float) -> None:
         """`now` was read from the steady clock right before; `slack` seconds are kept beyond the window."""
         core, reign, state = self.host.core, self.reign, self.host.state
-        if core.role != "leader" or core.commit < core.noop:
+        if not core.has_committed_in_term:
             return
         reign.leads(now, core.term)
         if not state.claims.count():
             return
         needed = self._needed_ms(slack)
-        if reign.may_rotate(core.applied, state.passed_ms, needed):
+        if reign.may_rotate(core.last_applied, state.passed_ms, needed):
             placed = self.host.proposals.place(ROTATE, b"")
             if placed is not None:
                 reign.rotated(now, placed[0])
--- a/minthitch/mesh/control/handlers.py
+++ b/minthitch/mesh/control/handlers.py
@@ -65,7 +65,7 @@
         elif call.handler == "whole":
             self.server.fetch(lambda result: self._told_whole(client, token, result))
         elif call.handler == "ready":
-            fresh = self.server.core.fresh(self.server.loop.time())
+            fresh = self.server.core.in_contact_with_quorum(self.server.loop.time())
             client.respond(token, 200 if fresh else 503, (), b"")
         elif call.handler == "status":
             client.respond(token, 200, JSON, encode(status(self.server)))
--- a/minthitch/mesh/control/leases.py
+++ b/minthitch/mesh/control/leases.py
@@ -5,7 +5,7 @@
 
 from typing import Any, Protocol
 
-from minthitch.mesh.raft.core import Core
+from minthitch.mesh.raft.node import RaftNode
 from minthitch.mesh.limits.lease import Lender, Report
 from minthitch.mesh.configuration.boot import Bounds
 
@@ -22,14 +22,14 @@
 class Leases:
     """Lends while this control node surely leads. `now` is read from a steady clock right then."""
 
-    def __init__(self, bounds: Bounds, core: Core) -> None:
+    def __init__(self, bounds: Bounds, core: RaftNode) -> None:
         self.core, self.lender = core, Lender(bounds.retry_slack, bounds.retry_win_s)
 
     def _leads(self, now: float) -> bool:
         if not self.core.has_lease(now):
             return False
         # A leader that lends has its first entry agreed: it is in the log of every later one, before its own.
-        self.lender.lead(now, self.core.term, self.core.noop <= FOUNDED)
+        self.lender.lead(now, self.core.term, self.core.leader_state.noop_index <= FOUNDED)
         return True
 
     def heard(self, now: float, life: Life, report: tuple[Any, ...]) -> None:
--- a/minthitch/mesh/control/members.py
+++ b/minthitch/mesh/control/members.py
@@ -4,8 +4,9 @@
 
 from typing import Protocol
 
-from minthitch.mesh.raft.core import Core
-from minthitch.mesh.raft.messages import Action, Send
+from minthitch.mesh.raft.node import RaftNode
+from minthitch.mesh.raft.actions import Action, Send
+from minthitch.mesh.raft.messages import encode_message
 from minthitch.mesh.raft.placement import Location
 from minthitch.mesh.transport import ops
 from minthitch.mesh.transport.connection import Host as Hears
@@ -16,7 +17,7 @@
 class Host(Hears, Protocol):
     """The control node whose lines these are."""
 
-    core: Core
+    core: RaftNode
 
     def act(self, actions: list[Action]) -> None: ...
     def time(self) -> float: ...
@@ -43,7 +44,7 @@
         self.know((ip,))
         link = self.links.get(ip)
         if link is not None:
-            link.send((ops.RAFT, action.to, self.host.core.me, action.message), 0)
+            link.send((ops.RAFT, action.to, self.host.core.name, encode_message(action.message)), 0)
 
     def called(self, ip: str, place: tuple[str, ...]) -> None:
         """It has opened a link itself, and told its zone and region.
@@ -59,9 +60,9 @@
     def ask_to_join(self) -> None:
         """A learner asks everyone to be taken in."""
         if self.host.core.role == "learner":
-            say(Event.KNOCKED, member=self.host.core.me)
+            say(Event.KNOCKED, member=self.host.core.name)
             for link in self.links.values():
-                link.send((ops.JOIN, self.host.core.me), 0)
+                link.send((ops.JOIN, self.host.core.name), 0)
 
     def asked_to_join(self, who: str, said_by: str) -> None:
         """`said_by` is the address that opened the link: only the learner's own word is handed on, and so
@@ -71,7 +72,7 @@
         leader = self.links.get((core.leader or "").partition("#")[0])
         if core.role != "leader" and said_by == ip and leader is not None:
             leader.send((ops.JOIN, who), 0)
-        self.host.act(core.join(self.host.time(), who))
+        self.host.act(core.add_learner(self.host.time(), who))
 
     def close(self) -> None:
         for link in self.links.values():
--- a/minthitch/mesh/control/orders.py
+++ b/minthitch/mesh/control/orders.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from minthitch.mesh.control.state import CONFIG, Fetched, State
-from minthitch.mesh.raft.core import Core
+from minthitch.mesh.raft.node import RaftNode
 from minthitch.mesh.transport import ops
 
 if TYPE_CHECKING:
@@ -25,7 +25,7 @@
 class Host(Protocol):
     """The control node that took them."""
 
-    core: Core
+    core: RaftNode
     state: State
     proposals: Proposals
     loop: asyncio.AbstractEventLoop
@@ -95,8 +95,8 @@
     def _in_touch(self) -> bool:
         """Whether this node reaches a majority, or has led too short a time to have heard from one."""
         core, now = self.host.core, self._now()
-        young = core.role == "leader" and now - core.led_since <= core.timing.election
-        return young or core.fresh(now)
+        young = core.role == "leader" and now - core.leader_state.elected_at <= core.timing.election_timeout
+        return young or core.in_contact_with_quorum(now)
 
     def _now(self) -> float:
         """Danger: the loop's time is that of its last turn, and this machine may have been frozen since."""
--- a/minthitch/mesh/control/program.py
+++ b/minthitch/mesh/control/program.py
@@ -5,7 +5,7 @@
 import asyncio
 import signal
 
-from minthitch.mesh.storage.store import StoreBroken, StoreFull
+from minthitch.mesh.storage.errors import StoreError
 from minthitch.mesh.control.handlers import Desk
 from minthitch.mesh.control.server import ControlServer
 from minthitch.mesh.configuration.boot import Boot
@@ -30,7 +30,7 @@
     loop = asyncio.get_running_loop()
     try:
         server = ControlServer(boot)
-    except (StoreBroken, StoreFull, OSError) as err:
+    except (StoreError, OSError) as err:
         say(Event.DISK_USELESS, why=err)
         return 3
     desk = Desk(server)
--- a/minthitch/mesh/control/proposals.py
+++ b/minthitch/mesh/control/proposals.py
@@ -5,8 +5,9 @@
 
 from typing import Any, Protocol
 
-from minthitch.mesh.raft.core import Core
-from minthitch.mesh.raft.messages import Action, Entry
+from minthitch.mesh.raft.node import RaftNode
+from minthitch.mesh.raft.actions import Action
+from minthitch.mesh.raft.log import Entry
 from minthitch.mesh.control.orders import Result
 from minthitch.mesh.control.state import CONFIG, State, command
 from minthitch.mesh.transport import ops
@@ -20,7 +21,7 @@
 class Host(Protocol):
     """The control node that they wait at."""
 
-    core: Core
+    core: RaftNode
     state: State
     links: dict[str, Link]
 
@@ -92,7 +93,11 @@
         repeat, it would never come through.
         """
         placed, core = self.unapplied.get(body), self.host.core
-        return placed if placed is not None and placed[1] == core.term and placed[0] > core.applied else None
+        return (
+            placed
+            if placed is not None and placed[1] == core.term and placed[0] > core.last_applied
+            else None
+        )
 
     def applied(self, entry: Entry, result: tuple[Any, ...]) -> None:
         """Tells whoever waits at that index; another term's entry there is not what was asked for."""
--- a/minthitch/mesh/control/pushes.py
+++ b/minthitch/mesh/control/pushes.py
@@ -8,7 +8,7 @@
 
 import msgpack
 
-from minthitch.mesh.raft.core import Core
+from minthitch.mesh.raft.node import RaftNode
 from minthitch.mesh.control.state import State
 from minthitch.mesh.transport import ops
 from minthitch.mesh.transport.connection import Connection
@@ -21,7 +21,7 @@
 class Host(Protocol):
     """The control node whose knowledge is pushed."""
 
-    core: Core
+    core: RaftNode
     state: State
     loop: asyncio.AbstractEventLoop
 
--- a/minthitch/mesh/control/retirement.py
+++ b/minthitch/mesh/control/retirement.py
@@ -8,7 +8,7 @@
 
 from typing import Protocol
 
-from minthitch.mesh.raft.messages import Action
+from minthitch.mesh.raft.actions import Action
 
 MOST_S = 1.0  # seconds for handing over: callers give up after a second, and the platform kills before long
 
@@ -16,12 +16,15 @@
 class Agreement(Protocol):
     """What is asked of the core."""
 
-    role: str
-    me: str
-    leader: str | None
+    @property
+    def is_leader(self) -> bool: ...
+    @property
+    def name(self) -> str: ...
+    @property
+    def leader(self) -> str | None: ...
 
-    def retire(self, now: float) -> list[Action]: ...
-    def retired(self, now: float) -> bool: ...
+    def begin_shutdown(self, now: float) -> list[Action]: ...
+    def may_end(self, now: float) -> bool: ...
 
 
 class Retirement:
@@ -36,12 +39,12 @@
         if self.begun is not None:
             return []
         self.begun = now
-        return self.core.retire(now)
+        return self.core.begin_shutdown(now)
 
     def over(self, now: float, open_orders: int) -> bool:
         """Whether the process may end."""
         if self.begun is None:
             return False
         core = self.core
-        handed_over = core.role != "leader" and core.leader not in (None, core.me) and core.retired(now)
+        handed_over = not core.is_leader and core.leader not in (None, core.name) and core.may_end(now)
         return (handed_over and not open_orders) or now - self.begun >= MOST_S
--- a/minthitch/mesh/control/server.py
+++ b/minthitch/mesh/control/server.py
@@ -12,21 +12,16 @@
 
 import msgpack
 
-from minthitch.mesh.raft.core import GONE_AFTER_S, Core
-from minthitch.mesh.raft.messages import (
-    DATA,
-    MEMBERS,
-    Action,
-    Apply,
-    Diverged,
-    Persist,
-    Restore,
-    Send,
-    Timing,
-)
-from minthitch.mesh.raft.placement import Location, Tolerated, voters_wanted
-from minthitch.mesh.storage.store import Store, StoreBroken, Kind
-from minthitch.mesh.storage.writer import Writer
+from minthitch.mesh.raft.node import RaftNode
+from minthitch.mesh.raft.reconfiguration import UNRESPONSIVE_AFTER_S, GroupPolicy
+from minthitch.mesh.raft.actions import Action, Apply, Persist, Restore, Send, Timing
+from minthitch.mesh.raft.errors import ConsensusViolationError
+from minthitch.mesh.raft.log import DATA, MEMBERS
+from minthitch.mesh.raft.messages import decode_message
+from minthitch.mesh.raft.placement import Location, Tolerated, target_group_size
+from minthitch.mesh.storage.errors import StoreCorruptedError
+from minthitch.mesh.storage.store import Condition, Store
+from minthitch.mesh.storage.writer import StorageWriter
 from minthitch.mesh.control.aging import Aging
 from minthitch.mesh.control.diskwatch import DiskWatch
 from minthitch.mesh.control.leases import Leases
@@ -44,7 +39,7 @@
 from minthitch.mesh.events.events import Event, say
 
 TICK = 0.02  # seconds between two looks at the agreement's time
-TIMING = Timing(beat=0.05, election=0.25)
+TIMING = Timing(heartbeat=0.05, election_timeout=0.25)
 LOOK_EVERY = 0.5  # seconds between two looks at who is alive
 SURELY = 2.0  # seconds between two words to a sidecar, whatever has changed: its line beats by itself
 JOIN_EVERY = 0.5  # seconds between two tries of a learner to be taken in
@@ -54,7 +49,7 @@
 ROTATE_SLACK = 15.0  # seconds beyond the window before claims grow old: requests take their time too
 MOST_PATCH = 4 * 1024 * 1024  # bytes of one call of the operator
 Clock = Callable[[], float]
-MakeWriter = Callable[[Store, Callable[[int], None], Callable[[str, bool], None], Clock], Writer]
+MakeWriter = Callable[[Store, Callable[[int], None], Callable[[str, bool], None], Clock], StorageWriter]
 
 
 class ControlServer:
@@ -64,7 +59,7 @@
         self,
         boot: Boot,
         store: Store | None = None,
-        writer: MakeWriter = Writer,
+        writer: MakeWriter = StorageWriter,
         clock: Clock = time.monotonic,
     ) -> None:
         """Models give `store`, `writer` and `clock` (steady seconds); else they are the system's."""
@@ -106,15 +101,22 @@
 
     # Start ----------------------------------------------------------------------------------------
 
-    def _core(self) -> Core:
+    def _core(self) -> RaftNode:
         store, founders = self.store, tuple[str, ...]()
-        say(Event.DISK_LOADED, state=store.kind.value, entries=store.header.last, term=store.header.term)
-        if store.kind is Kind.NEWER:  # danger: written by a later version: what it says would be lost
-            raise StoreBroken("the folder was written by a later version")
-        if store.kind is not Kind.WHOLE:
+        say(
+            Event.DISK_LOADED,
+            state=store.condition.value,
+            entries=store.header.last_index,
+            term=store.header.term,
+        )
+        if (
+            store.condition is Condition.NEWER
+        ):  # danger: written by a later version: what it says would be lost
+            raise StoreCorruptedError("the folder was written by a later version")
+        if store.condition is not Condition.INTACT:
             # Only the first start of the whole system, told so, may form a group; danger: two groups.
-            founds = self.boot.own.init and store.kind is Kind.EMPTY and self.ip in self.seeds
-            store.begin("0" if founds else os.urandom(6).hex())
+            founds = self.boot.own.init and store.condition is Condition.EMPTY and self.ip in self.seeds
+            store.initialize("0" if founds else os.urandom(6).hex())
         if store.incarnation == "0":
             founders = tuple(f"{ip}#0" for ip in self.seeds)
         saved = store.load()
@@ -122,16 +124,18 @@
         me = f"{self.ip}#{store.incarnation}"
         terms = self.boot.terms
         tolerated = Tolerated(terms.tolerate.hw, terms.tolerate.azs, terms.tolerate.regions)
-        core = Core(
+        core = RaftNode(
             me,
             saved,
             founders,
             TIMING,
             self.random.getrandbits(60),
             now,
-            voters_wanted=voters_wanted(tolerated),
-            gone_after=min(GONE_AFTER_S, GONE_PART * terms.bounds.sync_s),
-            tolerated=tolerated,
+            GroupPolicy(
+                target_group_size(tolerated),
+                min(UNRESPONSIVE_AFTER_S, GONE_PART * terms.bounds.sync_s),
+                tolerated,
+            ),
         )
         core.locations[self.ip] = Location(self.boot.own.az, self.boot.own.region)
         return core
@@ -142,7 +146,7 @@
         self.timers[0] = self.loop.call_later(TICK, self._tick)
         now = self.loop.time()
         if self.retirement.begun is None and self.disk.look(now, self.disk_waits()):
-            self.act(self.core.disk_trouble(now, self.bad))
+            self.act(self.core.set_disk_health(now, not self.bad))
         self.act(self.core.tick(now))
         if self.retirement.over(now, len(self.orders.open)):
             self.retired.set()
@@ -154,7 +158,7 @@
 
     def knows_newest(self, now: float) -> bool:
         """Whether what this control node has applied is what was agreed, and not of a time before a cut."""
-        return self.core.fresh(now) and self.core.applied >= self.core.commit > 0
+        return self.core.in_contact_with_quorum(now) and self.core.last_applied >= self.core.commit_index > 0
 
     def disk_waits(self) -> float:
         """Seconds for which the write under way has been."""
@@ -191,7 +195,7 @@
             if isinstance(action, Send):
                 self.others.send(action)
             elif isinstance(action, Persist):
-                self.writer.put(action)
+                self.writer.submit(action)
             elif isinstance(action, Apply):
                 self._apply(action)
             elif isinstance(action, Restore):
@@ -213,16 +217,16 @@
         self.snapshots.applied(entry.index, len(entry.data), SNAPSHOT_EVERY)
 
     def _snapshot(self, index: int, snapshot: bytes) -> None:
-        self.act(self.core.snapshot_due(index, snapshot))
+        self.act(self.core.compact(index, snapshot))
         log = self.core.log
         if self.disk.refuses(self.loop.time()) and index == log.snapshot.index <= log.durable:
-            self.writer.relief = index, log.snapshot.term, log.snapshot.voters, snapshot
+            self.writer.emergency_snapshot = log.snapshot
 
     def _synced_soon(self, ticket: int) -> None:
         self.loop.call_soon_threadsafe(self._synced, ticket)
 
     def _synced(self, ticket: int) -> None:
-        self.act(self.core.synced(self.loop.time(), ticket))
+        self.act(self.core.persisted(self.loop.time(), ticket))
 
     def _trouble_soon(self, why: str, lost: bool) -> None:
         self.loop.call_soon_threadsafe(self._trouble, why, lost)
@@ -232,7 +236,7 @@
         if lost:  # danger: what it acknowledged may be missing: it must come back as one that forgot
             self.fail(RuntimeError(why))
         else:
-            self.snapshots.hurry(self.core.applied)
+            self.snapshots.hurry(self.core.last_applied)
 
     def retire(self) -> None:
         """Before this process ends: `retired` is set once it may."""
@@ -263,7 +267,7 @@
     def heard(self, connection: Connection, message: ops.Message) -> None:
         try:
             self._heard(connection, message)
-        except Diverged as err:
+        except ConsensusViolationError as err:
             self.fail(err)
 
     def _heard(self, connection: Connection, message: ops.Message) -> None:
@@ -272,8 +276,8 @@
             if connection.kind == "control":
                 self.others.called(connection.name, tuple(message[3:]))
         elif op == ops.RAFT:
-            if message[1] == self.core.me:  # danger: meant for the disk that was lost
-                self.act(self.core.receive(self.loop.time(), message[2], message[3]))
+            if message[1] == self.core.name:  # danger: meant for the disk that was lost
+                self._receive(message[2], message[3])
         elif op == ops.REPORT:
             self.pushes.report(connection, message)
         elif op == ops.LEASE_REQUEST:
@@ -294,6 +298,11 @@
         elif op == ops.JOIN:
             self.others.asked_to_join(message[1], connection.name)
 
+    def _receive(self, source: str, wire: tuple[Any, ...]) -> None:
+        decoded = decode_message(wire)
+        if decoded is not None:
+            self.act(self.core.receive(self.loop.time(), source, decoded))
+
     def _claim(self, connection: Connection, message: ops.Message) -> None:
         _, ident, key, owner, claim, digest, over = message
         body = bytes(msgpack.packb((key, owner, claim, digest, over)))
@@ -341,4 +350,4 @@
         self.snapshots.close()
         self.others.close()
         self.pushes.close()
-        self.writer.end()
+        self.writer.stop()
--- a/minthitch/mesh/control/status.py
+++ b/minthitch/mesh/control/status.py
@@ -15,13 +15,13 @@
     """One table, as it is encoded."""
     core, now = server.core, server.time()
     return {
-        "control": core.me,
+        "control": core.name,
         "role": core.role,
         "term": core.term,
         "leader": core.leader or "",
         "voters": list(core.voters),
         "knows_newest": server.knows_newest(now),
-        "log": {"last": core.last_index, "agreed": core.commit, "applied": core.applied},
+        "log": {"last": core.last_index, "agreed": core.commit_index, "applied": core.last_applied},
         "disk": {"bad": server.bad, "waits_s": round(server.disk_waits(), 3)},
         "configuration": {"index": server.state.items.index},
         "keys": _keys(server),
--- a/minthitch/mesh/raft/election.py
+++ b/minthitch/mesh/raft/election.py
@@ -1,129 +1,218 @@
-"""Elections: pre-vote, vote, and what a member answers to those that stand."""
+"""Elections: pre-vote, candidacy, and the answers to candidates (dissertation, 3.4 and 9.6)."""
 
 from __future__ import annotations
 
-from minthitch.mesh.raft.messages import JOIN, NOOP, PRE, PRE_RE, VOTE, VOTE_RE
-from minthitch.mesh.raft.peers import Peer
-from minthitch.mesh.raft.state import CANDIDATE, FOLLOWER, LEADER, LEARNER, Ballot
-from minthitch.mesh.raft.transfer import Transfer
-
-
-class Election(Transfer):
-    """What a member does that doesn't lead, once no leader is heard."""
-
-    def _tick_follower(self, now: float) -> None:
-        if self.retiring is not None and now >= self.announce_at:
-            self._announce_leaving(now)
-        if now < self.deadline:
-            if self.role == CANDIDATE and now >= self.beat_at:
+from enum import Enum
+
+from minthitch.mesh.raft.follower import Follower
+from minthitch.mesh.raft.leader import Leader
+from minthitch.mesh.raft.member import Member, Role
+from minthitch.mesh.raft.messages import (
+    ForwardedJoin,
+    PreVote,
+    PreVoteResponse,
+    RequestVote,
+    RequestVoteResponse,
+    TimeoutNow,
+)
+from minthitch.mesh.raft.persistence import HardState, Persistence
+from minthitch.mesh.raft.reconfiguration import Reconfiguration
+from minthitch.mesh.raft.shutdown_state import ShutdownState
+
+
+class Phase(Enum):
+    """How far a candidate is."""
+
+    NONE = "no candidate"
+    PRE_VOTE = "asking whether an election could be won"
+    PERSISTING = "the vote for itself is not durable yet"
+    VOTE = "asking for votes"
+
+
+class Election:
+    """What a member does that does not lead, once it does not hear from a leader."""
+
+    def __init__(
+        self,
+        member: Member,
+        persistence: Persistence,
+        follower: Follower,
+        leader: Leader,
+        reconfiguration: Reconfiguration,
+        shutdown: ShutdownState,
+    ) -> None:
+        self._member = member
+        self._persistence = persistence
+        self._follower = follower
+        self._leader = leader
+        self._reconfiguration = reconfiguration
+        self._shutdown = shutdown
+        self.phase = Phase.NONE
+        self._votes: set[str] = set()
+        self._vote_write_id = 0  # of the write with the vote for itself
+        self._leadership_transfer = False  # asked to campaign by the leader: voters ignore its lease
+        self._next_request_at = 0.0
+        member.step_down_listeners.append(self._reset)
+
+    def _reset(self, term_has_risen: bool) -> None:
+        self.phase = Phase.NONE
+
+    def hears_live_leader(self, now: float) -> bool:
+        """A leader was heard within the last election timeout: vote for no other (check-quorum).
+
+        The leader's lease rests on this: so many voters reject candidates until the timeout has passed.
+        """
+        timeout = self._member.timing.election_timeout
+        if self._member.is_leader:
+            return now - self._leader.quorum_last_response_at(now) <= timeout
+        return now - self._follower.last_contact < timeout
+
+    def tick(self, now: float) -> None:
+        """Campaign once the election timeout is over; repeat requests for votes, as messages are lost."""
+        member = self._member
+        if not member.election_timer.expired(now):
+            if member.role is Role.CANDIDATE and now >= self._next_request_at:
                 self._request_votes(now)
             return
-        self.leader = None
-        if self.role == LEARNER or self.bad or self.retiring is not None or self.phase == "standing":
-            # One that can't keep its vote must not hold up the others, nor raise its term on and on.
-            self.deadline = self._new_deadline(now)
-            return
-        self._start_pre_vote(now)
+        member.leader = None
+        if self._may_campaign():
+            self._start_pre_vote(now)
+        else:
+            member.election_timer.reset(now)
+
+    def _may_campaign(self) -> bool:
+        # A member that can't store its vote must neither delay the others nor raise its term again and again.
+        member = self._member
+        return (
+            member.role is not Role.LEARNER
+            and member.disk_healthy
+            and self._shutdown.started_at is None
+            and self.phase is not Phase.PERSISTING
+        )
 
     def _start_pre_vote(self, now: float) -> None:
-        """Ask first whether an election could be won: a term is only raised if so."""
-        self.role, self.phase, self.votes = CANDIDATE, "pre", {self.me}
-        self.deadline = self._new_deadline(now)
+        """Ask whether an election could be won. The term is raised only if so."""
+        member = self._member
+        member.role = Role.CANDIDATE
+        self.phase = Phase.PRE_VOTE
+        self._votes = {member.name}
+        member.election_timer.reset(now)
         self._request_votes(now)
         self._count_votes(now)
 
-    def _become_candidate(self, now: float, forced: bool) -> None:
-        """Vote for oneself in a new term. Nobody else hears of it before it is on the disk.
+    def _start_candidacy(self, now: float, *, leadership_transfer: bool) -> None:
+        """Vote for itself in a new term. No other member learns of it before that is durable.
 
-        Else a start that forgets it, with a shorter log, could take the votes that the longer log was given.
+        Otherwise a restart could forget the vote, with a shorter log, and take the votes given to the
+        longer one.
         """
-        self.role, self.phase, self.votes = CANDIDATE, "standing", set()
-        self.term, self.vote, self.leader = self.term + 1, self.me, None
-        self.matched, self.answer_due = 0, False
-        self.forced = forced
-        self.deadline = self._new_deadline(now)
-        self.candidacy_ticket = self.ticket + 1
-        self._flush()
-
-    def _start_vote(self, now: float) -> None:
-        self.phase, self.votes = "vote", {self.me}
-        self._request_votes(now)
-        self._count_votes(now)
+        member = self._member
+        member.role = Role.CANDIDATE
+        member.term += 1
+        member.voted_for = member.name
+        member.leader = None
+        self.phase = Phase.PERSISTING
+        self._votes = set()
+        self._follower.reset_match()
+        self._leadership_transfer = leadership_transfer
+        member.election_timer.reset(now)
+        self._vote_write_id = self._persistence.write_id + 1
+        self._persistence.flush()
+
+    def on_write_finished(self, now: float, write_id: int) -> None:
+        """Ask the others for votes once the vote for itself is durable."""
+        own_vote = HardState(self._member.term, self._member.name)
+        vote_is_durable = write_id >= self._vote_write_id and self._persistence.durable == own_vote
+        if self.phase is Phase.PERSISTING and vote_is_durable:
+            self.phase = Phase.VOTE
+            self._votes = {self._member.name}
+            self._request_votes(now)
+            self._count_votes(now)
 
     def _request_votes(self, now: float) -> None:
-        """Ask those who have not said yes; again each beat, as messages get lost."""
-        self.beat_at = now + self.timing.beat
-        last, term = self.log.last, self.log.term_at(self.log.last)
-        for who in self.log.voters:
-            if who in self.votes:
+        """Ask the voters that have not agreed yet."""
+        member = self._member
+        self._next_request_at = now + member.timing.heartbeat
+        last_index, last_term = member.log.last_index, member.log.last_term
+        for voter in member.log.voters:
+            if voter in self._votes:
                 continue
-            if self.phase == "pre":
-                self._send(who, PRE, self.term + 1, last, term)
-            elif self.phase == "vote":
-                self._send(who, VOTE, self.term, last, term, self.forced)
+            if self.phase is Phase.PRE_VOTE:
+                member.send(voter, PreVote(member.term + 1, last_index, last_term))
+            elif self.phase is Phase.VOTE:
+                request = RequestVote(member.term, last_index, last_term, self._leadership_transfer)
+                member.send(voter, request)
 
     def _count_votes(self, now: float) -> None:
-        voters = self.log.voters
-        if 2 * sum(who in self.votes for who in voters) <= len(voters):
+        voters = self._member.log.voters
+        if 2 * sum(voter in self._votes for voter in voters) <= len(voters):
             return
-        if self.phase == "pre":
-            self._become_candidate(now, forced=False)
-        elif self.phase == "vote":
-            self._become_leader(now)
-
-    def _become_leader(self, now: float) -> None:
-        self.role, self.phase, self.leader = LEADER, "", self.me
-        self.transfer_since, self.transfer_sent, self.led_since = None, False, now
-        self.peers = {who: Peer(who, self.log.last + 1, now) for who in self.log.voters if who != self.me}
-        # Entries of older terms are not counted; this one, once kept by a majority, takes them with it.
-        self.noop = self._append(NOOP, b"").index
-        self._send_heartbeats(now)
-
-    def _on_pre(self, now: float, src: str, term: int, last: int, last_term: int) -> None:
-        if self.role == LEADER and src not in self.log.voters:
-            self._add_learner(now, src)  # it was replaced while it was away; fed, it learns that
+        if self.phase is Phase.PRE_VOTE:
+            self._start_candidacy(now, leadership_transfer=False)
+        elif self.phase is Phase.VOTE:
+            self.phase = Phase.NONE
+            self._leader.start(now)
+
+    # Messages -------------------------------------------------------------------------------------
+
+    def on_pre_vote(self, now: float, source: str, message: PreVote) -> None:
+        """Agree where the sender could win and no leader is alive."""
+        member = self._member
+        source_votes = source in member.log.voters
+        if member.is_leader and not source_votes:
+            self._reconfiguration.add_learner(
+                now, source
+            )  # replaced while it was away: the log will show it that
             return
-        led = self._hears_live_leader(now)
-        if led and self.leader is not None and src not in self.log.voters:
-            self._send(self.leader, JOIN, src)  # its table may not have the leader in it
-        granted = term > self.term and not led and self._is_up_to_date(last, last_term)
-        self._send(src, PRE_RE, term, granted, self.term)
-
-    def _on_pre_re(self, now: float, src: str, term: int, granted: bool, own: int) -> None:
-        if not granted and own > self.term and self.role != LEADER:
-            self._become_follower(now, own, None)
-        elif granted and self.phase == "pre" and term == self.term + 1:
-            self.votes.add(src)
+        leader_is_alive = self.hears_live_leader(now)
+        if leader_is_alive and member.leader is not None and not source_votes:
+            # The sender's voters may not include the leader.
+            member.send(member.leader, ForwardedJoin(source))
+        granted = (
+            message.term > member.term
+            and not leader_is_alive
+            and member.is_up_to_date(message.last_log_index, message.last_log_term)
+        )
+        member.send(source, PreVoteResponse(message.term, granted, member.term))
+
+    def on_pre_vote_response(self, now: float, source: str, message: PreVoteResponse) -> None:
+        """Count the answer."""
+        member = self._member
+        if not message.granted and message.current_term > member.term and not member.is_leader:
+            member.become_follower(now, message.current_term, None)
+        elif message.granted and self.phase is Phase.PRE_VOTE and message.term == member.term + 1:
+            self._votes.add(source)
             self._count_votes(now)
 
-    def _on_vote(self, now: float, src: str, term: int, last: int, last_term: int, forced: bool) -> None:
-        if term < self.term or (not forced and self._hears_live_leader(now)):
-            self._send(src, VOTE_RE, self.term, False)
+    def on_request_vote(self, now: float, source: str, message: RequestVote) -> None:
+        """Vote for the sender, unless this member voted for another in that term. Sent once durable."""
+        member = self._member
+        lease_may_hold = not message.leadership_transfer and self.hears_live_leader(now)
+        if message.term < member.term or lease_may_hold:
+            member.send(source, RequestVoteResponse(member.term, False))
             return
-        if term > self.term:
-            self._become_follower(now, term, None)
-        free = self.vote in ("", src) and self.role in (FOLLOWER, LEARNER)
-        if free and self._is_up_to_date(last, last_term):
-            self.vote = src
-            self.deadline = self._new_deadline(now)
-            self._send_when_durable(src, VOTE_RE, term, True)
+        if message.term > member.term:
+            member.become_follower(now, message.term, None)
+        may_vote = member.voted_for in ("", source) and member.role in (Role.FOLLOWER, Role.LEARNER)
+        if may_vote and member.is_up_to_date(message.last_log_index, message.last_log_term):
+            member.voted_for = source
+            member.election_timer.reset(now)
+            self._persistence.send_when_durable(source, RequestVoteResponse(message.term, True))
         else:
-            self._send(src, VOTE_RE, self.term, False)
-
-    def _on_vote_re(self, now: float, src: str, term: int, granted: bool) -> None:
-        if term > self.term:
-            self._become_follower(now, term, None)
-        elif granted and self.phase == "vote" and term == self.term:
-            self.votes.add(src)
+            member.send(source, RequestVoteResponse(member.term, False))
+
+    def on_request_vote_response(self, now: float, source: str, message: RequestVoteResponse) -> None:
+        """Count the vote."""
+        member = self._member
+        if message.term > member.term:
+            member.become_follower(now, message.term, None)
+        elif message.granted and self.phase is Phase.VOTE and message.term == member.term:
+            self._votes.add(source)
             self._count_votes(now)
 
-    def _on_now(self, now: float, src: str, term: int) -> None:
-        able = self.role == FOLLOWER and not self.bad and self.retiring is None
-        if able and term == self.term and src == self.leader:
-            self._become_candidate(now, forced=True)
-
-    def _own_vote_durable(self, now: float, ticket: int) -> None:
-        """The disk has that Persist: if it holds the vote for this member, others may hear of it."""
-        own = Ballot(self.term, self.me)
-        if self.phase == "standing" and ticket >= self.candidacy_ticket and self.durable_ballot == own:
-            self._start_vote(now)
+    def on_timeout_now(self, now: float, source: str, message: TimeoutNow) -> None:
+        """Campaign at once, as the leader hands over."""
+        member = self._member
+        able = member.role is Role.FOLLOWER and member.disk_healthy and self._shutdown.started_at is None
+        if able and message.term == member.term and source == member.leader:
+            self._start_candidacy(now, leadership_transfer=True)
--- a/minthitch/mesh/raft/membership.py
+++ b/minthitch/mesh/raft/membership.py
@@ -1,34 +1,34 @@
-"""Which change of the voters is due: pure functions over what a leader sees.
+"""Which change of the voters is due: pure functions of what a leader sees.
 
-One change adds or removes one voter, and the next begins once it is committed: any majority before and any
-majority after a change then have a member in common.
+One change adds or removes one voter, and the next begins once it is committed (dissertation, 4.1): any
+majority before and any majority after a change then have a member in common.
 
-A successor is added *before* the silent voter is removed. That a voter has been unheard for a second or two
-shows little: its process may be restarting, or frozen, and will be back with its disk. So each step has to
-bear k losses for good out of 2k + 1, whichever voters they strike, the silent one or another:
+A successor is added *before* the unresponsive voter is removed. That a voter has not answered for a second
+or two proves little: its process may be restarting, or frozen, and will be back with its disk. So each step
+has to tolerate the permanent loss of any k of 2k + 1 voters, of the unresponsive one or of another:
 
-    voters          needed   losses for good that are borne
+    voters          quorum   permanent losses tolerated
     {A, B, C}       2        any one
     {A, B, C, D}    3        any one, D too
     {A, B, D}       2        any one
 
-Removal first would pass through {A, B}, which bears the loss of neither: if C is only restarting, one disk
-lost at that moment stops the group for ever, although C and the other hold everything. Five voters bear any
-two in the same way, by {A, B, C, D, E, F}, with two gone one after the other. The price: with C gone and D
-just added, A, B and D are all needed, where A and B were enough before. That lasts one commit and begins
-with a D that is caught up and answers; to lose D as well is a second loss, more than three voters promise
-to bear.
+Removal first would pass through {A, B}, which tolerates the loss of neither: if C is only restarting, one
+disk lost at that moment stops the group for ever, although C and the other have everything. Five voters
+tolerate any two in the same way, by {A, B, C, D, E, F}, with two replaced one after the other. The price:
+with C failed and D just added, A, B and D are all needed, where A and B were enough before. That lasts for
+one commit, and begins with a D that is caught up and answers; to lose D as well is a second loss, which is
+more than three voters can tolerate.
 
-A machine that lost its disk comes back under a new name; its old name is removed first,
-as that one surely never answers again; both at once would not be safe: see `Reconfiguration`.
+A machine that lost its disk comes back under a new name. Its old name is removed first, as that one surely
+never answers again; both changes at once would not be safe: see `Reconfiguration`.
 
-Growth beyond the founders adds whoever waits: an even group bears as many losses for good as the odd one
-before. An even group with a silent voter and no learner at hand goes on without it, as the odd group bears as
-many and needs one fewer.
+Growth beyond the founders adds any learner that asks: an even group tolerates as many permanent losses as
+the odd one before. An even group with an unresponsive voter and without a learner goes on without that
+voter, as the odd group tolerates as many losses and needs one voter less for a quorum.
 
-Where one voter more than wanted is left, a silent one is removed; if none is silent any more, the one whose
-place helps least, or that lags most. A swap for the sake of placement is the same two steps, begun only while
-all voters answer.
+Where there is one voter more than the target, an unresponsive one is removed; if all answer again, the one
+whose location helps least, or that lags most. A swap for the sake of placement takes the same two steps,
+and begins only while all voters answer.
 """
 
 from __future__ import annotations
@@ -36,80 +36,101 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from minthitch.mesh.raft.placement import Location, Tolerated, improves, shortfall, weakest
+from minthitch.mesh.raft.placement import Location, Tolerated, improves, least_useful, shortfall
 
+Voters = tuple[str, ...]
 
-def ip_of(name: str) -> str:
-    """The address in a member's name, `address#incarnation`."""
+
+def address_of(name: str) -> str:
+    """The IP address in a member's name, `address#incarnation`."""
     return name.partition("#")[0]
 
 
-class View(NamedTuple):
-    """What a leader sees of the voters."""
+class VoterView(NamedTuple):
+    """What a leader sees of the voters.
+
+    A voter may be neither `responsive` nor `unresponsive`: it is late, and not late enough to count as
+    failed.
+    """
 
-    me: str
-    voters: tuple[str, ...]  # those that lag most first
-    lively: frozenset[str]  # voters that answered lately, the leader among them
-    silent: tuple[str, ...]  # voters unheard for so long that they count as gone, the longest first
-    wanted: int
+    leader: str
+    voters: Voters  # those that lag most first
+    responsive: frozenset[str]  # voters that answered lately, the leader among them
+    unresponsive: Voters  # voters that count as failed, the longest first
+    target_size: int
     tolerated: Tolerated
     locations: Mapping[str, Location]  # by address, as far as known
 
-    def without(self, name: str) -> tuple[str, ...]:
+    def without(self, name: str) -> Voters:
+        """The voters but for one."""
         return tuple(sorted(voter for voter in self.voters if voter != name))
 
-    def with_added(self, name: str) -> tuple[str, ...]:
+    def with_added(self, name: str) -> Voters:
+        """The voters and one more."""
         return tuple(sorted((*self.voters, name)))
 
     @property
-    def all_lively(self) -> bool:
-        return self.lively >= set(self.voters)
+    def all_responsive(self) -> bool:
+        """All voters have answered lately."""
+        return self.responsive >= set(self.voters)
 
 
-def committable(view: View, table: tuple[str, ...], learner: str = "") -> bool:
-    """The voters of `table` that answer now can commit it, the learner counted where it is in."""
-    answering = sum(name in view.lively or name == learner for name in table)
-    return 2 * answering > len(table)
+def can_commit(view: VoterView, voters: Voters, learner: str = "") -> bool:
+    """Those of `voters` that answer now can commit the change; `learner` counts where it is among them."""
+    answering = sum(name in view.responsive or name == learner for name in voters)
+    return 2 * answering > len(voters)
 
 
-def table_for(view: View, learner: str) -> tuple[str, ...] | None:
-    """The voters after the next step toward taking in `learner`, which is caught up; None: not now."""
-    table = _step(view, learner)
-    return table if table is not None and committable(view, table, learner) else None
+def voters_adding(view: VoterView, learner: str) -> Voters | None:
+    """The voters after the next step toward adding a learner that is caught up; None: not now."""
+    voters = _next_voters(view, learner)
+    return voters if voters is not None and can_commit(view, voters, learner) else None
 
 
-def _step(view: View, learner: str) -> tuple[str, ...] | None:
-    old = next((name for name in view.voters if ip_of(name) == ip_of(learner)), None)
-    if old is not None:
-        return None if old == view.me else view.without(old)
-    if len(view.voters) < view.wanted:
+def _next_voters(view: VoterView, learner: str) -> Voters | None:
+    same_machine = (name for name in view.voters if address_of(name) == address_of(learner))
+    old_name = next(same_machine, None)
+    if old_name is not None:
+        return None if old_name == view.leader else view.without(old_name)
+    if len(view.voters) < view.target_size:
         return view.with_added(learner)
-    if len(view.voters) > view.wanted:
+    if len(view.voters) > view.target_size:
         return None
-    placed_better = view.all_lively and improves(
-        view.voters, learner, view.me, view.locations, view.tolerated
+    improves_placement = view.all_responsive and improves(
+        view.voters, learner, view.leader, view.locations, view.tolerated
     )
-    return view.with_added(learner) if view.silent or placed_better else None
+    return view.with_added(learner) if view.unresponsive or improves_placement else None
 
 
-def surplus(view: View) -> tuple[str, ...] | None:
-    """The voters without one too many, as an added successor leaves behind; None where there is none."""
-    if len(view.voters) <= view.wanted or not (view.silent or view.all_lively):
+def voters_without_surplus(view: VoterView) -> Voters | None:
+    """The voters without the one that an added successor made superfluous; None where there is none."""
+    if len(view.voters) <= view.target_size:
+        return None
+    if view.unresponsive:
+        superfluous = view.unresponsive[0]
+    elif view.all_responsive:
+        superfluous = least_useful(view.voters, view.leader, view.locations, view.tolerated)
+    else:
         return None
-    name = view.silent[0] if view.silent else weakest(view.voters, view.me, view.locations, view.tolerated)
-    table = view.without(name)
-    return table if name and committable(view, table) else None
+    voters = view.without(superfluous)
+    return voters if superfluous and can_commit(view, voters) else None
 
 
-def without_silent(view: View) -> tuple[str, ...] | None:
-    """An even group without a silent voter, where no learner waits: it bears as much and needs one fewer."""
-    if not view.silent or len(view.voters) % 2:
+def voters_without_unresponsive(view: VoterView) -> Voters | None:
+    """An even group without an unresponsive voter, where there is no learner.
+
+    It tolerates as many losses and needs one voter less for a quorum.
+    """
+    if not view.unresponsive or len(view.voters) % 2:
         return None
-    table = view.without(view.silent[0])
-    return table if committable(view, table) else None
+    voters = view.without(view.unresponsive[0])
+    return voters if can_commit(view, voters) else None
+
 
+def learner_preference(view: VoterView, learner: str) -> tuple[int, int]:
+    """Sort key of learners, the lowest first.
 
-def preference(view: View, learner: str) -> tuple[int, int]:
-    """Learners are tried in this order: low first. Equal for all where no zone or region has to be borne."""
-    base = view.without(view.silent[0]) if view.silent else view.voters
-    return shortfall((*base, learner), view.locations, view.tolerated)
+    Equal for all where no loss of a zone or region is tolerated.
+    """
+    remaining = view.without(view.unresponsive[0]) if view.unresponsive else view.voters
+    return shortfall((*remaining, learner), view.locations, view.tolerated)
--- /dev/null
+++ b/minthitch/mesh/raft/node.py
@@ -0,0 +1,291 @@
+"""One member of a Raft group: the interface of the consensus core."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any, ClassVar
+
+from minthitch.mesh.raft.actions import Action, PersistedState, Restore, Timing
+from minthitch.mesh.raft.election import Election
+from minthitch.mesh.raft.follower import Follower
+from minthitch.mesh.raft.leader import Leader
+from minthitch.mesh.raft.leadership_transfer import LeadershipTransfer
+from minthitch.mesh.raft.log import DATA, Log, Snapshot
+from minthitch.mesh.raft.member import Member, Role
+from minthitch.mesh.raft.messages import (
+    AppendEntries,
+    AppendEntriesResponse,
+    ForwardedJoin,
+    InstallSnapshot,
+    InstallSnapshotResponse,
+    Message,
+    PreVote,
+    PreVoteResponse,
+    RequestVote,
+    RequestVoteResponse,
+    ShutdownNotice,
+    TimeoutNow,
+)
+from minthitch.mesh.raft.persistence import Persistence
+from minthitch.mesh.raft.placement import Location
+from minthitch.mesh.raft.reconfiguration import GroupPolicy, Reconfiguration
+from minthitch.mesh.raft.shutdown import GracefulShutdown
+from minthitch.mesh.raft.shutdown_state import ShutdownState
+
+Handler = Callable[[float, str, Any], None]
+
+
+class RaftNode:
+    """A member of the group, with pre-vote, check-quorum, leader lease, learners and leadership transfer.
+
+    It does no I/O and reads no clock. Time comes in as seconds of a steady clock, randomness as a seed.
+    Each method that takes an event returns the actions to carry out, in their order. What a message
+    promises (a vote, an entry that is stored) is durable before the message is sent.
+    """
+
+    # The parts of the algorithm. Tests replace them to plant faults.
+    follower_type: ClassVar[type[Follower]] = Follower
+    leader_type: ClassVar[type[Leader]] = Leader
+    election_type: ClassVar[type[Election]] = Election
+    transfer_type: ClassVar[type[LeadershipTransfer]] = LeadershipTransfer
+    shutdown_type: ClassVar[type[GracefulShutdown]] = GracefulShutdown
+    reconfiguration_type: ClassVar[type[Reconfiguration]] = Reconfiguration
+
+    def __init__(
+        self,
+        name: str,
+        persisted: PersistedState | None,
+        founders: tuple[str, ...],
+        timing: Timing,
+        seed: int,
+        now: float,
+        policy: GroupPolicy | None = None,
+    ) -> None:
+        """Start a member.
+
+        Args:
+            name: `address#incarnation`; a machine that lost its disk takes a new incarnation.
+            persisted: what its disk has; None at the first start.
+            founders: names of the first voters at the first start of a group; else empty.
+            timing: seconds between heartbeats, and of the election timeout.
+            seed: for the election timeouts.
+            now: seconds of the steady clock.
+            policy: size of the group and when a voter is replaced.
+        """
+        self._member = Member(name, persisted, founders, timing, seed)
+        self._shutdown_state = ShutdownState()
+        self.persistence = Persistence(self._member)
+        self.follower = self.follower_type(self._member, self.persistence, self._shutdown_state, now)
+        self.leader_state = self.leader_type(self._member, now)
+        self.transfer = self.transfer_type(self._member, self.leader_state, self._shutdown_state)
+        self.reconfiguration = self.reconfiguration_type(
+            self._member, self.leader_state, self.transfer, policy or GroupPolicy()
+        )
+        self.election = self.election_type(
+            self._member,
+            self.persistence,
+            self.follower,
+            self.leader_state,
+            self.reconfiguration,
+            self._shutdown_state,
+        )
+        self._shutdown = self.shutdown_type(
+            self._member, self.leader_state, self.transfer, self._shutdown_state, now
+        )
+        self._handlers: dict[type[Message], Handler] = {
+            PreVote: self.election.on_pre_vote,
+            PreVoteResponse: self.election.on_pre_vote_response,
+            RequestVote: self.election.on_request_vote,
+            RequestVoteResponse: self.election.on_request_vote_response,
+            TimeoutNow: self.election.on_timeout_now,
+            AppendEntries: self.follower.on_append_entries,
+            InstallSnapshot: self.follower.on_install_snapshot,
+            AppendEntriesResponse: self.leader_state.on_append_response,
+            InstallSnapshotResponse: self.leader_state.on_snapshot_response,
+            ForwardedJoin: self.reconfiguration.on_forwarded_join,
+            ShutdownNotice: self._shutdown.on_notice,
+        }
+        self._member.election_timer.reset(now)
+        self._member.update_role(now)
+        if persisted is not None and persisted.snapshot.index:
+            self._member.actions.append(Restore(persisted.snapshot.index, persisted.snapshot.data))
+
+    # State ----------------------------------------------------------------------------------------
+
+    @property
+    def name(self) -> str:
+        """This member's name, `address#incarnation`."""
+        return self._member.name
+
+    @property
+    def timing(self) -> Timing:
+        """Seconds between heartbeats, and of the election timeout."""
+        return self._member.timing
+
+    @property
+    def role(self) -> Role:
+        """What this member does now."""
+        return self._member.role
+
+    @property
+    def is_leader(self) -> bool:
+        """Whether this member leads its term. Another may lead a later one: see `has_lease`."""
+        return self._member.is_leader
+
+    @property
+    def leader(self) -> str | None:
+        """The leader's name, as far as known."""
+        return self._member.leader
+
+    @property
+    def term(self) -> int:
+        """The current term."""
+        return self._member.term
+
+    @property
+    def voted_for(self) -> str:
+        """For whom this member voted in its term; empty: nobody."""
+        return self._member.voted_for
+
+    @property
+    def log(self) -> Log:
+        """The log."""
+        return self._member.log
+
+    @property
+    def last_index(self) -> int:
+        """The index of the last entry."""
+        return self._member.log.last_index
+
+    @property
+    def voters(self) -> tuple[str, ...]:
+        """The newest voters, committed or not."""
+        return self._member.log.voters
+
+    @property
+    def commit_index(self) -> int:
+        """Entries up to this index are committed, as far as known."""
+        return self._member.commit_index
+
+    @property
+    def last_applied(self) -> int:
+        """Entries up to this index were given out as `Apply` or in `Restore`."""
+        return self._member.last_applied
+
+    @property
+    def disk_healthy(self) -> bool:
+        """As the caller reported last."""
+        return self._member.disk_healthy
+
+    @property
+    def locations(self) -> dict[str, Location]:
+        """Zones and regions by address; the caller adds them as it learns them."""
+        return self.reconfiguration.locations
+
+    @property
+    def has_committed_in_term(self) -> bool:
+        """As leader: an entry of its own term is committed, so it knows everything that ever was."""
+        return self.is_leader and self.commit_index >= self.leader_state.noop_index
+
+    @property
+    def is_shutting_down(self) -> bool:
+        """`begin_shutdown` was called."""
+        return self._shutdown_state.started_at is not None
+
+    def in_contact_with_quorum(self, now: float) -> bool:
+        """Whether this member leads a majority that answers, or has lately heard from such a leader."""
+        if self.is_leader:
+            return self.leader_state.in_contact_with_quorum(now)
+        return self.follower.in_contact_with_quorum(now)
+
+    def has_lease(self, now: float) -> bool:
+        """Whether this member is surely the only leader and may answer reads alone (dissertation, 6.4.1)."""
+        return self.is_leader and not self.transfer.successor_notified and self.leader_state.has_lease(now)
+
+    # Events ---------------------------------------------------------------------------------------
+
+    def tick(self, now: float) -> list[Action]:
+        """Time has passed. Call it about every 20 ms."""
+        if self.is_leader:
+            self._tick_leader(now)
+        else:
+            self._shutdown.tick_follower(now)
+            self.election.tick(now)
+        return self._finish()
+
+    def _tick_leader(self, now: float) -> None:
+        if self.leader_state.has_lost_quorum(now) or self.transfer.continue_transfer(now):
+            self._member.become_follower(now, self.term, None)
+            return
+        self.leader_state.tick(now)
+        self.reconfiguration.tick(now)
+
+    def receive(self, now: float, source: str, message: Message) -> list[Action]:
+        """A message from `source` has come."""
+        handler = self._handlers.get(type(message))
+        if handler is not None and source != self.name:
+            handler(now, source, message)
+        return self._finish()
+
+    def propose(self, now: float, data: bytes) -> tuple[int, int] | None:
+        """Append a command as leader.
+
+        Its actions are given by the next `drain`.
+
+        Returns:
+            Index and term of its entry, which is committed only if an entry of that term is applied at that
+            index. None where this member does not lead or hands leadership over.
+        """
+        if not self.is_leader or self.transfer.started_at is not None:
+            return None
+        entry = self._member.append(DATA, data)
+        self.leader_state.replicate_to_all(now)
+        self.persistence.flush()
+        return entry.index, entry.term
+
+    def drain(self) -> list[Action]:
+        """The actions that were asked for since they were last given out."""
+        actions = self._member.actions
+        self._member.actions = []
+        return actions
+
+    def persisted(self, now: float, write_id: int) -> list[Action]:
+        """The write of that id is durable."""
+        if self.persistence.write_finished(write_id):
+            self.election.on_write_finished(now, write_id)
+            if self.is_leader:
+                self.leader_state.update_commit_index(now)
+            elif self.follower.acknowledgement_due:
+                self.follower.acknowledge()
+        return self._finish()
+
+    def set_disk_health(self, now: float, healthy: bool) -> list[Action]:
+        """The disk hangs or refuses writes, or works again."""
+        self.transfer.on_disk_health(now, healthy)
+        return self._finish()
+
+    def begin_shutdown(self, now: float) -> list[Action]:
+        """This process is to end. Go on with the other events until `may_end`."""
+        self._shutdown.begin(now)
+        return self._finish()
+
+    def may_end(self, now: float) -> bool:
+        """Whether the process may end after `begin_shutdown` without losing what only this member has."""
+        return self._shutdown.may_end(now)
+
+    def compact(self, index: int, data: bytes) -> list[Action]:
+        """A snapshot of the state machine as of the applied `index`: drop the log up to it."""
+        log = self._member.log
+        if log.snapshot.index < index <= self.last_applied:
+            log.compact(Snapshot(index, log.term_at(index), log.voters_at(index), data))
+            self.persistence.flush()
+        return self.drain()
+
+    def add_learner(self, now: float, name: str) -> list[Action]:
+        """`name` asks to join: as leader, replicate to it, and make it a voter once one is wanted."""
+        self.reconfiguration.add_learner(now, name)
+        return self._finish()
+
+    def _finish(self) -> list[Action]:
+        self.persistence.flush()
+        return self.drain()
--- /dev/null
+++ b/minthitch/mesh/raft/progress.py
@@ -0,0 +1,68 @@
+"""What a leader knows of one peer that it replicates to."""
+
+from __future__ import annotations
+
+from minthitch.mesh.raft.snapshot_transfer import OutgoingSnapshot
+
+MAX_INFLIGHT = 4  # messages with entries that may be unacknowledged by one peer; later entries are batched
+NEVER = float("-inf")
+
+
+class Progress:
+    """Times are seconds of the leader's steady clock.
+
+    `acknowledged_sent_at` is when the newest message was sent that the peer has answered.
+    """
+
+    __slots__ = (
+        "name",
+        "match_index",
+        "next_index",
+        "last_response_at",
+        "acknowledged_sent_at",
+        "inflight",
+        "outgoing_snapshot",
+        "asked_to_join_at",
+        "caught_up",
+        "shutdown_notice_at",
+        "_ignore_rejections_before",
+    )
+
+    def __init__(self, name: str, next_index: int, now: float) -> None:
+        self.name = name
+        self.match_index = 0
+        self.next_index = next_index
+        self.last_response_at = now  # a new leader gives every peer time to answer
+        self.acknowledged_sent_at = NEVER  # a lease needs answers to the leader's own messages
+        self.inflight: list[int] = []  # last index of each message with entries that is not acknowledged
+        self.outgoing_snapshot: OutgoingSnapshot | None = None  # finished even if there is a newer one
+        self.asked_to_join_at = NEVER
+        self.caught_up = False  # had every committed entry at some moment
+        self.shutdown_notice_at = NEVER
+        self._ignore_rejections_before = 0  # sequence number; earlier messages were sent before a reset
+
+    def accepted(self, match_index: int) -> None:
+        """The peer has stored all entries up to `match_index`."""
+        self.match_index = max(self.match_index, match_index)
+        self.next_index = max(self.next_index, self.match_index + 1)
+        self.inflight = [last for last in self.inflight if last > self.match_index]
+        snapshot = self.outgoing_snapshot
+        if snapshot is not None and self.match_index >= snapshot.id.last_index:
+            self.outgoing_snapshot = None
+
+    def rejected(self, hint: int, sequence: int, next_sequence: int) -> bool:
+        """The peer lacks the entry before those sent; `hint` is where to go on.
+
+        False for an outdated rejection.
+        """
+        if sequence < self._ignore_rejections_before or self.outgoing_snapshot is not None:
+            return False
+        self.next_index = max(self.match_index + 1, min(hint, self.next_index))
+        self.inflight.clear()
+        self._ignore_rejections_before = next_sequence
+        return True
+
+
+def reached_by_majority(values: list[float]) -> float:
+    """The highest value that more than half of `values` reach."""
+    return sorted(values, reverse=True)[len(values) // 2]
--- a/minthitch/mesh/raft/reconfiguration.py
+++ b/minthitch/mesh/raft/reconfiguration.py
@@ -1,110 +1,174 @@
-"""A leader changes the voters, one at a time; `membership` says which change is due."""
+"""Changes of the voters by a leader, one at a time. `membership` tells which change is due."""
 
 from __future__ import annotations
 
-from minthitch.mesh.raft.log import pack_members
-from minthitch.mesh.raft.membership import View, preference, surplus, table_for, without_silent
-from minthitch.mesh.raft.messages import MEMBERS
-from minthitch.mesh.raft.peers import Peer
-from minthitch.mesh.raft.replication import Replication
-from minthitch.mesh.raft.state import LEADER
-
-JOIN_S = 5.0  # a learner that has neither knocked nor answered for so long is fed no more
-LIVELY_S = 1.0  # a member that answered within this counts as well when a change of voters is weighed
-
-
-class Reconfiguration(Replication):
-    """Learners that ask to be taken in, voters that are gone or badly placed."""
-
-    def _committed(self, now: float, before: int) -> None:
-        """The next change of voters follows at once; all else waits for the tick."""
-        if before < self.log.table_index <= self.commit:
-            self._change_voters(now)
+from msgspec import Struct
+
+from minthitch.mesh.raft.leader import Leader
+from minthitch.mesh.raft.leadership_transfer import LeadershipTransfer
+from minthitch.mesh.raft.log import MEMBERS, pack_members
+from minthitch.mesh.raft.member import Member
+from minthitch.mesh.raft.membership import (
+    Voters,
+    VoterView,
+    learner_preference,
+    voters_adding,
+    voters_without_surplus,
+    voters_without_unresponsive,
+)
+from minthitch.mesh.raft.messages import ForwardedJoin
+from minthitch.mesh.raft.placement import Location, Tolerated
+from minthitch.mesh.raft.progress import Progress
+
+UNRESPONSIVE_AFTER_S = 1.5  # a voter without an answer for so long may be replaced by a learner
+LEARNER_TIMEOUT_S = 5.0  # a learner that neither asks to join nor answers is no longer replicated to
+RESPONSIVE_WITHIN_S = 1.0  # a member that answered within this counts as working in a change of voters
+
+
+class GroupPolicy(Struct):
+    """How large the group shall be, when a voter counts as failed (seconds), which losses to tolerate."""
+
+    target_size: int = 3
+    unresponsive_after_s: float = UNRESPONSIVE_AFTER_S
+    tolerated: Tolerated = Tolerated()
+
+
+class Reconfiguration:
+    """Adds learners that ask to join, and replaces voters that have failed or are badly placed."""
+
+    def __init__(
+        self, member: Member, leader: Leader, transfer: LeadershipTransfer, policy: GroupPolicy
+    ) -> None:
+        self._member = member
+        self._leader = leader
+        self._transfer = transfer
+        self.policy = policy
+        self.locations: dict[str, Location] = {}  # by address; the caller adds them as it learns them
+        leader.commit_listener = self._on_commit
+
+    def tick(self, now: float) -> None:
+        """As leader: give up learners that are gone, and make the change that is due."""
+        self._drop_learners(now)
+        self.change_voters(now)
+
+    def _on_commit(self, now: float, previous: int) -> None:
+        """Follow a committed change of voters by the next one at once; all else waits for the tick."""
+        if previous < self._member.log.voters_index <= self._member.commit_index:
+            self.change_voters(now)
 
     def _drop_learners(self, now: float) -> None:
-        """Feed no more those that neither ask to be taken in nor answer."""
-        for peer in list(self.peers.values()):
-            if peer.name not in self.log.voters and now - max(peer.asked_to_join, peer.heard) > JOIN_S:
-                del self.peers[peer.name]
-
-    def _add_learner(self, now: float, who: str) -> None:
-        """`who` asks to be taken in."""
-        if self.role != LEADER or who == self.me:
+        peers = self._leader.peers
+        for progress in list(peers.values()):
+            last_sign = max(progress.asked_to_join_at, progress.last_response_at)
+            if progress.name not in self._member.log.voters and now - last_sign > LEARNER_TIMEOUT_S:
+                del peers[progress.name]
+
+    def add_learner(self, now: float, name: str) -> None:
+        """`name` asks to join: as leader, replicate to it."""
+        member = self._member
+        if not member.is_leader or name == member.name:
             return
-        peer = self.peers.get(who)
-        if peer is None:
-            peer = self.peers[who] = Peer(who, self.log.last + 1, now)
-            self._replicate(peer, now, beat=True)
-        peer.asked_to_join = now
-
-    def _on_join(self, now: float, src: str, who: str) -> None:
-        if src in self.log.voters and who not in self.log.voters:
-            self._add_learner(now, who)
-
-    def _change_voters(self, now: float) -> None:
-        """Change the voters by one, if a learner waits and `membership` finds a step that is due.
-
-        A machine that lost its disk comes back under a new name. Its old name is taken out, and only once
-        that is agreed is the new one added. Both in one step would not be safe: of {A, B, C0} the old name
-        may have helped A up with a vote in a newer term before its disk was lost, while B, which has not
-        heard of that, swaps in C1 and commits with it alone; A, led up by {A, C0}, knows nothing of this,
-        for the two majorities have no node in common. Between tables that differ by one voter any two
-        majorities have one. The step by {A, B} costs nothing: with C0 gone, both are needed anyway.
+        progress = self._leader.peers.get(name)
+        if progress is None:
+            progress = self._leader.peers[name] = Progress(name, member.log.last_index + 1, now)
+            self._leader.replicate(progress, now, heartbeat=True)
+        progress.asked_to_join_at = now
+
+    def on_forwarded_join(self, now: float, source: str, message: ForwardedJoin) -> None:
+        """A voter was asked for a pre-vote by a member that is no voter any more."""
+        voters = self._member.log.voters
+        if source in voters and message.member not in voters:
+            self.add_learner(now, message.member)
+
+    def change_voters(self, now: float) -> None:
+        """Change the voters by one, if `membership` finds a step that is due.
+
+        A machine that lost its disk comes back under a new name. Its old name is removed, and only once
+        that is committed is the new one added. Both in one step would not be safe: of {A, B, C0} the old
+        name may have voted for A in a newer term before its disk was lost, while B, which has not heard of
+        that, swaps in C1 and commits with it alone; A, elected by {A, C0}, knows nothing of this, for the
+        two majorities have no member in common. Between groups that differ by one voter any two majorities
+        have one. The step by {A, B} costs nothing: with C0 gone, both are needed anyway.
         """
-        if (
-            self.role != LEADER
-            or self.transfer_since is not None
-            or self.commit < self.noop
-            or self.log.table_index > self.commit
-        ):
-            return  # a change is under way, or an older leader's may be, which only the own first entry shows
-        waiting = [peer for peer in self.peers.values() if self._may_be_added(peer, now)]
-        count = len(self.log.voters)
-        if not waiting and count % 2 and count <= self.voters_wanted:
+        if not self._may_change_voters():
             return
-        view = self._view(now)
-        table = surplus(view)
-        if table is not None:
-            self._append_voters(now, table)
+        learners = [progress for progress in self._leader.peers.values() if self._may_be_added(progress, now)]
+        size = len(self._member.log.voters)
+        if not learners and size % 2 and size <= self.policy.target_size:
             return
-        waiting.sort(key=lambda peer: (peer.match, peer.name), reverse=True)
-        waiting.sort(key=lambda peer: preference(view, peer.name))
-        tables = [self._table_for(peer, now) for peer in waiting]
-        table = next((table for table in (*tables, without_silent(view)) if table is not None), None)
-        if table is not None:
-            self._append_voters(now, table)
-
-    def _may_be_added(self, peer: Peer, now: float) -> bool:
-        """A learner that holds what is committed, answers, and asks to be taken in."""
+        voters = self._due_change(now, learners)
+        if voters is not None:
+            self._append_voters(now, voters)
+
+    def _may_change_voters(self) -> bool:
+        """No change is under way. One of an earlier leader may be until the first own entry is committed."""
+        member = self._member
         return (
-            peer.caught
-            and peer.outgoing is None
-            and peer.name not in self.log.voters
-            and now - peer.heard <= LIVELY_S
-            and now - peer.asked_to_join <= JOIN_S
+            member.is_leader
+            and self._transfer.started_at is None
+            and member.commit_index >= self._leader.noop_index
+            and member.log.voters_index <= member.commit_index
         )
 
-    def _view(self, now: float) -> View:
-        # Those that lag most first.
-        voters = tuple(sorted(self.log.voters, key=self._progress))
-        heard = {who: now if who == self.me else self.peers[who].heard for who in voters}
-        silent = sorted((who for who in voters if now - heard[who] > self.gone_after), key=heard.__getitem__)
-        # An answer to one of this leader's own messages: at first all of them count as just heard.
-        lively = frozenset(who for who in voters if who == self.me or now - self.peers[who].stamp <= LIVELY_S)
-        return View(
-            self.me, voters, lively, tuple(silent), self.voters_wanted, self.tolerated, self.locations
+    def _due_change(self, now: float, learners: list[Progress]) -> Voters | None:
+        view = self._view(now)
+        voters = voters_without_surplus(view)
+        if voters is not None:
+            return voters
+        learners.sort(key=lambda progress: (progress.match_index, progress.name), reverse=True)
+        learners.sort(key=lambda progress: learner_preference(view, progress.name))
+        for learner in learners:
+            voters = self.voters_adding(view, learner.name)
+            if voters is not None:
+                return voters
+        return voters_without_unresponsive(view)
+
+    def voters_adding(self, view: VoterView, learner: str) -> Voters | None:
+        """See `membership.voters_adding`."""
+        return voters_adding(view, learner)
+
+    def _may_be_added(self, progress: Progress, now: float) -> bool:
+        """A learner that has every committed entry, answers, and asks to join."""
+        return (
+            progress.caught_up
+            and progress.outgoing_snapshot is None
+            and progress.name not in self._member.log.voters
+            and now - progress.last_response_at <= RESPONSIVE_WITHIN_S
+            and now - progress.asked_to_join_at <= LEARNER_TIMEOUT_S
         )
 
-    def _progress(self, who: str) -> int:
-        return self.log.last if who == self.me else self.peers[who].match
-
-    def _table_for(self, peer: Peer, now: float) -> tuple[str, ...] | None:
-        return table_for(self._view(now), peer.name)
+    def _view(self, now: float) -> VoterView:
+        name, peers = self._member.name, self._leader.peers
+        voters = tuple(sorted(self._member.log.voters, key=self._match_index))
+        last_response = {voter: now if voter == name else peers[voter].last_response_at for voter in voters}
+        unresponsive = [
+            voter for voter in voters if now - last_response[voter] > self.policy.unresponsive_after_s
+        ]
+        # Answers to this leader's own messages: at first all of them count as having just responded.
+        responsive = frozenset(
+            voter
+            for voter in voters
+            if voter == name or now - peers[voter].acknowledged_sent_at <= RESPONSIVE_WITHIN_S
+        )
+        return VoterView(
+            leader=name,
+            voters=voters,
+            responsive=responsive,
+            unresponsive=tuple(sorted(unresponsive, key=last_response.__getitem__)),
+            target_size=self.policy.target_size,
+            tolerated=self.policy.tolerated,
+            locations=self.locations,
+        )
 
-    def _append_voters(self, now: float, table: tuple[str, ...]) -> None:
-        out = set(self.log.voters) - set(table)
-        self._append(MEMBERS, pack_members(table))
-        for name in out:
-            del self.peers[name]
-        self._replicate_all(now)
-        self._count(now)
+    def _match_index(self, voter: str) -> int:
+        if voter == self._member.name:
+            return self._member.log.last_index
+        return self._leader.peers[voter].match_index
+
+    def _append_voters(self, now: float, voters: Voters) -> None:
+        removed = set(self._member.log.voters) - set(voters)
+        self._member.append(MEMBERS, pack_members(voters))
+        for name in removed:
+            del self._leader.peers[name]
+        self._leader.replicate_to_all(now)
+        self._leader.update_commit_index(now)
--- a/minthitch/mesh/storage/__init__.py
+++ b/minthitch/mesh/storage/__init__.py
@@ -1,1 +1,1 @@
-"""What a control node keeps on its disk: term, vote, log and image, in LMDB, with checksums of its own."""
+"""Durable state of a control node: term, vote, log and snapshot, in one LMDB file with checksums."""
--- a/minthitch/mesh/storage/store.py
+++ b/minthitch/mesh/storage/store.py
@@ -1,213 +1,189 @@
-"""The file of a control node: one LMDB table, every record under a checksum.
+"""The data folder of a control node: opened and checked at the start, then written in transactions.
 
-    h            header: format, name, generation, LMDB's transaction, term, vote, image's place, last index
-    l + index    an entry (8 bytes, big endian)
-    i + number   a piece of the image (4 bytes, big endian)
-
-Each value is CRC32 of key and body (4 bytes), then the body in msgpack. A commit of LMDB syncs its pages
-and then its meta page. So a loss of power can tear only the newest meta page, of a commit nobody was told
-of; the one before is whole and holds all that was acknowledged.
+A commit of LMDB syncs its pages and then its meta page. So a loss of power can tear only the newest meta
+page, of a commit that was not reported; the one before is complete and has everything that was
+acknowledged.
 """
 
 from __future__ import annotations
 
-import contextlib
-import errno
 import os
-import zlib
 from enum import Enum
 from typing import Any
 
 import lmdb
 import msgpack
 
-from minthitch.mesh.raft.messages import Entry, Persist, Saved
-from minthitch.mesh.storage import meta
-
-MARK, FORMAT = "minthitch store", 1
-HEAD, LOG, SNAPSHOT = b"h", b"l", b"i"
-IMAGE_PIECE = 16 * 1024  # bytes: a value needs free pages in a row, and in time there are only short rows
-RESERVE_PART = 4  # part of the file's bound that is left for a snapshot once the log has filled it
-SETTLE = 2  # further commits after which LMDB uses the pages that a commit has freed
-
-
-class Kind(Enum):
+from minthitch.mesh.raft.actions import PersistedState, Persist
+from minthitch.mesh.raft.log import Snapshot
+from minthitch.mesh.storage import lmdb_meta
+from minthitch.mesh.storage.errors import (
+    StoreCorruptedError,
+    StoreUnavailableError,
+    storage_errors,
+)
+from minthitch.mesh.storage.records import (
+    CHUNK_BYTES,
+    FORMAT_NAME,
+    FORMAT_VERSION,
+    HEADER_KEY,
+    LOG_PREFIX,
+    Header,
+    checksummed,
+    chunk_count,
+    chunk_key,
+    log_key,
+    pack_entry,
+    read_entries,
+    read_snapshot,
+    verified,
+)
+
+FILE_NAME = "data.mdb"
+# this part of the file's limit is reserved for a snapshot once the log has filled the file
+RESERVE_DIVISOR = 4
+REUSE_COMMITS = 2  # further commits after which LMDB reuses the pages that a commit has freed
+FIRST_PAGES_BYTES = 4 * 4096
+
+
+class Condition(Enum):
     """What was found in the folder."""
 
-    WHOLE = "whole"
+    INTACT = "intact"
     EMPTY = "empty"
-    TORN = "torn"  # something acknowledged may be missing: this disk has to be taken for lost
-    FOREIGN = "foreign"  # no file of ours
-    NEWER = "newer"  # a later version's: leave it alone
-
-
-class StoreFull(Exception):  # noqa: N818
-    """The disk or the map is full, or refuses for now. Nothing counts as written; write the same again."""
-
-
-class StoreBroken(Exception):  # noqa: N818
-    """The file is not what was written. This disk has to be taken for lost."""
-
-
-class Header:
-    """The record that says what else has to be there."""
-
-    __slots__ = (
-        "name",
-        "generation",
-        "txn",
-        "term",
-        "vote",
-        "members",
-        "snap_index",
-        "snap_term",
-        "snap_size",
-        "last",
-    )
-
-    def __init__(self, name: str) -> None:
-        self.name = name
-        self.generation = self.txn = self.term = 0
-        self.vote = ""
-        self.members: tuple[str, ...] = ()
-        self.snap_index = self.snap_term = self.snap_size = self.last = 0
-
-    def pack(self) -> bytes:
-        fields = [MARK, FORMAT, *(getattr(self, slot) for slot in self.__slots__)]
-        return bytes(msgpack.packb(fields))
-
-    @classmethod
-    def unpack(cls, fields: list[Any]) -> Header:
-        header = cls("")
-        for slot, value in zip(cls.__slots__, fields[2:], strict=True):
-            setattr(header, slot, value)
-        header.members = tuple(header.members)
-        return header
-
-
-def seal(key: bytes, body: bytes) -> bytes:
-    return zlib.crc32(body, zlib.crc32(key)).to_bytes(4, "little") + body
-
-
-def unseal(key: bytes, value: bytes | None) -> bytes:
-    """The body; StoreBroken where the record is absent or damaged."""
-    if value is None or zlib.crc32(value[4:], zlib.crc32(key)) != int.from_bytes(value[:4], "little"):
-        raise StoreBroken(f"record {key.hex()}")
-    return value[4:]
-
-
-def log_key(index: int) -> bytes:
-    return LOG + index.to_bytes(8, "big")
-
-
-def image_key(number: int) -> bytes:
-    return SNAPSHOT + number.to_bytes(4, "big")
+    TORN = "torn"  # something acknowledged may be missing: this disk has to be treated as lost
+    FOREIGN = "foreign"  # a file of another program
+    NEWER = "newer"  # a file of a later version: it must not be changed
 
 
 class Store:
-    """What a control node keeps in the folder `path`, in at most `map_bytes`. Not for two threads at once.
+    """The folder `path`, in at most `map_bytes`. To be used by one thread at a time.
 
-    `kind` says what was found. Only WHOLE has something to load; EMPTY and TORN want `begin` with a new name.
+    `condition` tells what was found. Only INTACT can be loaded; EMPTY and TORN need `initialize` with a new
+    name.
     """
 
     def __init__(self, path: str, map_bytes: int) -> None:
-        self.path, self.map_bytes = path, map_bytes
-        self.file = os.path.join(path, "data.mdb")
-        self.env: Any = None
+        self.path = path
+        self.map_bytes = map_bytes
+        self.file = os.path.join(path, FILE_NAME)
         self.header = Header("")
-        self.kind = Kind.EMPTY
+        self._environment: Any = None
         os.makedirs(path, exist_ok=True)
-        self.kind = self._find()
+        self.condition = self._open_existing()
 
     @property
     def incarnation(self) -> str:
-        """The name this disk was begun with; empty where there is none."""
-        return self.header.name
+        """The name with which this disk was initialized; empty where it was not."""
+        return self.header.incarnation
+
+    def initialize(self, incarnation: str) -> None:
+        """Start over under a new name. A file of another program is moved aside, one of ours is deleted.
 
-    def begin(self, incarnation: str) -> None:
-        """Start over under a new name. A file that is not ours is moved aside, ours is erased."""
+        Raises:
+            StoreUnavailableError: the disk refuses.
+        """
         self.close()
         if os.path.exists(self.file):
-            if self.kind in (Kind.FOREIGN, Kind.NEWER):
+            if self.condition in (Condition.FOREIGN, Condition.NEWER):
                 os.replace(self.file, self.file + ".aside")
             else:
                 os.remove(self.file)
-        # Without this the old file could be back after a loss of power, and with it votes under its old name.
-        # The old name is never used again once the new one is known, so it would be found out, but late.
+        # Without this sync the old file, and votes under its old name, could be back after a loss of power.
         self._sync_folder()
         self.header = Header(incarnation)
-        with guarded():
+        with storage_errors():
             self._open()
-            self._commit(self.header, [])
+            self._commit(self.header, None)
             self._sync_folder()
-        self.kind = Kind.WHOLE
+        self.condition = Condition.INTACT
 
-    def load(self) -> Saved | None:
-        """What is kept; None where there is nothing to go on from."""
-        if self.kind is not Kind.WHOLE:
+    def load(self) -> PersistedState | None:
+        """What is stored; None where there is nothing to go on from.
+
+        Raises:
+            StoreCorruptedError: it can't be read any more.
+        """
+        if self.condition is not Condition.INTACT:
             return None
         header = self.header
         if header.generation <= 1:
-            return None  # begun, and nothing decided since
-        with guarded(reading=True), self.env.begin() as txn:
-            snapshot = self._image(txn, header)
-            entries = self._entries(txn, header)
-        return Saved(
-            header.term, header.vote, header.members, header.snap_index, header.snap_term, snapshot, entries
-        )
+            return None  # initialized, and nothing written since
+        with storage_errors(reading=True), self._environment.begin() as transaction:
+            snapshot = read_snapshot(transaction, header)
+            entries = read_entries(transaction, header)
+        return PersistedState(header.term, header.voted_for, snapshot, entries)
 
     def write(self, persist: Persist) -> None:
-        """All of `persist`, or nothing (StoreFull), durable on return."""
-        header = Header.unpack([MARK, FORMAT, *(getattr(self.header, s) for s in Header.__slots__)])
-        header.term, header.vote = persist.term, persist.vote
-        if persist.truncate:
-            header.last = min(header.last, persist.truncate - 1)
+        """Write all of `persist`, durable on return.
+
+        Raises:
+            StoreUnavailableError: nothing was written.
+            StoreCorruptedError: the file is damaged.
+        """
+        header = self.header.copy()
+        header.term = persist.term
+        header.voted_for = persist.voted_for
+        if persist.truncate_from:
+            header.last_index = min(header.last_index, persist.truncate_from - 1)
         if persist.entries:
-            header.last = persist.entries[-1].index
+            header.last_index = persist.entries[-1].index
         if persist.snapshot is not None:
-            header.snap_index, header.snap_term, header.members, data = persist.snapshot
-            header.snap_size = len(data)
-            header.last = max(header.last, header.snap_index)
-        with guarded():
-            self._commit(header, [persist])
-
-    def write_in_reserve(self, persist: Persist) -> None:
-        """The same in a file that is full to its bound, for what makes room in it (StoreFull, as `write`)."""
-        with guarded():
-            if self.env is not None:
-                self.env.set_mapsize(self.map_bytes + self.map_bytes // RESERVE_PART)
-        self.write(persist)
-        header = self.header
-        for _ in range(SETTLE):
-            self.write(Persist(0, header.term, header.vote, 0, (), None))
-        with guarded():
-            self.env.set_mapsize(self.map_bytes)  # or, for LMDB, what is in use now, where that is more
+            header.snapshot_index = persist.snapshot.index
+            header.snapshot_term = persist.snapshot.term
+            header.voters = persist.snapshot.voters
+            header.snapshot_size = len(persist.snapshot.data)
+            header.last_index = max(header.last_index, header.snapshot_index)
+        with storage_errors():
+            self._commit(header, persist)
+
+    def write_snapshot_in_reserve(self, snapshot: Snapshot) -> None:
+        """Write a snapshot into a file that is full to its limit, so that it drops entries of the log.
+
+        Raises:
+            StoreUnavailableError, StoreCorruptedError: as for `write`.
+        """
+        with storage_errors():
+            if self._environment is not None:
+                self._environment.set_mapsize(self.map_bytes + self.map_bytes // RESERVE_DIVISOR)
+        self.write(Persist(0, self.header.term, self.header.voted_for, 0, (), snapshot))
+        for _ in range(REUSE_COMMITS):
+            self.write(Persist(0, self.header.term, self.header.voted_for, 0, (), None))
+        with storage_errors():
+            self._environment.set_mapsize(self.map_bytes)  # LMDB keeps more where more is in use now
 
     def close(self) -> None:
-        if self.env is not None:
-            self.env.close()
-            self.env = None
+        """Release the file."""
+        if self._environment is not None:
+            self._environment.close()
+            self._environment = None
 
     def reopen(self) -> None:
-        """After a failed write LMDB wants a new start. StoreBroken where the file is not as it was left."""
+        """Open the file again, as LMDB requires after a failed write.
+
+        Raises:
+            StoreCorruptedError: the file is not as it was left.
+            StoreUnavailableError, OSError: it can't be read now.
+        """
         before = self.header
         self.close()
         try:
-            kind, now = self._find(), self.header
-        except (OSError, StoreFull):
+            condition = self._open_existing()
+        except (OSError, StoreUnavailableError):
             self.close()
             self.header = before
             raise
-        if kind is not Kind.WHOLE or now.name != before.name:
-            raise StoreBroken("not to be opened again")
-        if now.generation not in (before.generation, before.generation + 1):
-            raise StoreBroken(f"generation {now.generation} after {before.generation}")
+        after = self.header
+        if condition is not Condition.INTACT or after.incarnation != before.incarnation:
+            raise StoreCorruptedError("the file can't be opened again")
+        if after.generation not in (before.generation, before.generation + 1):
+            raise StoreCorruptedError(f"generation {after.generation} after {before.generation}")
 
-    # --- writing ---
+    # Writing --------------------------------------------------------------------------------------
 
     def _open(self) -> None:
-        # The lock file is of no use where locks have no effect; one process has this folder.
-        self.env = lmdb.Environment(
+        # LMDB's lock file is not needed: one process uses this folder.
+        self._environment = lmdb.Environment(
             self.path,
             map_size=self.map_bytes,
             max_dbs=0,
@@ -220,176 +196,135 @@
         )
 
     def _sync_folder(self) -> None:
-        fd = os.open(self.path, os.O_RDONLY)
+        descriptor = os.open(self.path, os.O_RDONLY)
         try:
-            os.fsync(fd)
+            os.fsync(descriptor)
         finally:
-            os.close(fd)
-
-    def _commit(self, header: Header, persists: list[Persist]) -> None:
-        if self.env is None:
-            raise StoreFull("the file could not be opened again")
-        with self.env.begin(write=True) as txn:
-            for persist in persists:
-                self._put(txn, persist, self.header)
+            os.close(descriptor)
+
+    def _commit(self, header: Header, persist: Persist | None) -> None:
+        if self._environment is None:
+            raise StoreUnavailableError("the file could not be opened again")
+        with self._environment.begin(write=True) as transaction:
+            if persist is not None:
+                self._put(transaction, persist)
             header.generation = self.header.generation + 1
-            header.txn = txn.id()
-            txn.put(HEAD, seal(HEAD, header.pack()))
+            header.transaction_id = transaction.id()
+            transaction.put(HEADER_KEY, checksummed(HEADER_KEY, header.pack()))
         self.header = header
 
-    def _put(self, txn: Any, persist: Persist, old: Header) -> None:
-        if persist.truncate:
-            self._drop(txn, persist.truncate, old.last)
+    def _put(self, transaction: Any, persist: Persist) -> None:
+        previous = self.header
+        if persist.truncate_from:
+            _delete_entries(transaction, persist.truncate_from, previous.last_index)
         for entry in persist.entries:
             key = log_key(entry.index)
-            body = bytes(msgpack.packb((entry.term, entry.kind, entry.data)))
-            txn.put(key, seal(key, body))
+            transaction.put(key, checksummed(key, pack_entry(entry)))
         if persist.snapshot is not None:
-            index, _term, _voters, data = persist.snapshot
-            self._drop(txn, old.snap_index + 1, index)
-            self._put_image(txn, data, old.snap_size)
-
-    def _drop(self, txn: Any, first: int, last: int) -> None:
-        """Delete entries from `first` to `last`, as far as they are there."""
-        with txn.cursor() as cursor:
-            if not cursor.set_range(log_key(first)):
-                return
-            while LOG < cursor.key() <= log_key(last):
-                if not cursor.delete():
-                    return
-
-    def _put_image(self, txn: Any, data: bytes, old_size: int) -> None:
-        count = pieces(len(data))
-        for number in range(count, pieces(old_size)):
-            txn.delete(image_key(number))
-        for number in range(count):
-            key = image_key(number)
-            txn.put(key, seal(key, data[number * IMAGE_PIECE : (number + 1) * IMAGE_PIECE]))
-
-    # --- reading ---
-
-    def _find(self) -> Kind:
-        """Open what is there. A torn newest meta page is retired and the one before is tried, once."""
-        if not os.path.exists(self.file) or not self._begun():
-            return Kind.EMPTY
-        metas = meta.read(self.file)
+            _delete_entries(transaction, previous.snapshot_index + 1, persist.snapshot.index)
+            _put_snapshot(transaction, persist.snapshot.data, previous.snapshot_size)
+
+    # Opening --------------------------------------------------------------------------------------
+
+    def _open_existing(self) -> Condition:
+        """Open what is there. A torn newest meta page is invalidated and the one before is tried, once."""
+        if not os.path.exists(self.file) or not self._has_content():
+            return Condition.EMPTY
+        metas = lmdb_meta.read_meta_pages(self.file)
         if not metas:
-            return Kind.FOREIGN
-        if len(metas) == 1 and metas[0].txn > 1:
-            return Kind.TORN  # a page that once was whole is none at all any more
-        if not meta.sound(self.file, metas[0]):
-            return self._step_back(metas)
-        kind = self._judge()
-        # Where the header of that very commit is there, its meta page was whole and the damage is elsewhere:
-        # the commit may have been acknowledged, and what was before it would forget that.
-        torn = self.header.txn != metas[0].txn
-        if kind is Kind.WHOLE and metas[0].txn > 1 and meta.freed_by(self.file, metas[0]) != metas[0].txn:
-            kind, torn = Kind.TORN, True
-        if kind is Kind.TORN and torn:
-            return self._step_back(metas)
-        return kind
-
-    def _begun(self) -> bool:
-        """The first bytes were ever written: at a loss of power in the first commit, maybe none are left."""
-        with open(self.file, "rb") as f:
-            return any(f.read(4 * 4096))
-
-    def _step_back(self, metas: list[meta.Meta]) -> Kind:
+            return Condition.FOREIGN
+        newest = metas[0]
+        if len(metas) == 1 and newest.transaction_id > 1:
+            return Condition.TORN  # the other page was one, too, after so many commits
+        if not lmdb_meta.has_valid_roots(self.file, newest):
+            return self._open_previous(metas)
+        condition = self._open_and_check()
+        # Where the header of that very commit is found, its meta page is complete and the damage is
+        # elsewhere. The commit may have been acknowledged then, and the state before it would forget that.
+        meta_is_torn = self.header.transaction_id != newest.transaction_id
+        if condition is Condition.INTACT and self._has_older_root(newest):
+            condition = Condition.TORN
+            meta_is_torn = True
+        if condition is Condition.TORN and meta_is_torn:
+            return self._open_previous(metas)
+        return condition
+
+    def _has_older_root(self, newest: lmdb_meta.MetaPage) -> bool:
+        if newest.transaction_id <= 1:
+            return False
+        return lmdb_meta.last_freeing_transaction(self.file, newest) != newest.transaction_id
+
+    def _has_content(self) -> bool:
+        """Whether the first commit has written anything: a loss of power in it may leave a file of zeros."""
+        with open(self.file, "rb") as opened:
+            return any(opened.read(FIRST_PAGES_BYTES))
+
+    def _open_previous(self, metas: list[lmdb_meta.MetaPage]) -> Condition:
         self.close()
-        if len(metas) < 2 or metas[1].txn + 1 != metas[0].txn or not meta.sound(self.file, metas[1]):
-            return Kind.TORN
-        meta.retire(self.file, metas[0])
-        return self._judge()
-
-    def _judge(self) -> Kind:
+        if len(metas) < 2 or metas[1].transaction_id + 1 != metas[0].transaction_id:
+            return Condition.TORN
+        if not lmdb_meta.has_valid_roots(self.file, metas[1]):
+            return Condition.TORN
+        lmdb_meta.invalidate(self.file, metas[0])
+        return self._open_and_check()
+
+    def _open_and_check(self) -> Condition:
         self.header = Header("")
         try:
-            with guarded():
-                if self.env is None:
+            with storage_errors():
+                if self._environment is None:
                     self._open()
-            with guarded(reading=True):
-                return self._verify()
-        except StoreBroken:
-            return Kind.TORN
-
-    def _verify(self) -> Kind:
-        """Read everything once. StoreBroken where a record is damaged or absent."""
-        with self.env.begin() as txn:
-            value = txn.get(HEAD)
+            with storage_errors(reading=True):
+                return self._check()
+        except StoreCorruptedError:
+            return Condition.TORN
+
+    def _check(self) -> Condition:
+        """Read everything once.
+
+        Raises:
+            StoreCorruptedError: a record is missing or damaged.
+        """
+        with self._environment.begin() as transaction:
+            value = transaction.get(HEADER_KEY)
             if value is None:
-                return self._without_header(txn)
-            fields = msgpack.unpackb(unseal(HEAD, value))
-            if not isinstance(fields, list) or len(fields) < 2 or fields[0] != MARK:
-                return Kind.FOREIGN
-            if fields[1] != FORMAT:
-                return Kind.NEWER
+                return _condition_without_header(transaction)
+            fields = msgpack.unpackb(verified(HEADER_KEY, value))
+            if not isinstance(fields, list) or len(fields) < 2 or fields[0] != FORMAT_NAME:
+                return Condition.FOREIGN
+            if fields[1] != FORMAT_VERSION:
+                return Condition.NEWER
             self.header = Header.unpack(fields)
-            if self.header.txn != txn.id():
-                raise StoreBroken(f"header of {self.header.txn} in transaction {txn.id()}")
-            self._image(txn, self.header)
-            self._entries(txn, self.header)
-        return Kind.WHOLE
-
-    def _without_header(self, txn: Any) -> Kind:
-        if txn.stat()["entries"]:
-            return Kind.FOREIGN
-        return Kind.EMPTY if txn.id() <= 1 else Kind.TORN
-
-    def _image(self, txn: Any, header: Header) -> bytes:
-        keys = [image_key(number) for number in range(pieces(header.snap_size))]
-        data = b"".join([unseal(key, txn.get(key)) for key in keys])
-        if len(data) != header.snap_size:
-            raise StoreBroken("the image's length")
-        return data
-
-    def _entries(self, txn: Any, header: Header) -> tuple[Entry, ...]:
-        """Entries after the image up to the last, each there, and none besides."""
-        entries: list[Entry] = []
-        with txn.cursor() as cursor:
-            found = cursor.set_range(LOG)
-            while found and cursor.key()[:1] == LOG:
-                key = cursor.key()
-                index = header.snap_index + len(entries) + 1
-                if key != log_key(index):
-                    raise StoreBroken(f"entry {index} is absent")
-                term, kind, data = msgpack.unpackb(unseal(key, cursor.value()))
-                entries.append(Entry(index, term, kind, data))
-                found = cursor.next()
-        if header.snap_index + len(entries) != header.last:
-            raise StoreBroken(f"entries end before {header.last}")
-        return tuple(entries)
-
-
-def pieces(size: int) -> int:
-    return -(-size // IMAGE_PIECE)
-
-
-class guarded(contextlib.AbstractContextManager["guarded"]):  # noqa: N801
-    """LMDB's errors as ours. While `reading`, whatever LMDB stumbles over is damage."""
-
-    def __init__(self, reading: bool = False) -> None:
-        self.reading = reading
-
-    def __exit__(self, kind: Any, error: BaseException | None, trace: Any) -> None:
-        broken = (
-            lmdb.CorruptedError,
-            lmdb.PageNotFoundError,
-            lmdb.InvalidError,
-            lmdb.VersionMismatchError,
-            lmdb.IncompatibleError,
-        )
-        if isinstance(error, broken):
-            raise StoreBroken(str(error)) from error
-        if self.reading and isinstance(error, lmdb.Error) and not isinstance(error, lmdb.MemoryError):
-            raise StoreBroken(str(error)) from error
-        if isinstance(error, (lmdb.Error, OSError)):
-            raise StoreFull(str(error)) from error
-        if isinstance(error, (ValueError, msgpack.UnpackException, TypeError)):
-            raise StoreBroken(repr(error)) from error
-
-
-def no_space(error: BaseException) -> bool:
-    """The disk is full, and not merely unwilling."""
-    cause = error.__cause__
-    full = isinstance(cause, (lmdb.MapFullError, lmdb.DiskError))
-    return full or getattr(cause, "errno", 0) == errno.ENOSPC
+            if self.header.transaction_id != transaction.id():
+                raise StoreCorruptedError(
+                    f"header of transaction {self.header.transaction_id} in {transaction.id()}"
+                )
+            read_snapshot(transaction, self.header)
+            read_entries(transaction, self.header)
+        return Condition.INTACT
+
+
+def _condition_without_header(transaction: Any) -> Condition:
+    if transaction.stat()["entries"]:
+        return Condition.FOREIGN
+    return Condition.EMPTY if transaction.id() <= 1 else Condition.TORN
+
+
+def _delete_entries(transaction: Any, first: int, last: int) -> None:
+    """Delete the entries from `first` to `last` that exist."""
+    with transaction.cursor() as cursor:
+        if not cursor.set_range(log_key(first)):
+            return
+        while LOG_PREFIX < cursor.key() <= log_key(last):
+            if not cursor.delete():
+                return
+
+
+def _put_snapshot(transaction: Any, data: bytes, previous_size: int) -> None:
+    count = chunk_count(len(data))
+    for number in range(count, chunk_count(previous_size)):
+        transaction.delete(chunk_key(number))
+    for number in range(count):
+        key = chunk_key(number)
+        chunk = data[number * CHUNK_BYTES : (number + 1) * CHUNK_BYTES]
+        transaction.put(key, checksummed(key, chunk))
--- a/minthitch/mesh/storage/writer.py
+++ b/minthitch/mesh/storage/writer.py
@@ -1,4 +1,4 @@
-"""Writes of the store, off the thread that serves: a sync takes milliseconds, or hangs for seconds."""
+"""Writes of the store in a thread of their own: a sync takes milliseconds, or hangs for seconds."""
 
 from __future__ import annotations
 
@@ -7,110 +7,118 @@
 from collections import deque
 from collections.abc import Callable
 
-from minthitch.mesh.raft.messages import Persist
-from minthitch.mesh.storage.store import Store, StoreBroken, StoreFull
+from minthitch.mesh.raft.actions import Persist
+from minthitch.mesh.raft.log import Snapshot
+from minthitch.mesh.storage.errors import StoreCorruptedError, StoreUnavailableError
+from minthitch.mesh.storage.store import Store
 
-AGAIN_S = 0.2  # between tries of a write that the disk refused
-Relief = tuple[int, int, tuple[str, ...], bytes]  # a snapshot's index, term, voters and data
+RETRY_DELAY_S = 0.2  # between attempts of a write that the disk refuses
 
 
-class Writer(threading.Thread):
-    """Writes in the order given. `done(ticket)` and `trouble(reason, lost)` are called in this thread.
+class StorageWriter(threading.Thread):
+    """Writes in the order of submission.
 
-    Give callables that pass the word on with `loop.call_soon_threadsafe`. `lost` is true where the file is
-    broken: nothing is written any more, and the process has to end and come back as one with a lost disk.
+    `on_durable(write_id)` and `on_failure(reason, corrupted)` are called in this thread: give callables
+    that pass the call on with `loop.call_soon_threadsafe`. Where `corrupted` is true nothing is written any
+    more, and the process has to end and come back as one that lost its disk.
     """
 
     def __init__(
         self,
         store: Store,
-        done: Callable[[int], None],
-        trouble: Callable[[str, bool], None],
+        on_durable: Callable[[int], None],
+        on_failure: Callable[[str, bool], None],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         super().__init__(name="storage-writer", daemon=True)
-        self.store, self.done, self.trouble, self.clock = store, done, trouble, clock
-        self.queue: deque[Persist] = deque()
-        self.change = threading.Condition()
-        self.ending = False
-        # A snapshot that is written in front of a write that the disk refuses: it frees what the log takes.
-        # Danger: its index must not lie beyond what this disk already holds of the agreed log.
-        self.relief: Relief | None = None
-        self._since: float | None = None
+        self.store = store
+        # Written before a write that the disk refuses, to make space by dropping entries of the log. Its
+        # index must not be beyond what this disk already has of the committed log.
+        self.emergency_snapshot: Snapshot | None = None
+        self._on_durable = on_durable
+        self._on_failure = on_failure
+        self._clock = clock
+        self._queue: deque[Persist] = deque()
+        self._changed = threading.Condition()
+        self._stopping = False
+        self._pending_since: float | None = None
 
     @property
     def pending_since(self) -> float | None:
-        """When the write that is under way was begun (steady seconds); None where none is."""
-        return self._since
+        """When the write under way was begun (seconds of the steady clock); None where there is none."""
+        return self._pending_since
 
-    def put(self, persist: Persist) -> None:
-        with self.change:
-            if self._since is None:
-                self._since = self.clock()
-            self.queue.append(persist)
-            self.change.notify()
+    def submit(self, persist: Persist) -> None:
+        """Queue a write."""
+        with self._changed:
+            if self._pending_since is None:
+                self._pending_since = self._clock()
+            self._queue.append(persist)
+            self._changed.notify()
 
-    def end(self) -> None:
-        """Finish what is queued and stop; a write that is refused is given up."""
-        with self.change:
-            self.ending = True
-            self.change.notify()
+    def stop(self) -> None:
+        """Finish what is queued and end; a write that is refused is given up."""
+        with self._changed:
+            self._stopping = True
+            self._changed.notify()
 
     def run(self) -> None:
+        """The thread's work."""
         while True:
-            with self.change:
-                while not self.queue and not self.ending:
-                    self.change.wait()
-                if not self.queue:
+            with self._changed:
+                while not self._queue and not self._stopping:
+                    self._changed.wait()
+                if not self._queue:
                     return
-                persist = self.queue[0]
+                persist = self._queue[0]
             if not self._write(persist):
                 return
-            with self.change:
-                self.queue.popleft()
-                self._since = self.clock() if self.queue else None
-            self.done(persist.ticket)
+            with self._changed:
+                self._queue.popleft()
+                self._pending_since = self._clock() if self._queue else None
+            self._on_durable(persist.write_id)
 
     def _write(self, persist: Persist) -> bool:
-        """True once it is durable; False where it never will be."""
+        """True once the write is durable, False where it never will be."""
         while True:
             try:
                 self.store.write(persist)
-                return True
-            except StoreFull as error:
-                self.trouble(str(error), False)
-            except StoreBroken as error:
-                self.trouble(str(error), True)
+            except StoreUnavailableError as error:
+                self._on_failure(str(error), False)
+            except StoreCorruptedError as error:
+                self._on_failure(str(error), True)
                 return False
-            with self.change:
-                if self.ending or self.change.wait_for(lambda: self.ending, AGAIN_S):
+            else:
+                return True
+            with self._changed:
+                if self._stopping or self._changed.wait_for(lambda: self._stopping, RETRY_DELAY_S):
                     return False
-            if not self._reopened() or not self._relieved():
+            if not self._reopen() or not self._make_space():
                 return False
 
-    def _relieved(self) -> bool:
-        """Drops the log up to a newer snapshot, if one was given; False where the file is broken."""
-        relief, self.relief = self.relief, None
+    def _make_space(self) -> bool:
+        """Write the emergency snapshot, if one was given; False where the file is corrupted."""
+        snapshot, self.emergency_snapshot = self.emergency_snapshot, None
         header = self.store.header
-        if relief is None or not header.snap_index < relief[0] <= header.last:
+        if snapshot is None or not header.snapshot_index < snapshot.index <= header.last_index:
             return True
         try:
-            self.store.write_in_reserve(Persist(0, header.term, header.vote, 0, (), relief))
-        except StoreFull as error:
-            self.trouble(str(error), False)
-            return self._reopened()
-        except StoreBroken as error:
-            self.trouble(str(error), True)
+            self.store.write_snapshot_in_reserve(snapshot)
+        except StoreUnavailableError as error:
+            self._on_failure(str(error), False)
+            return self._reopen()
+        except StoreCorruptedError as error:
+            self._on_failure(str(error), True)
             return False
         return True
 
-    def _reopened(self) -> bool:
-        """LMDB takes no more writes after some failures, until it is opened anew."""
+    def _reopen(self) -> bool:
+        """Open the file again, as LMDB takes no more writes after some failures."""
         try:
             self.store.reopen()
-        except StoreBroken as error:
-            self.trouble(str(error), True)
+        except StoreCorruptedError as error:
+            self._on_failure(str(error), True)
             return False
-        except (OSError, StoreFull):
-            return True  # the disk still refuses: the next write will say so
+        except (OSError, StoreUnavailableError):
+            return True  # the disk still refuses, as the next write will report
         return True
--- a/rigs/simulation/ctl.py
+++ b/rigs/simulation/ctl.py
@@ -162,4 +162,4 @@
     if any(body in entry.data for entry in saved.entries):
         return True
     items = [json.dumps(item).encode() for rows in call.get("Upsert", {}).values() for item in rows]
-    return bool(items) and all(item in saved.snapshot for item in items)
+    return bool(items) and all(item in saved.snapshot.data for item in items)
--- a/rigs/simulation/disk.py
+++ b/rigs/simulation/disk.py
@@ -7,8 +7,10 @@
 
 import msgpack
 
-from minthitch.mesh.raft.messages import MEMBERS, Persist, Saved
-from minthitch.mesh.storage.store import Header, Kind
+from minthitch.mesh.raft.actions import Persist, PersistedState
+from minthitch.mesh.raft.log import EMPTY_SNAPSHOT, MEMBERS
+from minthitch.mesh.storage.records import Header
+from minthitch.mesh.storage.store import Condition
 from rigs.simulation.loop import Machine, VirtualLoop
 
 AGAIN = 0.2  # seconds between two tries of a write that is refused
@@ -20,8 +22,8 @@
     def __init__(self, sync: tuple[float, float]) -> None:
         self.sync = sync  # seconds of a write, from and to
         self.name = ""
-        self.saved: Saved | None = None
-        self.found = Kind.EMPTY  # what a start finds where nothing of ours is whole
+        self.saved: PersistedState | None = None
+        self.found = Condition.EMPTY  # what a start finds where nothing of ours is whole
         self.hung = self.full = False
 
     @property
@@ -30,53 +32,54 @@
         if self.saved is None:
             return ()
         tables = [entry.data for entry in self.saved.entries if entry.kind == MEMBERS]
-        return tuple(msgpack.unpackb(tables[-1])) if tables else self.saved.members
+        return tuple(msgpack.unpackb(tables[-1])) if tables else self.saved.snapshot.voters
 
     def write(self, persist: Persist) -> None:
-        old = self.saved or Saved(0, "", (), 0, 0, b"", ())
-        entries = {e.index: e for e in old.entries if not persist.truncate or e.index < persist.truncate}
+        old = self.saved or PersistedState(0, "", EMPTY_SNAPSHOT, ())
+        entries = {
+            e.index: e for e in old.entries if not persist.truncate_from or e.index < persist.truncate_from
+        }
         entries.update((e.index, e) for e in persist.entries)
-        place = (old.members, old.snap_index, old.snap_term, old.snapshot)
-        if persist.snapshot is not None:
-            index, term, voters, data = persist.snapshot
-            place = (voters, index, term, data)
-        kept = tuple(entries[i] for i in sorted(entries) if i > place[1])
-        if kept and [kept[0].index, kept[-1].index] != [place[1] + 1, place[1] + len(kept)]:
-            raise ValueError(f"a hole on the disk: {kept[0].index} to {kept[-1].index} after {place[1]}")
-        self.saved = Saved(persist.term, persist.vote, *place, kept)
-
-    def wipe(self, found: Kind = Kind.EMPTY) -> None:
+        snapshot = persist.snapshot or old.snapshot
+        kept = tuple(entries[i] for i in sorted(entries) if i > snapshot.index)
+        if kept and [kept[0].index, kept[-1].index] != [snapshot.index + 1, snapshot.index + len(kept)]:
+            raise ValueError(
+                f"a hole on the disk: {kept[0].index} to {kept[-1].index} after {snapshot.index}"
+            )
+        self.saved = PersistedState(persist.term, persist.voted_for, snapshot, kept)
+
+    def wipe(self, found: Condition = Condition.EMPTY) -> None:
         """Nothing is left, or what is left is torn or another's."""
         self.name, self.saved, self.found = "", None, found
 
 
 class SimStore:
-    """What Hall asks of a store."""
+    """What a control server asks of a store."""
 
     def __init__(self, disk: SimDisk) -> None:
         self.disk = disk
-        self.kind = Kind.WHOLE if disk.name else disk.found
+        self.condition = Condition.INTACT if disk.name else disk.found
         self.header = Header(disk.name)
         saved = disk.saved
         if saved is not None:
             self.header.term = saved.term
-            self.header.last = saved.entries[-1].index if saved.entries else saved.snap_index
+            self.header.last_index = saved.entries[-1].index if saved.entries else saved.snapshot.index
 
     @property
     def incarnation(self) -> str:
         return self.disk.name
 
-    def begin(self, incarnation: str) -> None:
+    def initialize(self, incarnation: str) -> None:
         self.disk.wipe()
         self.disk.name = incarnation
-        self.kind = Kind.WHOLE
+        self.condition = Condition.INTACT
 
-    def load(self) -> Saved | None:
+    def load(self) -> PersistedState | None:
         return self.disk.saved
 
 
 class SimWriter:
-    """What Hall asks of a writer: one write at a time, each told once it is synced."""
+    """What a control server asks of a writer: one write at a time, each told once it is synced."""
 
     def __init__(
         self,
@@ -101,12 +104,12 @@
     def start(self) -> None:
         pass
 
-    def put(self, persist: Persist) -> None:
+    def submit(self, persist: Persist) -> None:
         self.queue.append(persist)
         if len(self.queue) == 1:
             self._begin()
 
-    def end(self) -> None:
+    def stop(self) -> None:
         self.ending = True
 
     def _begin(self) -> None:
@@ -132,7 +135,7 @@
         self.since = None
         if self.queue:
             self._begin()
-        self.done(persist.ticket)
+        self.done(persist.write_id)
 
     def fall(self, lands: float) -> None:
         """The process ends, or power is lost: with chance `lands` a write under way has come to the disk.
--- a/rigs/simulation/faults.py
+++ b/rigs/simulation/faults.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from minthitch.mesh.storage.store import Kind
+from minthitch.mesh.storage.store import Condition
 from rigs.simulation.history import Event
 from rigs.simulation.mesh import GRACE, ControlNode, Site, SidecarNode
 
@@ -26,7 +26,12 @@
     last: float = 1.0
 
 
-LOSSES = {"wipe": Kind.EMPTY, "swap": Kind.EMPTY, "tear": Kind.TORN, "foreign": Kind.FOREIGN}  # of a disk
+LOSSES = {
+    "wipe": Condition.EMPTY,
+    "swap": Condition.EMPTY,
+    "tear": Condition.TORN,
+    "foreign": Condition.FOREIGN,
+}  # of a disk
 KEEPS = (
     "kill-control",
     "power-control",
@@ -296,7 +301,7 @@
             self.site.say("unsynced", control.ip)
             return
         control.stop(power=True)
-        control.disk.wipe(LOSSES.get(kind, Kind.EMPTY))
+        control.disk.wipe(LOSSES.get(kind, Condition.EMPTY))
         last = FLASH if kind == "swap" else RESTART if kind == "image-power" else max(fault.last, RESTART)
         self._lasts(fault._replace(last=last), "core", lambda: self._begin(control))
         if kind == "image-power":
--- a/rigs/simulation/mesh.py
+++ b/rigs/simulation/mesh.py
@@ -7,7 +7,7 @@
 from typing import Any, cast
 
 from minthitch.mesh.storage.store import Store
-from minthitch.mesh.storage.writer import Writer
+from minthitch.mesh.storage.writer import StorageWriter
 from minthitch.mesh.control.server import ControlServer
 from minthitch.mesh.control.state import State
 from minthitch.mesh.configuration.boot import Bind, Boot, Bounds, Infra, Net, SelfPart, Terms, Tolerate
@@ -96,9 +96,9 @@
         self.site.network.listen(self.machine, lambda: Connection(server), self.ip, PORT)
         self.loop.call_later(0.05, self._look, server)
 
-    def _writer(self, store: Any, done: Any, trouble: Any, clock: Any) -> Writer:
+    def _writer(self, store: Any, done: Any, trouble: Any, clock: Any) -> StorageWriter:
         self.writer = SimWriter(self.loop, self.machine, self.disk, done, trouble, self._written)
-        return cast(Writer, self.writer)
+        return cast(StorageWriter, self.writer)
 
     def _watch_state(self, state: State) -> None:
         """Says when an image was taken in, and when claims grew old."""
@@ -147,13 +147,16 @@
             return core.role
         if core.role == "candidate":
             return "standing"
-        touch = core.fresh(self.loop.now + self.machine.offset) and core.applied >= core.commit > 0
+        touch = (
+            core.in_contact_with_quorum(self.loop.now + self.machine.offset)
+            and core.last_applied >= core.commit_index > 0
+        )
         return "follower" if touch else "recovering"
 
     @property
     def half_image(self) -> bool:
         """It has a part of a leader's image."""
-        return self.server is not None and self.server.core.incoming is not None
+        return self.server is not None and self.server.core.follower.incoming_snapshot is not None
 
 
 class SidecarNode(Node):
@@ -292,10 +295,10 @@
         )
         if core is None:
             return False
-        named = {f.server.core.me: f for f in self.controls if f.server is not None}
+        named = {f.server.core.name: f for f in self.controls if f.server is not None}
         return (
             len(core.voters) == len(CONTROLS)
             and set(core.voters) <= named.keys()
-            and core.log.table_index <= core.commit
+            and core.log.voters_index <= core.commit_index
             and all(named[voter].disk.voters == core.voters for voter in core.voters)
         )
--- a/rigs/simulation/planted.py
+++ b/rigs/simulation/planted.py
@@ -7,8 +7,12 @@
 from typing import Any
 from unittest import mock
 
-from minthitch.mesh.raft.core import Core
-from minthitch.mesh.raft.messages import APPEND_RE, PRE, VOTE
+from msgspec import structs
+
+from minthitch.mesh.raft.actions import Action
+from minthitch.mesh.raft.leader import Leader
+from minthitch.mesh.raft.messages import AppendEntriesResponse, Message, PreVote, RequestVote
+from minthitch.mesh.raft.node import RaftNode
 from minthitch.mesh.limits.budget import Budget, Charge
 from minthitch.mesh.limits.lease import Holder
 from minthitch.mesh.control import server as server_module
@@ -31,24 +35,29 @@
 Patch = Any  # a patch of unittest.mock
 
 
-class Forgetful(Core):
+class Forgetful(RaftNode):
     """Votes for whoever asks, as often as it is asked."""
 
-    def receive(self, now: float, src: str, message: tuple[Any, ...]) -> list[Any]:
-        if message[0] == "vote" and message[1] == self.term and self.role != "leader":
-            self.vote = ""
-        return super().receive(now, src, message)
+    def receive(self, now: float, source: str, message: Message) -> list[Action]:
+        if isinstance(message, RequestVote) and message.term == self.term and not self.is_leader:
+            self._member.voted_for = ""
+        return super().receive(now, source, message)
 
 
-class Counting(Core):
+class CountingLeader(Leader):
     """Counts itself before its own disk has the entry."""
 
-    def _count(self, now: float) -> None:
-        durable, self.log.durable = self.log.durable, self.log.last
+    def update_commit_index(self, now: float) -> None:
+        log = self._member.log
+        durable, log.durable = log.durable, log.last_index
         try:
-            super()._count(now)
+            super().update_commit_index(now)
         finally:
-            self.log.durable = durable
+            log.durable = durable
+
+
+class Counting(RaftNode):
+    leader_type = CountingLeader
 
 
 def _hasty(server: ControlServer, kind: int, data: bytes, done: Any) -> None:
@@ -64,10 +73,10 @@
 
 def _unsynced(writer: SimWriter, persist: Any) -> None:
     _PUT(writer, persist)
-    writer.loop.after(0.0, writer.machine, writer.done, persist.ticket)
+    writer.loop.after(0.0, writer.machine, writer.done, persist.write_id)
 
 
-_PUT = SimWriter.put
+_PUT = SimWriter.submit
 
 
 def _same_name(store: SimStore, incarnation: str) -> None:
@@ -75,7 +84,7 @@
     _BEGIN(store, "0")
 
 
-_BEGIN = SimStore.begin
+_BEGIN = SimStore.initialize
 
 
 def _dump(state: State) -> bytes:
@@ -94,7 +103,7 @@
 def _rotate(server: ControlServer, now: float) -> None:
     """Whoever leads lets claims grow old, though it doesn't know when that was done last."""
     core = server.core
-    if core.role == "leader" and core.commit >= core.noop and server.aging.reign.term != core.term:
+    if core.has_committed_in_term and server.aging.reign.term != core.term:
         server.propose(ROTATE, b"", lambda result: None)
     _ROTATE(server, now)
 
@@ -148,13 +157,13 @@
     "configuration acknowledged before it is agreed": lambda: [
         mock.patch.object(ControlServer, "propose", _hasty)
     ],
-    "agreed before it is synced": lambda: [mock.patch.object(SimWriter, "put", _unsynced)],
-    "a commit counted before its sync": lambda: [mock.patch.object(server_module, "Core", Counting)],
+    "agreed before it is synced": lambda: [mock.patch.object(SimWriter, "submit", _unsynced)],
+    "a commit counted before its sync": lambda: [mock.patch.object(server_module, "RaftNode", Counting)],
     "an image without the last entries": lambda: [mock.patch.object(State, "dump", _dump)],
     "a version that goes back": lambda: [mock.patch.object(Items, "_prevails", lambda *args: True)],
-    "a wiped disk that keeps its vote": lambda: [mock.patch.object(SimStore, "begin", _same_name)],
+    "a wiped disk that keeps its vote": lambda: [mock.patch.object(SimStore, "initialize", _same_name)],
     "a new leader that rotates too soon": lambda: [mock.patch.object(ControlServer, "_rotate", _rotate)],
-    "a vote forgotten": lambda: [mock.patch.object(server_module, "Core", Forgetful)],
+    "a vote forgotten": lambda: [mock.patch.object(server_module, "RaftNode", Forgetful)],
     "a key freed that may have run": lambda: [mock.patch.object(Book, "lost", Book.freed)],
     "a claim of a life before taken for free": lambda: [mock.patch.object(Keys, "asked", _asked_free)],
     "keys not claimed": lambda: [mock.patch.object(ControlLinks, "claim", _unclaimed)],
@@ -180,70 +189,70 @@
 # would leave a planted fault without effect.
 
 
-class Unleased(Core):
+class Unleased(RaftNode):
     """A leader that takes all voters to be in touch for ever, and so its lease to last."""
 
-    def tick(self, now: float) -> list[Any]:
-        for peer in self.peers.values():
-            peer.heard = peer.stamp = now
+    def tick(self, now: float) -> list[Action]:
+        for progress in self.leader_state.peers.values():
+            progress.last_response_at = progress.acknowledged_sent_at = now
         return super().tick(now)
 
     def has_lease(self, now: float) -> bool:
-        return bool(self.role == "leader")
+        return self.is_leader
 
 
-class Presuming(Core):
+class Presuming(RaftNode):
     """Counts what was sent to a voter as held by it."""
 
-    def synced(self, now: float, ticket: int) -> list[Any]:
-        for peer in self.peers.values():
-            peer.match = max(peer.match, peer.next - 1)
-        return super().synced(now, ticket)
+    def persisted(self, now: float, write_id: int) -> list[Action]:
+        for progress in self.leader_state.peers.values():
+            progress.match_index = max(progress.match_index, progress.next_index - 1)
+        return super().persisted(now, write_id)
 
 
-class Credulous(Core):
+class Credulous(RaftNode):
     """Votes for whoever asks first, however short its log."""
 
-    def receive(self, now: float, src: str, message: tuple[Any, ...]) -> list[Any]:
-        if message[0] in (PRE, VOTE):
-            message = (*message[:2], 1 << 40, 1 << 40, *message[4:])
-        return super().receive(now, src, message)
+    def receive(self, now: float, source: str, message: Message) -> list[Action]:
+        if isinstance(message, (PreVote, RequestVote)):
+            message = structs.replace(message, last_log_index=1 << 40, last_log_term=1 << 40)
+        return super().receive(now, source, message)
 
 
-class Clinging(Core):
+class Clinging(RaftNode):
     """Never gives the seat of a voter that is gone to another machine."""
 
     def __init__(self, *args: Any, **more: Any) -> None:
         super().__init__(*args, **more)
-        assert self.gone_after > 0.0
-        self.gone_after = float("inf")
+        assert self.reconfiguration.policy.unresponsive_after_s > 0.0
+        self.reconfiguration.policy.unresponsive_after_s = float("inf")
 
 
-class Impatient(Core):
+class Impatient(RaftNode):
     """Does not wait for voters that are silent: what it holds alone counts as agreed."""
 
-    def synced(self, now: float, ticket: int) -> list[Any]:
+    def persisted(self, now: float, write_id: int) -> list[Action]:
         self._wave_through(now)
-        return super().synced(now, ticket)
+        return super().persisted(now, write_id)
 
-    def tick(self, now: float) -> list[Any]:
+    def tick(self, now: float) -> list[Action]:
         self._wave_through(now)
         return super().tick(now)
 
     def _wave_through(self, now: float) -> None:
-        for peer in self.peers.values():
-            if now - peer.heard > 0.5 * self.timing.election:
-                peer.match = max(peer.match, self.log.durable)
-                peer.stamp = now
+        for progress in self.leader_state.peers.values():
+            if now - progress.last_response_at > 0.5 * self.timing.election_timeout:
+                progress.match_index = max(progress.match_index, self.log.durable)
+                progress.acknowledged_sent_at = now
 
 
-class Trusting(Core):
+class Trusting(RaftNode):
     """Takes any good answer of a voter for one to all that the leader holds."""
 
-    def receive(self, now: float, src: str, message: tuple[Any, ...]) -> list[Any]:
-        if message[0] == APPEND_RE and message[2]:
-            message = (*message[:3], self.log.last, *message[4:])
-        return super().receive(now, src, message)
+    def receive(self, now: float, source: str, message: Message) -> list[Action]:
+        if isinstance(message, AppendEntriesResponse) and message.success:
+            message = structs.replace(message, index=self.last_index)
+        return super().receive(now, source, message)
 
 
 def _fetch_anywhere(server: ControlServer, done: Any) -> None:
@@ -274,7 +283,7 @@
 def _short_log(store: SimStore) -> Any:
     """What a start finds lacks its last entries."""
     saved = store.disk.saved
-    return None if saved is None else saved._replace(entries=saved.entries[:-3])
+    return None if saved is None else structs.replace(saved, entries=saved.entries[:-3])
 
 
 def _any_answer(copies: Copies, message: ops.Message) -> None:
@@ -287,8 +296,8 @@
 _ANSWER = Copies.answer
 
 
-def _core(make: type[Core]) -> Callable[[], list[Patch]]:
-    return lambda: [mock.patch.object(server_module, "Core", make)]
+def _core(make: type[RaftNode]) -> Callable[[], list[Patch]]:
+    return lambda: [mock.patch.object(server_module, "RaftNode", make)]
 
 
 CUT_OFF, ONE_ORDER = "cut off for twenty seconds", "one number, one order"
--- a/rigs/simulation/play.py
+++ b/rigs/simulation/play.py
@@ -10,7 +10,7 @@
 from typing import Any, NamedTuple
 from unittest import mock
 
-from minthitch.mesh.raft import core as core_module
+from minthitch.mesh.raft import leader as leader_module
 from minthitch.mesh.raft import log as log_module
 from minthitch.mesh.control import server as server_module
 from minthitch.mesh.control.server import ControlServer
@@ -80,8 +80,8 @@
     return [
         mock.patch.object(server_module, "SNAPSHOT_EVERY", chance.choice(IMAGES)),
         mock.patch.object(server_module, "ROTATE_SLACK", mesh.ROTATE_SLACK),
-        mock.patch.object(log_module, "TAIL_ENTRIES", chance.choice(TAILS)),
-        mock.patch.object(core_module, "PIECE", chance.choice(PIECES)),
+        mock.patch.object(log_module, "RETAINED_ENTRIES", chance.choice(TAILS)),
+        mock.patch.object(leader_module, "CHUNK_BYTES", chance.choice(PIECES)),
     ]
 
 
--- a/rigs/simulation/points.py
+++ b/rigs/simulation/points.py
@@ -388,7 +388,7 @@
 
 
 def _votes(control: ControlNode) -> bool:
-    return control.server is not None and control.server.core.me in control.server.core.voters
+    return control.server is not None and control.server.core.name in control.server.core.voters
 
 
 def _voting(site: Site, number: int) -> ControlNode:
--- a/tests/mesh/chaos.py
+++ b/tests/mesh/chaos.py
@@ -10,8 +10,13 @@
 
 import msgpack
 
-from minthitch.mesh.raft.core import LEADER, LEARNER, Core, ip_of
-from minthitch.mesh.raft.messages import DATA, MEMBERS, Action, Apply, Entry, Persist, Saved, Send, Timing
+from minthitch.mesh.raft.actions import Action, Apply, Persist, PersistedState, Send, Timing
+from minthitch.mesh.raft.log import DATA, MEMBERS, Entry
+from minthitch.mesh.raft.member import Role
+from minthitch.mesh.raft.membership import address_of
+from minthitch.mesh.raft.messages import decode_message, encode_message
+from minthitch.mesh.raft.node import RaftNode
+from minthitch.mesh.raft.reconfiguration import GroupPolicy
 from tests.mesh.cluster import Disk, Wrong
 
 TIMING = Timing(0.1, 0.6)
@@ -25,7 +30,7 @@
     def __init__(self, ip: str) -> None:
         self.ip, self.incarnation = ip, 0
         self.disk = Disk()
-        self.core: Core | None = None
+        self.core: RaftNode | None = None
         self.pending: Persist | None = None
         self.now = 0.0
         self.applied: list[bytes] = []
@@ -39,15 +44,17 @@
         """Its disk has that entry, or an image beyond it."""
         saved = self.disk.saved
         return saved is not None and (
-            saved.snap_index >= index or any(e.index == index and e.term == term for e in saved.entries)
+            saved.snapshot.index >= index or any(e.index == index and e.term == term for e in saved.entries)
         )
 
 
 class Chaos:
     """`count` founders and some spares, of which as many may lose their disks as less than half."""
 
-    def __init__(self, seed: int, count: int = 3, spares: int = 0, core_class: type[Core] = Core) -> None:
-        self.random, self.core_class = random.Random(seed), core_class
+    def __init__(
+        self, seed: int, count: int = 3, spares: int = 0, node_type: type[RaftNode] = RaftNode
+    ) -> None:
+        self.random, self.node_type = random.Random(seed), node_type
         self.count, self.spares = count, spares
         self.bears = (count - 1) // 2
         self.machines = {f"n{i}": Machine(f"n{i}") for i in range(count + spares)}
@@ -66,20 +73,19 @@
     # Machines
 
     def start(self, machine: Machine) -> None:
-        saved: Saved | None = machine.disk.saved
+        saved: PersistedState | None = machine.disk.saved
         founds = saved is None and machine.name in self.founders
         machine.pending, machine.applied = None, []
-        machine.core = self.core_class(
+        machine.core = self.node_type(
             machine.name,
             saved,
             self.founders if founds else (),
             TIMING,
             self.random.getrandbits(40),
             machine.now,
-            voters_wanted=self.count,
-            gone_after=GONE,
+            GroupPolicy(self.count, GONE),
         )
-        machine.core.log.tail = TAIL
+        machine.core.log.retained_entries = TAIL
         self.act(machine, machine.core.drain())
 
     def stop(self, machine: Machine) -> None:
@@ -94,10 +100,10 @@
             return self.count
         entry = self.agreed[self.table]
         names = msgpack.unpackb(entry.data)
-        absent = {ip_of(name) for name in names if self.machines[ip_of(name)].name != name}
+        absent = {address_of(name) for name in names if self.machines[address_of(name)].name != name}
         absent |= {m.ip for m in self.machines.values() if m.gone or not m.holds(entry.index, entry.term)}
         absent |= {machine.ip for machine in more}
-        return sum(ip_of(name) in absent for name in names) + self.count - len(names)
+        return sum(address_of(name) in absent for name in names) + self.count - len(names)
 
     def wipe(self, machine: Machine) -> bool:
         """Its disk is lost, if so many may be."""
@@ -115,19 +121,19 @@
 
     # What happens
 
-    def on(self, machine: Machine, call: Callable[[Core], list[Action]]) -> None:
+    def on(self, machine: Machine, call: Callable[[RaftNode], list[Action]]) -> None:
         if machine.core is None:
             return
         self.act(machine, call(machine.core))
         core = machine.core
-        if core.role == LEADER and self.leaders.setdefault(core.term, core.me) != core.me:
-            raise Wrong(f"two leaders in term {core.term}: {core.me}, {self.leaders[core.term]}")
+        if core.is_leader and self.leaders.setdefault(core.term, core.name) != core.name:
+            raise Wrong(f"two leaders in term {core.term}: {core.name}, {self.leaders[core.term]}")
 
     def act(self, machine: Machine, actions: Sequence[Action]) -> None:
         for action in actions:
             if isinstance(action, Send):
-                packed = msgpack.unpackb(msgpack.packb(action.message))
-                self.wire.append((machine.name, action.to, tuple(packed)))
+                packed = msgpack.unpackb(msgpack.packb(encode_message(action.message)))
+                self.wire.append((machine.name, action.to, decode_message(tuple(packed))))
             elif isinstance(action, Persist):
                 machine.pending = action
             elif isinstance(action, Apply):
@@ -154,25 +160,25 @@
         machine.now += seconds
         self.on(machine, lambda core: core.tick(machine.now))
         core = machine.core
-        if core is not None and core.role == LEARNER:
+        if core is not None and core.role is Role.LEARNER:
             self.wire += [(machine.name, ip, None) for ip in self.machines]
 
     def sync(self, machine: Machine) -> None:
         if machine.pending is not None:
             persist, machine.pending = machine.pending, None
             machine.disk.write(persist)
-            self.on(machine, lambda core: core.synced(machine.now, persist.ticket))
+            self.on(machine, lambda core: core.persisted(machine.now, persist.write_id))
 
     def arrive(self, src: str, to: str, message: Any) -> None:
-        machine = self.machines[ip_of(to)]
+        machine = self.machines[address_of(to)]
         if message is None:
-            self.on(machine, lambda core: core.join(machine.now, src))
+            self.on(machine, lambda core: core.add_learner(machine.now, src))
         elif machine.name == to:
             self.on(machine, lambda core: core.receive(machine.now, src, message))
 
     def propose(self, machine: Machine) -> None:
         core = machine.core
-        if core is None or core.role != LEADER:
+        if core is None or not core.is_leader:
             return
         self.value += 1
         data = b"%d" % self.value
@@ -183,7 +189,7 @@
 
     def snapshot(self, machine: Machine) -> None:
         data = msgpack.packb(machine.applied)
-        self.on(machine, lambda core: core.snapshot_due(core.applied, data))
+        self.on(machine, lambda core: core.compact(core.last_applied, data))
 
     # The adversary
 
@@ -197,7 +203,7 @@
             if self.wire:
                 place = draw.randrange(len(self.wire))
                 item = self.wire[place] if draw.random() < 0.1 else self.wire.pop(place)
-                apart = (ip_of(item[0]) in self.side) != (ip_of(item[1]) in self.side)
+                apart = (address_of(item[0]) in self.side) != (address_of(item[1]) in self.side)
                 if not apart and draw.random() > 0.05:
                     self.arrive(*item)
         elif odd < 0.68:
@@ -239,16 +245,18 @@
 
     def whole(self) -> bool:
         live = [m for m in self.machines.values() if not m.gone]
-        core = next(
-            (m.core for m in live if m.core and m.core.role == LEADER and m.core.has_lease(m.now)), None
-        )
-        if core is None or core.log.table_index > core.commit or core.commit < core.log.last:
+        core = next((m.core for m in live if m.core and m.core.is_leader and m.core.has_lease(m.now)), None)
+        if (
+            core is None
+            or core.log.voters_index > core.commit_index
+            or core.commit_index < core.log.last_index
+        ):
             return False
         wanted = min(self.count, len(live))
         return (
             len(core.voters) >= wanted
             and {m.name for m in live} >= set(core.voters)
-            and all(m.core is not None and m.core.applied == core.commit for m in live)
+            and all(m.core is not None and m.core.last_applied == core.commit_index for m in live)
         )
 
     def settle(self, rounds: int = 400) -> None:
@@ -271,7 +279,7 @@
             (
                 m.name,
                 m.gone,
-                m.core and (m.core.role, m.core.term, m.core.commit, m.core.last_index, m.core.voters),
+                m.core and (m.core.role, m.core.term, m.core.commit_index, m.core.last_index, m.core.voters),
             )
             for m in self.machines.values()
         ]
--- a/tests/mesh/cluster.py
+++ b/tests/mesh/cluster.py
@@ -14,9 +14,14 @@
 
 import msgpack
 
-from minthitch.mesh.raft.core import GONE_AFTER_S, LEADER, LEARNER, Core, ip_of
-from minthitch.mesh.raft.messages import DATA, Action, Apply, Entry, Persist, Restore, Saved, Send, Timing
+from minthitch.mesh.raft.actions import Action, Apply, Persist, PersistedState, Restore, Send, Timing
+from minthitch.mesh.raft.log import DATA, EMPTY_SNAPSHOT, Entry
+from minthitch.mesh.raft.member import Role
+from minthitch.mesh.raft.membership import address_of
+from minthitch.mesh.raft.messages import decode_message, encode_message
+from minthitch.mesh.raft.node import RaftNode
 from minthitch.mesh.raft.placement import Location, Tolerated
+from minthitch.mesh.raft.reconfiguration import UNRESPONSIVE_AFTER_S, GroupPolicy
 
 TICK, JOIN, TROUBLE = 0.04, 0.5, 0.5  # seconds
 RETIRE_LOOK = 0.02  # seconds between two looks whether a process may end
@@ -31,28 +36,27 @@
     """What a control node's disk holds for good."""
 
     def __init__(self) -> None:
-        self.saved: Saved | None = None
+        self.saved: PersistedState | None = None
         self.hung_until = 0.0
 
     def write(self, persist: Persist) -> None:
-        old = self.saved or Saved(0, "", (), 0, 0, b"", ())
-        entries = {e.index: e for e in old.entries if not persist.truncate or e.index < persist.truncate}
+        old = self.saved or PersistedState(0, "", EMPTY_SNAPSHOT, ())
+        entries = {
+            e.index: e for e in old.entries if not persist.truncate_from or e.index < persist.truncate_from
+        }
         entries.update((e.index, e) for e in persist.entries)
-        place = (old.members, old.snap_index, old.snap_term, old.snapshot)
-        if persist.snapshot is not None:
-            index, term, voters, data = persist.snapshot
-            place = (voters, index, term, data)
-        kept = tuple(entries[i] for i in sorted(entries) if i > place[1])
-        if [e.index for e in kept] != list(range(place[1] + 1, place[1] + 1 + len(kept))):
-            raise Wrong(f"a hole on the disk: {[e.index for e in kept]} after {place[1]}")
-        self.saved = Saved(persist.term, persist.vote, *place, kept)
+        snapshot = persist.snapshot or old.snapshot
+        kept = tuple(entries[i] for i in sorted(entries) if i > snapshot.index)
+        if [e.index for e in kept] != list(range(snapshot.index + 1, snapshot.index + 1 + len(kept))):
+            raise Wrong(f"a hole on the disk: {[e.index for e in kept]} after {snapshot.index}")
+        self.saved = PersistedState(persist.term, persist.voted_for, snapshot, kept)
 
 
 class Node:
-    def __init__(self, ip: str, core_class: type[Core]) -> None:
-        self.ip, self.core_class = ip, core_class
+    def __init__(self, ip: str, node_type: type[RaftNode]) -> None:
+        self.ip, self.node_type = ip, node_type
         self.disk, self.incarnation = Disk(), 0
-        self.core: Core | None = None
+        self.core: RaftNode | None = None
         self.life = 0  # of the process: what an earlier life waits for never comes
         self.frozen, self.waiting = False, list[Callable[[], None]]()
         self.pending: tuple[float, Persist] | None = None
@@ -66,7 +70,7 @@
         return f"{self.ip}#{self.incarnation}"
 
     @property
-    def live(self) -> Core:
+    def live(self) -> RaftNode:
         assert self.core is not None
         return self.core
 
@@ -76,23 +80,23 @@
         self,
         seed: int,
         count: int = 3,
-        core_class: type[Core] = Core,
+        node_type: type[RaftNode] = RaftNode,
         loss: float = 0.0,
         sync: tuple[float, float] = (0.002, 0.02),
         spares: int = 0,
         delay: float = 0.008,
         timing: Timing = Timing(),  # noqa: B008
-        gone_after: float = GONE_AFTER_S,
+        unresponsive_after: float = UNRESPONSIVE_AFTER_S,
         tolerated: Tolerated = Tolerated(),  # noqa: B008
         locations: dict[str, Location] | None = None,
     ) -> None:
         self.random = random.Random(seed)
         self.now, self.order = 0.0, 0
         self.image_every, self.tail, self.loading = IMAGE_EVERY, 512, True
-        self.gone_after, self.tolerated = gone_after, tolerated
+        self.unresponsive_after, self.tolerated = unresponsive_after, tolerated
         self.locations = locations or {}
         self.heap: list[tuple[float, int, Callable[[], None]]] = []
-        self.nodes = {f"n{i}": Node(f"n{i}", core_class) for i in range(count + spares)}
+        self.nodes = {f"n{i}": Node(f"n{i}", node_type) for i in range(count + spares)}
         self.founders = tuple(f"n{i}#0" for i in range(count))
         self.wanted = count
         self.loss, self.sync, self.delay, self.timing = loss, sync, delay, timing
@@ -138,19 +142,17 @@
         saved = node.disk.saved
         fresh = saved is None and (node.incarnation == 0)
         founders = self.founders if fresh and node.name in self.founders else ()
-        node.core = node.core_class(
+        node.core = node.node_type(
             node.name,
             saved,
             founders,
             self.timing,
             self.random.getrandbits(32),
             self.now,
-            voters_wanted=self.wanted,
-            gone_after=self.gone_after,
-            tolerated=self.tolerated,
+            GroupPolicy(self.wanted, self.unresponsive_after, self.tolerated),
         )
-        node.core.locations = self.locations
-        node.core.log.tail = self.tail
+        node.core.reconfiguration.locations = self.locations
+        node.core.log.retained_entries = self.tail
         self.at(0.0 if first else self.random.uniform(0, TICK), partial(self.tick, node, node.life))
 
     def kill(self, node: Node) -> None:
@@ -165,7 +167,7 @@
         def watch(life: int) -> None:
             if node.life != life or node.core is None:
                 return
-            if node.frozen or not node.core.retired(self.now):
+            if node.frozen or not node.core.may_end(self.now):
                 self.at(RETIRE_LOOK, lambda: watch(life))
                 return
             if node.pending is not None:  # the writer ends what it began
@@ -175,7 +177,7 @@
             if back_after is not None:
                 self.at(back_after, lambda: self.start(node) if node.core is None else None)
 
-        self.on(node, node.life, lambda core: core.retire(self.now))
+        self.on(node, node.life, lambda core: core.begin_shutdown(self.now))
         watch(node.life)
 
     def power(self, node: Node) -> None:
@@ -224,7 +226,7 @@
 
     # --- the shell of a core ---
 
-    def on(self, node: Node, life: int, call: Callable[[Core], list[Action]]) -> None:
+    def on(self, node: Node, life: int, call: Callable[[RaftNode], list[Action]]) -> None:
         if node.life != life or node.core is None:
             return
         if node.frozen:
@@ -242,21 +244,21 @@
         core = node.core
         self.on(node, life, lambda c: c.tick(self.now))
         hung = node.pending is not None and self.now - node.pending[0] > TROUBLE
-        if hung != core.bad:
-            self.on(node, life, lambda c: c.disk_trouble(self.now, hung))
-        if core.role == LEARNER and self.now >= node.knock_at:
+        if hung == core.disk_healthy:
+            self.on(node, life, lambda c: c.set_disk_health(self.now, not hung))
+        if core.role is Role.LEARNER and self.now >= node.knock_at:
             node.knock_at = self.now + JOIN
             for ip in self.nodes:
                 self.post(node, ip, self.knocker(node.name))
-        if core.applied - core.log.snapshot.index > self.image_every:
+        if core.last_applied - core.log.snapshot.index > self.image_every:
             snapshot = msgpack.packb(node.applied)
-            self.on(node, life, lambda c: c.snapshot_due(c.applied, snapshot))
+            self.on(node, life, lambda c: c.compact(c.last_applied, snapshot))
 
     def act(self, node: Node, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Send):
-                packed = msgpack.packb(action.message)
-                self.post(node, ip_of(action.to), self.receiver(node.name, packed), to=action.to)
+                packed = msgpack.packb(encode_message(action.message))
+                self.post(node, address_of(action.to), self.receiver(node.name, packed), to=action.to)
             elif isinstance(action, Persist):
                 self.persist(node, action)
             elif isinstance(action, Apply):
@@ -264,13 +266,15 @@
             else:
                 self.restore(node, action)
 
-    def knocker(self, src: str) -> Callable[[Core], list[Action]]:
-        return lambda core: core.join(self.now, src)
+    def knocker(self, src: str) -> Callable[[RaftNode], list[Action]]:
+        return lambda core: core.add_learner(self.now, src)
 
-    def receiver(self, src: str, packed: bytes) -> Callable[[Core], list[Action]]:
-        return lambda core: core.receive(self.now, src, tuple(msgpack.unpackb(packed)))
+    def receiver(self, src: str, packed: bytes) -> Callable[[RaftNode], list[Action]]:
+        message = decode_message(tuple(msgpack.unpackb(packed)))
+        assert message is not None
+        return lambda core: core.receive(self.now, src, message)
 
-    def post(self, node: Node, ip: str, call: Callable[[Core], list[Action]], to: str = "") -> None:
+    def post(self, node: Node, ip: str, call: Callable[[RaftNode], list[Action]], to: str = "") -> None:
         if ip == node.ip or ip not in self.nodes:
             return
         if (node.ip, ip) in self.cuts or self.random.random() < self.loss:
@@ -298,7 +302,7 @@
             return
         node.disk.write(persist)
         node.pending = None
-        self.on(node, life, lambda c: c.synced(self.now, persist.ticket))
+        self.on(node, life, lambda c: c.persisted(self.now, persist.write_id))
 
     # --- what is seen, and checked ---
 
@@ -330,16 +334,16 @@
 
     def check(self, node: Node) -> None:
         core = node.core
-        if core is None or core.role != LEADER:
+        if core is None or not core.is_leader:
             return
         if self.leaders.setdefault(core.term, node.name) != node.name:
             raise Wrong(f"two leaders in term {core.term}")
-        if core.has_lease(self.now) and self.acknowledged and max(self.acknowledged) > core.applied:
+        if core.has_lease(self.now) and self.acknowledged and max(self.acknowledged) > core.last_applied:
             raise Wrong(f"{node.name} has a lease and lacks what was acknowledged")
 
     def propose(self) -> None:
         """A client asks whoever says that it leads."""
-        leading = [n for n in self.nodes.values() if n.core and not n.frozen and n.core.role == LEADER]
+        leading = [n for n in self.nodes.values() if n.core and not n.frozen and n.core.is_leader]
         if not leading:
             return
         node = self.random.choice(leading)
@@ -382,7 +386,11 @@
             len(core.voters) == self.wanted
             and set(core.voters) <= names
             and all(n.core is not None and n.place == core.last_index for n in self.nodes.values())
-            and all(core.peers[v].match == core.last_index for v in core.voters if v != core.me)
+            and all(
+                core.leader_state.peers[v].match_index == core.last_index
+                for v in core.voters
+                if v != core.name
+            )
         )
 
     def taken_in(self) -> bool:
@@ -394,8 +402,12 @@
         return (
             len(core.voters) == self.wanted
             and set(core.voters) <= names
-            and core.log.table_index <= core.commit
-            and all(core.peers[v].match >= core.log.table_index for v in core.voters if v != core.me)
+            and core.log.voters_index <= core.commit_index
+            and all(
+                core.leader_state.peers[v].match_index >= core.log.voters_index
+                for v in core.voters
+                if v != core.name
+            )
         )
 
     def settle(self) -> None:
@@ -422,7 +434,7 @@
                     n.core.role,
                     n.core.term,
                     n.core.leader,
-                    n.core.commit,
+                    n.core.commit_index,
                     n.core.last_index,
                     n.core.voters,
                 ),
@@ -435,14 +447,14 @@
     """Troubles drawn from a seed, one after another and over each other, inside what is tolerated."""
 
     def __init__(
-        self, seed: int, core_class: type[Core] = Core, seconds: float = 6.0, storm: bool = False
+        self, seed: int, node_type: type[RaftNode] = RaftNode, seconds: float = 6.0, storm: bool = False
     ) -> None:
         self.random = random.Random(seed * 7919 + 1)
         count = self.random.choice((3, 3, 3, 5))
         self.cluster = Cluster(
             seed,
             count,
-            core_class,
+            node_type,
             loss=self.random.choice((0.0, 0.0, 0.02, 0.1)),
             spares=self.random.choice((0, 0, 0, 1)),
             delay=self.random.choice((0.008, 0.06)),
--- a/tests/mesh/test_cli.py
+++ b/tests/mesh/test_cli.py
@@ -16,9 +16,10 @@
 import lmdb
 import msgpack
 
-from minthitch.mesh.raft.log import pack_members
-from minthitch.mesh.raft.messages import DATA, MEMBERS, NOOP, Entry, Persist
-from minthitch.mesh.storage.store import FORMAT, HEAD, MARK, Store, seal
+from minthitch.mesh.raft.log import DATA, MEMBERS, NOOP, Entry, Snapshot, pack_members
+from minthitch.mesh.raft.actions import Persist
+from minthitch.mesh.storage.records import FORMAT_NAME, FORMAT_VERSION, HEADER_KEY, checksummed
+from minthitch.mesh.storage.store import Store
 from minthitch.cli import shown
 from minthitch.cli.commands import main
 from minthitch.mesh.control.state import CLAIM, CONFIG, State, command
@@ -56,7 +57,7 @@
 
     def plant(self, *persists: Persist) -> None:
         store = Store(self.path, 4 << 20)
-        store.begin("0")
+        store.initialize("0")
         for persist in persists:
             store.write(persist)
         store.close()
@@ -78,13 +79,13 @@
 
 
 class Folders(Planted):
-    def test_whole(self) -> None:
+    def test_intact(self) -> None:
         self.entries()
         code, out, _ = self.kept("verify")
         self.assertEqual(code, 0)
         self.assertEqual(
             out,
-            f"{self.path}: whole: disk '0', term 2, 7 entries, last index 7, members {', '.join(VOTERS)}\n",
+            f"{self.path}: intact: disk '0', term 2, 7 entries, last index 7, members {', '.join(VOTERS)}\n",
         )
 
     def test_the_log_tells_what_each_entry_does(self) -> None:
@@ -103,7 +104,8 @@
         state = State()
         state.apply(3, ENTRIES[2].data)
         self.plant(
-            Persist(1, 1, "", 0, ENTRIES[:3], None), Persist(2, 1, "", 0, (), (3, 1, VOTERS, state.dump()))
+            Persist(1, 1, "", 0, ENTRIES[:3], None),
+            Persist(2, 1, "", 0, (), Snapshot(3, 1, VOTERS, state.dump())),
         )
         code, out, _ = self.kept("items")
         table = json.loads(out)
@@ -150,7 +152,9 @@
         self.assertEqual(self.kept("verify")[1].split(": ")[1], "foreign")
         self.file.unlink()
         with lmdb.Environment(self.path, lock=False) as env, env.begin(write=True) as txn:
-            txn.put(HEAD, seal(HEAD, bytes(msgpack.packb([MARK, FORMAT + 1]))))
+            txn.put(
+                HEADER_KEY, checksummed(HEADER_KEY, bytes(msgpack.packb([FORMAT_NAME, FORMAT_VERSION + 1])))
+            )
         self.assertEqual(self.kept("verify")[1].split(": ")[1], "newer")
         self.complains("items", self.path, of="later version")
 
--- a/tests/mesh/test_control_orders.py
+++ b/tests/mesh/test_control_orders.py
@@ -7,7 +7,7 @@
 
 from minthitch.mesh.control import orders
 from minthitch.mesh.control.orders import DEADLINE, Order, Orders, patience
-from minthitch.mesh.raft.messages import Timing
+from minthitch.mesh.raft.actions import Timing
 from tests.mesh.founded import FoundedSite
 from rigs.simulation.mesh import ControlNode, Site
 from rigs.simulation.size import items
@@ -114,9 +114,9 @@
         ):
             host = mock.Mock()
             host.loop.time.return_value = host.clock.return_value = 100.0
-            host.core.role, host.core.timing = role, Timing(election=0.25)
-            host.core.led_since = 99.9 if young else 90.0
-            host.core.fresh.return_value = fresh
+            host.core.role, host.core.timing = role, Timing(election_timeout=0.25)
+            host.core.leader_state.elected_at = 99.9 if young else 90.0
+            host.core.in_contact_with_quorum.return_value = fresh
             told: list[Any] = []
             open_orders = Orders(host)
             open_orders.patch(b"{}", told.append)
--- a/tests/mesh/test_control_retirement.py
+++ b/tests/mesh/test_control_retirement.py
@@ -10,7 +10,7 @@
 from minthitch.mesh.control.retirement import MOST_S, Retirement
 from minthitch.mesh.control.server import ControlServer
 from minthitch.mesh.http.listener import ClientConnection
-from minthitch.mesh.raft.messages import Action
+from minthitch.mesh.raft.actions import Action
 from minthitch.net.callers import Incoming
 from tests.mesh.founded import FoundedSite
 from rigs.simulation.mesh import ControlNode, Site
@@ -19,15 +19,19 @@
 
 class StubCore:
     def __init__(self, role: str, leader: str | None) -> None:
-        self.role, self.me, self.leader = role, "a#0", leader
+        self.role, self.name, self.leader = role, "a#0", leader
         self.asked: list[float] = []
         self.dispensable = True  # whether the others can do without what it holds
 
-    def retire(self, now: float) -> list[Action]:
+    @property
+    def is_leader(self) -> bool:
+        return self.role == "leader"
+
+    def begin_shutdown(self, now: float) -> list[Action]:
         self.asked.append(now)
         return []
 
-    def retired(self, now: float) -> bool:
+    def may_end(self, now: float) -> bool:
         return self.dispensable
 
 
@@ -63,7 +67,7 @@
 
 class Refused(unittest.TestCase):
     def test_new_work_is_refused_and_it_is_not_ready(self) -> None:
-        server = SimpleNamespace(core=SimpleNamespace(fresh=lambda now: True))
+        server = SimpleNamespace(core=SimpleNamespace(in_contact_with_quorum=lambda now: True))
         desk = Desk(cast(ControlServer, server))
         desk.leaving = True
         self.assertFalse(desk.wanted(), "which says Connection: close")
--- a/tests/mesh/test_control_rotation.py
+++ b/tests/mesh/test_control_rotation.py
@@ -172,7 +172,7 @@
                     leader = site.leader()
                     assert leader.server is not None
                     core, claims = leader.server.core, leader.server.state.claims
-                    if core.role == "leader" and core.commit >= core.noop:
+                    if core.has_committed_in_term:
                         leaders.add((leader.ip, core.term))
                         for key in [key for key in granted if claims.find(key) is None]:
                             ages.append(site.loop.now - granted.pop(key))
--- a/tests/mesh/test_control_snapshots.py
+++ b/tests/mesh/test_control_snapshots.py
@@ -19,8 +19,9 @@
 from minthitch.mesh.control.state import CLAIM, CONFIG, State, command
 from minthitch.mesh.events.events import LOG
 from minthitch.mesh.idempotency.claims import Claim, packed
-from minthitch.mesh.raft.core import LEADER, Core
-from minthitch.mesh.raft.messages import DATA, Action, Apply, Persist, Timing
+from minthitch.mesh.raft.actions import Action, Apply, Persist, Timing
+from minthitch.mesh.raft.log import DATA
+from minthitch.mesh.raft.node import RaftNode
 from minthitch.mesh.storage.store import Store
 from rigs.simulation.mesh import Site
 
@@ -50,8 +51,8 @@
 
     def __init__(self, store: Store) -> None:
         self.store, self.state, self.turns = store, State(), Turns()
-        store.begin("0")
-        self.core = Core("10.0.0.1#0", None, ("10.0.0.1#0",), Timing(), 1, 0.0)
+        store.initialize("0")
+        self.core = RaftNode("10.0.0.1#0", None, ("10.0.0.1#0",), Timing(), 1, 0.0)
         schedule = Schedule("10.0.0.1", FILE, 0, 0)
         loop = cast(asyncio.AbstractEventLoop, self.turns)
         self.snapshots = Snapshots(loop, self.state, schedule, self._take)
@@ -59,7 +60,7 @@
         self.in_memory = 0
         self.act(self.core.drain())
         now = 0.0
-        while self.core.role != LEADER:
+        while not self.core.is_leader:
             now += 0.05
             self.act(self.core.tick(now))
 
@@ -67,7 +68,7 @@
         for action in actions:
             if isinstance(action, Persist):
                 self.store.write(action)
-                self.act(self.core.synced(0.0, action.ticket))
+                self.act(self.core.persisted(0.0, action.write_id))
             elif isinstance(action, Apply):
                 entry = action.entry
                 if entry.kind == DATA:
@@ -76,7 +77,7 @@
 
     def _take(self, index: int, data: bytes) -> None:
         self.taken.append(index)
-        self.act(self.core.snapshot_due(index, data))
+        self.act(self.core.compact(index, data))
 
     def change(self, body: bytes) -> None:
         assert self.core.propose(0.0, command(CONFIG, body)) is not None
@@ -176,13 +177,13 @@
                     body = long_item(version, 1_000)
                     site.loop.after(0.0, to.machine, to.server.patch, body, lambda result: None)
                     site.loop.run_until(site.loop.now + 0.1)
-            offered = cast(Any, node.writer).relief
+            offered = cast(Any, node.writer).emergency_snapshot
             saved = node.disk.saved
             assert saved is not None
-            self.assertGreater(offered[0], saved.snap_index)
-            self.assertLessEqual(offered[0], saved.entries[-1].index)
+            self.assertGreater(offered.index, saved.snapshot.index)
+            self.assertLessEqual(offered.index, saved.entries[-1].index)
             again = State()
-            again.load(offered[3])
+            again.load(offered.data)
             self.assertGreater(again.items.index, 0)
 
     def test_a_short_log_is_not_worth_a_snapshot(self) -> None:
--- a/tests/mesh/test_golden.py
+++ b/tests/mesh/test_golden.py
@@ -15,8 +15,8 @@
 from minthitch.mesh.configuration.items import Replica
 from minthitch.mesh.control.state import State
 from minthitch.mesh.events.events import Event
-from minthitch.mesh.raft.messages import DATA, NOOP, Entry
-from minthitch.mesh.storage.store import Kind, Store
+from minthitch.mesh.raft.log import DATA, NOOP, Entry
+from minthitch.mesh.storage.store import Condition, Store
 from minthitch.mesh.transport.framing import Inbox, Outbox
 
 GOLDEN = Path(__file__).parents[1] / "golden"
@@ -47,13 +47,13 @@
             folder = shutil.copytree(GOLDEN / "control-data", Path(scratch) / "data")
             store = Store(str(folder), 256 * 1024)
             self.addCleanup(store.close)
-            self.assertIs(store.kind, Kind.WHOLE)
+            self.assertIs(store.condition, Condition.INTACT)
             self.assertEqual(store.incarnation, "a1b2c3d4e5f6")
             saved = store.load()
         assert saved is not None
-        self.assertEqual((saved.term, saved.vote, saved.members), (5, "10.2.0.10#0", VOTERS))
-        self.assertEqual((saved.snap_index, saved.snap_term), (7, 4))
-        self.assertEqual(saved.snapshot, (GOLDEN / "state.snapshot").read_bytes())
+        self.assertEqual((saved.term, saved.voted_for, saved.snapshot.voters), (5, "10.2.0.10#0", VOTERS))
+        self.assertEqual((saved.snapshot.index, saved.snapshot.term), (7, 4))
+        self.assertEqual(saved.snapshot.data, (GOLDEN / "state.snapshot").read_bytes())
         self.assertEqual([(e.index, e.term, e.kind) for e in saved.entries], [(8, 5, NOOP), (9, 5, DATA)])
         self.assertIsInstance(saved.entries[0], Entry)
 
--- a/tests/mesh/test_pages_seeds.py
+++ b/tests/mesh/test_pages_seeds.py
@@ -9,7 +9,7 @@
 from msgspec import structs
 
 from minthitch.mesh.configuration.boot import Boot
-from minthitch.mesh.raft.core import Core
+from minthitch.mesh.raft.node import RaftNode
 from rigs.simulation.mesh import ControlNode, Node, Site
 from rigs.simulation.people import Operators, People
 from rigs.simulation.play import Day, Played, play
@@ -57,16 +57,17 @@
             spare.start()
             spares.append(spare)
 
-        keep = Core.__init__
+        keep = RaftNode.__init__
 
-        def hasty(core: Core, *given: Any, **named: Any) -> None:
-            keep(core, *given, **{**named, "gone_after": GONE_AFTER})
+        def hasty(core: RaftNode, *given: Any, **named: Any) -> None:
+            keep(core, *given, **named)
+            core.reconfiguration.policy.unresponsive_after_s = GONE_AFTER
 
         for seed in range(3):
-            with self.subTest(seed=seed), mock.patch.object(Core, "__init__", hasty):
+            with self.subTest(seed=seed), mock.patch.object(RaftNode, "__init__", hasty):
                 played = self.played(seed, replace)
                 voters = played.site.leader().server.core.voters  # type: ignore[union-attr]
-                self.assertIn(spares[-1].server.core.me, voters)  # type: ignore[union-attr]
+                self.assertIn(spares[-1].server.core.name, voters)  # type: ignore[union-attr]
 
     def played(self, seed: int, deed: Any) -> Played:
         return play(seed, [], CALM._replace(deeds=((3.0, deed),)))
--- a/tests/mesh/test_raft.py
+++ b/tests/mesh/test_raft.py
@@ -7,20 +7,24 @@
 from typing import Any
 
 import msgpack
-
-from minthitch.mesh.raft.core import CANDIDATE, FOLLOWER, LEADER, LEARNER, Core, ip_of
+from msgspec.structs import replace
+
+from minthitch.mesh.raft.actions import Persist, PersistedState, Restore, Send, Timing
+from minthitch.mesh.raft.election import Election
+from minthitch.mesh.raft.errors import ConsensusViolationError
+from minthitch.mesh.raft.follower import Follower
+from minthitch.mesh.raft.leader import Leader
+from minthitch.mesh.raft.log import Snapshot
+from minthitch.mesh.raft.member import Role
+from minthitch.mesh.raft.membership import Voters, VoterView, address_of
 from minthitch.mesh.raft.messages import (
-    APPEND_RE,
-    VOTE,
-    VOTE_RE,
-    Diverged,
-    Persist,
-    Restore,
-    Saved,
-    Send,
-    Timing,
+    AppendEntriesResponse,
+    RequestVote,
+    RequestVoteResponse,
+    encode_message,
 )
-from minthitch.mesh.raft.peers import Peer
+from minthitch.mesh.raft.node import RaftNode
+from minthitch.mesh.raft.reconfiguration import Reconfiguration
 from tests.mesh.chaos import Chaos
 from tests.mesh.cluster import Cluster, Node, Schedule, Wrong
 
@@ -28,48 +32,65 @@
 WALKS, STEPS = 120, 4_000  # of the adversary
 
 
-class AcknowledgesUnsynced(Core):
-    """Planted: says that it keeps what its disk does not have yet."""
+class AcknowledgesUnsynced(Follower):
+    """Planted: says that it has stored what its disk does not have yet."""
+
+    def acknowledge(self) -> None:
+        member = self._member
+        if member.leader is not None:
+            response = AppendEntriesResponse(member.term, True, self.match_index, *self._newest_message)
+            member.send(member.leader, response)
+
 
-    def _acknowledge(self) -> None:
-        if self.leader is not None:
-            self._send(self.leader, APPEND_RE, self.term, True, self.matched, *self.answer)
+class AcknowledgesUnsyncedNode(RaftNode):
+    follower_type = AcknowledgesUnsynced
 
 
-class ForgetsVote(Core):
+class ForgetsVote(RaftNode):
     """Planted: a start does not know whom it voted for, and in what term."""
 
-    def __init__(self, me: str, saved: Saved | None, *rest: Any, **more: Any) -> None:
-        if saved is not None:
-            last = saved.entries[-1].term if saved.entries else saved.snap_term
-            saved = saved._replace(term=last, vote="")
-        super().__init__(me, saved, *rest, **more)
+    def __init__(self, name: str, persisted: PersistedState | None, *rest: Any, **more: Any) -> None:
+        if persisted is not None:
+            last = persisted.entries[-1].term if persisted.entries else persisted.snapshot.term
+            persisted = replace(persisted, term=last, voted_for="")
+        super().__init__(name, persisted, *rest, **more)
 
 
-class CountsUnsynced(Core):
+class CountsUnsynced(Leader):
     """Planted: the leader counts itself before its own disk has the entry."""
 
-    def _count(self, now: float) -> None:
-        self.log.durable = self.log.last
-        super()._count(now)
+    def update_commit_index(self, now: float) -> None:
+        self._member.log.durable = self._member.log.last_index
+        super().update_commit_index(now)
+
+
+class CountsUnsyncedNode(RaftNode):
+    leader_type = CountsUnsynced
 
 
-class ForgetsLease(Core):
+class ForgetsLease(Election):
     """Planted: helps another up although a leader was just heard."""
 
-    def _hears_live_leader(self, now: float) -> bool:
+    def hears_live_leader(self, now: float) -> bool:
         return False
 
 
-class SwapsAtOnce(Core):
+class ForgetsLeaseNode(RaftNode):
+    election_type = ForgetsLease
+
+
+class SwapsAtOnce(Reconfiguration):
     """Planted: takes the old name out and the new one in by one change."""
 
-    def _table_for(self, peer: Peer, now: float) -> tuple[str, ...] | None:
-        voters = self.log.voters
-        old = next((who for who in voters if ip_of(who) == ip_of(peer.name)), None)
-        if old is None or old == self.me:
-            return super()._table_for(peer, now)
-        return tuple(sorted((*(who for who in voters if who != old), peer.name)))
+    def voters_adding(self, view: VoterView, learner: str) -> Voters | None:
+        old = next((name for name in view.voters if address_of(name) == address_of(learner)), None)
+        if old is None or old == view.leader:
+            return super().voters_adding(view, learner)
+        return tuple(sorted((*(name for name in view.voters if name != old), learner)))
+
+
+class SwapsAtOnceNode(RaftNode):
+    reconfiguration_type = SwapsAtOnce
 
 
 class Schedules(unittest.TestCase):
@@ -84,37 +105,37 @@
 class Planted(unittest.TestCase):
     """The checks are worth something: each of these is found by some schedule."""
 
-    def find(self, core_class: type[Core], seeds: range) -> None:
+    def find(self, node_type: type[RaftNode], seeds: range) -> None:
         for seed in seeds:
             try:
-                Schedule(seed, core_class, seconds=4.0, storm=True).play()
-            except (Wrong, Diverged):
+                Schedule(seed, node_type, seconds=4.0, storm=True).play()
+            except (Wrong, ConsensusViolationError):
                 return
-        self.fail(f"{core_class.__name__} is not found")
+        self.fail(f"{node_type.__name__} is not found")
 
     def test_acknowledged_before_sync(self) -> None:
-        self.find(AcknowledgesUnsynced, range(120))
+        self.find(AcknowledgesUnsyncedNode, range(120))
 
     def test_vote_forgotten(self) -> None:
         self.find(ForgetsVote, range(120))
 
     def test_counted_before_sync(self) -> None:
-        self.find(CountsUnsynced, range(120))
+        self.find(CountsUnsyncedNode, range(120))
 
     def test_lease_forgotten(self) -> None:
         """Cut from the leader alone, a follower is helped up by the third, and two have a lease."""
         with self.assertRaises(Wrong):
             for seed in range(40):
-                self.cut_from_leader(seed, ForgetsLease)
+                self.cut_from_leader(seed, ForgetsLeaseNode)
         for seed in range(40):
-            self.cut_from_leader(seed, Core)
+            self.cut_from_leader(seed, RaftNode)
 
-    def cut_from_leader(self, seed: int, core_class: type[Core]) -> None:
-        cluster = Cluster(seed, core_class=core_class)
+    def cut_from_leader(self, seed: int, node_type: type[RaftNode]) -> None:
+        cluster = Cluster(seed, node_type=node_type)
         leader = cluster.led()
         other = next(n for n in cluster.nodes.values() if n is not leader)
         cluster.cut(leader.ip, other.ip, both=True)
-        cluster.until(lambda: other.live.role == CANDIDATE)
+        cluster.until(lambda: other.live.role is Role.CANDIDATE)
         cluster.isolate(leader.ip)
         cluster.load(0.02, 3.0)
         cluster.run(1.0)
@@ -194,7 +215,7 @@
             self.assertFalse(leader.live.has_lease(cluster.now))
             cluster.thaw(leader)
             cluster.run(2.0)
-            self.assertEqual((cluster.led(), new.live.term, leader.live.role), (new, term, FOLLOWER))
+            self.assertEqual((cluster.led(), new.live.term, leader.live.role), (new, term, Role.FOLLOWER))
             cluster.settle()
 
     def test_frozen_leader_does_not_trust_old_answers(self) -> None:
@@ -205,7 +226,9 @@
             leader.frozen = False
             call()
             self.assertFalse(leader.live.has_lease(cluster.now))
-            self.assertFalse(leader.live.fresh(cluster.now) and leader.live.role == LEADER)
+            self.assertFalse(
+                leader.live.in_contact_with_quorum(cluster.now) and leader.live.role == Role.LEADER
+            )
 
     def test_disk_hung_while_leading(self) -> None:
         for seed in range(10):
@@ -225,7 +248,7 @@
                 cluster.wipe(node)
                 cluster.run(0.3)
                 cluster.start(node)
-                self.assertEqual(node.live.role, LEARNER)
+                self.assertEqual(node.live.role, Role.LEARNER)
                 cluster.until(lambda c=cluster: c.taken_in(), 6.0)  # type: ignore[misc]
             self.assertEqual(sorted(cluster.led().live.voters), ["n0#1", "n1#1", "n2#1"])
             cluster.settle()
@@ -258,7 +281,7 @@
         big = b"".join(bytes([n % 251]) * 1000 for n in range(600))
         for node in cluster.nodes.values():
             log = node.live.log
-            log.tail = 0
+            log.retained_entries = 0
             log.compact(log.snapshot)
             log.snapshot.data = big  # not what was agreed: only how it travels is looked at
         learner = self.others(cluster, leader)[0]
@@ -278,7 +301,7 @@
         node.place = action.index
 
     def half(self, cluster: Cluster, learner: Node) -> None:
-        cluster.until(lambda: learner.live.incoming is not None and len(learner.live.incoming.data) > 200_000)
+        cluster.until(lambda: len(getattr(learner.live.follower.incoming_snapshot, "data", b"")) > 200_000)
 
     def test_follower_far_behind(self) -> None:
         cluster, leader = self.begun(6)
@@ -286,7 +309,7 @@
         cluster.power(behind)
         cluster.load(0.002, 3.0)
         cluster.run(4.0)
-        self.assertGreater(leader.live.log.base, 700, "the log was let go, so only an image can help")
+        self.assertGreater(leader.live.log.base_index, 700, "the log was let go, so only an image can help")
         cluster.start(behind)
         cluster.until(lambda: behind.place >= leader.place - 20, 3.0)
         cluster.settle()
@@ -301,7 +324,7 @@
         cluster.until(lambda: gone.name not in cluster.led().live.voters, 0.5)
         self.assertEqual(len(cluster.led().live.voters), 3)
         cluster.start(gone)
-        cluster.until(lambda: gone.live.role == LEARNER, 5.0)
+        cluster.until(lambda: gone.live.role == Role.LEARNER, 5.0)
         cluster.run(3.0)
         self.assertEqual(gone.live.leader, cluster.led().name, "it is fed, as long as it knocks")
 
@@ -309,7 +332,7 @@
         cluster = Cluster(8, 3, spares=2)
         cluster.wanted = 5
         for node in cluster.nodes.values():
-            node.live.voters_wanted = 5
+            node.live.reconfiguration.policy.target_size = 5
         cluster.until(cluster.whole, 10.0)
         self.assertEqual(len(cluster.led().live.voters), 5)
 
@@ -324,8 +347,8 @@
 class Members(unittest.TestCase):
     """Who votes, while disks are lost and machines come back, are removed, or are gone for good."""
 
-    def walk(self, seed: int, core_class: type[Core] = Core) -> Chaos:
-        chaos = Chaos(seed, 5 if seed % 3 == 0 else 3, seed % 4 // 2, core_class)
+    def walk(self, seed: int, node_type: type[RaftNode] = RaftNode) -> Chaos:
+        chaos = Chaos(seed, 5 if seed % 3 == 0 else 3, seed % 4 // 2, node_type)
         chaos.play(STEPS)
         return chaos
 
@@ -339,31 +362,33 @@
         self.assertGreater((losses, gone), (2 * WALKS, 5), "so little happens that little is proven")
 
     def test_adversary_finds_what_is_planted(self) -> None:
-        for core_class in (ForgetsVote, CountsUnsynced):
-            with self.subTest(core_class.__name__), self.assertRaises((Wrong, Diverged)):
+        for node_type in (ForgetsVote, CountsUnsyncedNode):
+            with self.subTest(node_type.__name__), self.assertRaises((Wrong, ConsensusViolationError)):
                 for seed in range(WALKS):
-                    self.walk(seed, core_class)
+                    self.walk(seed, node_type)
 
     def test_vote_of_a_disk_that_was_lost(self) -> None:
         """n0 leads. n2 helps n1 up in a newer term and loses its disk, before n0 has heard of that. n0 takes
         n2 in again: if that takes a majority without n1, two leaders agree on different things.
         """
-        with self.assertRaises((Wrong, Diverged)):
-            self.voted_and_lost(SwapsAtOnce)
-        self.voted_and_lost(Core)
+        with self.assertRaises((Wrong, ConsensusViolationError)):
+            self.voted_and_lost(SwapsAtOnceNode)
+        self.voted_and_lost(RaftNode)
 
-    def voted_and_lost(self, core_class: type[Core]) -> None:
-        chaos = Chaos(1, core_class=core_class)
+    def voted_and_lost(self, node_type: type[RaftNode]) -> None:
+        chaos = Chaos(1, node_type=node_type)
         old, new, lost = chaos.machines.values()
         lead = {old.ip, new.ip, lost.ip}
         for machine, seconds in ((new, 0.61), (lost, 0.61), (old, 1.3)):
             chaos.tick(machine, seconds)
         self.among(chaos, lead)
-        self.assertEqual(old.core and old.core.role, LEADER)
+        self.assertEqual(old.core and old.core.role, Role.LEADER)
         for machine, seconds in ((lost, 0.61), (new, 1.3)):
             chaos.tick(machine, seconds)
-        self.among(chaos, {new.ip, lost.ip}, until=lambda: new.core is not None and new.core.role == LEADER)
-        self.assertEqual((new.core and new.core.role, old.core and old.core.role), (LEADER, LEADER))
+        self.among(
+            chaos, {new.ip, lost.ip}, until=lambda: new.core is not None and new.core.role == Role.LEADER
+        )
+        self.assertEqual((new.core and new.core.role, old.core and old.core.role), (Role.LEADER, Role.LEADER))
         chaos.wire.clear()
         self.assertTrue(chaos.wipe(lost))
         chaos.start(lost)
@@ -380,7 +405,7 @@
         for _ in range(30):
             wire, chaos.wire = chaos.wire, []
             for src, to, message in wire:
-                if {ip_of(src), ip_of(to)} <= ips and not until():
+                if {address_of(src), address_of(to)} <= ips and not until():
                     chaos.arrive(src, to, message)
             for ip in sorted(ips):
                 if not until():
@@ -430,7 +455,7 @@
         cluster.until(lambda: spare.name in cluster.led().live.voters, 8.0)
         cluster.start(gone)
         cluster.run(2.0)
-        self.assertEqual(gone.live.role, LEARNER)
+        self.assertEqual(gone.live.role, Role.LEARNER)
         cluster.power(spare)
         cluster.until(lambda: gone.name in cluster.led().live.voters, 8.0)
         cluster.until(lambda: spare.name not in cluster.led().live.voters, 0.5)
@@ -441,48 +466,52 @@
 class Single(unittest.TestCase):
     """One core by hand."""
 
-    def core(self, saved: Saved | None = None) -> Core:
-        return Core("a#0", saved, ("a#0", "b#0", "c#0"), Timing(), 1, 0.0)
+    def core(self, saved: PersistedState | None = None) -> RaftNode:
+        return RaftNode("a#0", saved, ("a#0", "b#0", "c#0"), Timing(), 1, 0.0)
 
-    def sends(self, actions: list[Any], word: str) -> list[Send]:
-        return [a for a in actions if isinstance(a, Send) and a.message[0] == word]
+    def votes(self, actions: list[Any]) -> list[tuple[str, RequestVoteResponse]]:
+        return [
+            (a.to, a.message)
+            for a in actions
+            if isinstance(a, Send) and isinstance(a.message, RequestVoteResponse)
+        ]
 
     def test_vote_waits_for_the_disk(self) -> None:
         core = self.core()
         first = [a for a in core.tick(0.0) if isinstance(a, Persist)]
-        core.synced(0.01, first[0].ticket)
-        out = core.receive(5.0, "b#0", (VOTE, 3, 9, 2, False))
-        self.assertEqual(self.sends(out, VOTE_RE), [])
+        core.persisted(0.01, first[0].write_id)
+        out = core.receive(5.0, "b#0", RequestVote(3, 9, 2, False))
+        self.assertEqual(self.votes(out), [])
         persist = next(a for a in out if isinstance(a, Persist))
-        self.assertEqual((persist.term, persist.vote), (3, "b#0"))
-        other = self.sends(core.receive(5.0, "c#0", (VOTE, 3, 9, 2, False)), VOTE_RE)
-        self.assertEqual([send.message[2] for send in other], [False])
-        out = core.synced(5.01, persist.ticket)
-        self.assertEqual(self.sends(out, VOTE_RE), [Send("b#0", (VOTE_RE, 3, True))])
+        self.assertEqual((persist.term, persist.voted_for), (3, "b#0"))
+        other = self.votes(core.receive(5.0, "c#0", RequestVote(3, 9, 2, False)))
+        self.assertEqual([vote.granted for _, vote in other], [False])
+        out = core.persisted(5.01, persist.write_id)
+        self.assertEqual(self.votes(out), [("b#0", RequestVoteResponse(3, True))])
 
     def test_restart_keeps_the_vote_and_shows_the_image(self) -> None:
         members = ("a#0", "b#0", "c#0")
-        core = self.core(Saved(4, "b#0", members, 7, 3, b"image", ()))
+        core = self.core(PersistedState(4, "b#0", Snapshot(7, 3, members, b"image"), ()))
         out = core.tick(0.0)
         self.assertIn(Restore(7, b"image"), out)
-        self.assertEqual((core.term, core.vote, core.voters, core.applied), (4, "b#0", members, 7))
-        out = core.receive(5.0, "c#0", (VOTE, 4, 99, 4, False))
-        self.assertEqual(self.sends(out, VOTE_RE)[0].message[2], False)
+        self.assertEqual((core.term, core.voted_for, core.voters, core.last_applied), (4, "b#0", members, 7))
+        out = core.receive(5.0, "c#0", RequestVote(4, 99, 4, False))
+        self.assertEqual(self.votes(out)[0][1].granted, False)
 
     def test_proposals_gather_while_the_disk_writes(self) -> None:
-        core = Core("a#0", None, ("a#0",), Timing(), 1, 0.0)
+        core = RaftNode("a#0", None, ("a#0",), Timing(), 1, 0.0)
         now, pending = 0.0, list[Persist]()
-        while core.role != LEADER or pending:
+        while core.role != Role.LEADER or pending:
             now += 0.02
             out = core.tick(now)
-            out += [b for p in pending for b in core.synced(now, p.ticket)]
+            out += [b for p in pending for b in core.persisted(now, p.write_id)]
             pending = [a for a in out if isinstance(a, Persist)]
         placed = [core.propose(now, b"%d" % n) for n in range(5)]
         self.assertEqual([p and p[0] - placed[0][0] for p in placed if placed[0]], [0, 1, 2, 3, 4])
         out = core.drain()
         persists = [a for a in out if isinstance(a, Persist)]
         self.assertEqual([len(p.entries) for p in persists], [1])
-        out = core.synced(now, persists[0].ticket)
+        out = core.persisted(now, persists[0].write_id)
         self.assertEqual([len(a.entries) for a in out if isinstance(a, Persist)], [4])
 
     def test_messages_can_be_packed(self) -> None:
@@ -490,4 +519,4 @@
         for now in (0.0, 1.3, 1.5):
             for action in core.tick(now):
                 if isinstance(action, Send):
-                    msgpack.packb(action.message)
+                    msgpack.packb(encode_message(action.message))
--- a/tests/mesh/test_raft_cuts.py
+++ b/tests/mesh/test_raft_cuts.py
@@ -6,8 +6,11 @@
 import unittest
 from collections.abc import Callable
 
-from minthitch.mesh.raft.core import LEADER, Core
-from minthitch.mesh.raft.messages import Diverged
+from minthitch.mesh.raft.actions import Action
+from minthitch.mesh.raft.election import Election
+from minthitch.mesh.raft.errors import ConsensusViolationError
+from minthitch.mesh.raft.leader import Leader
+from minthitch.mesh.raft.node import RaftNode
 from tests.mesh.cluster import Cluster, Node, Wrong
 
 CUT_S = 20.0
@@ -15,48 +18,65 @@
 RESTARTS = (None, 0.2, 5.0, 19.9)  # seconds into the cut at which the one that is cut restarts
 
 
-class LeaseByArrival(Core):
+class LeaseByArrival(Leader):
     """Planted: an answer counts from when it came, not from when the message that it answers was sent."""
 
-    def _quorum_sent_at(self, now: float) -> float:
-        return self._quorum_heard(now)
+    def quorum_acknowledged_sent_at(self, now: float) -> float:
+        return self.quorum_last_response_at(now)
 
 
-class LeadsWithoutContact(Core):
+class LeaseByArrivalNode(RaftNode):
+    leader_type = LeaseByArrival
+
+
+class LeadsWithoutContact(Leader):
     """Planted: a leader that no majority answers goes on."""
 
-    def _lost_quorum(self, now: float) -> bool:
+    def has_lost_quorum(self, now: float) -> bool:
         return False
 
-    def _quorum_sent_at(self, now: float) -> float:
+    def quorum_acknowledged_sent_at(self, now: float) -> float:
         return now
 
 
-class CommitsWithoutQuorum(Core):
+class LeadsWithoutContactNode(RaftNode):
+    leader_type = LeadsWithoutContact
+
+
+class CommitsWithoutQuorum(Leader):
     """Planted: any one other copy counts as a majority."""
 
-    def _count(self, now: float) -> None:
-        index = max([peer.match for peer in self.peers.values()], default=0)
-        if self.commit < index <= self.log.durable and self.log.term_at(index) == self.term:
-            self._advance_commit(index)
+    def update_commit_index(self, now: float) -> None:
+        member = self._member
+        index = max([progress.match_index for progress in self.peers.values()], default=0)
+        if member.commit_index < index <= member.log.durable and member.log.term_at(index) == member.term:
+            member.advance_commit_index(index)
 
 
-class LeadsOnAfterRestart(Core):
+class CommitsWithoutQuorumNode(RaftNode):
+    leader_type = CommitsWithoutQuorum
+
+
+class LeadsOnAfterRestart(RaftNode):
     """Planted: a restarted member takes up the leadership that its vote shows."""
 
-    def tick(self, now: float) -> list[object]:  # type: ignore[override]
+    def tick(self, now: float) -> list[Action]:
         if not hasattr(self, "looked"):
             self.looked = True
-            if self.vote == self.me and self.role != LEADER:
-                self._become_leader(now)
-        return super().tick(now)  # type: ignore[return-value]
+            if self.voted_for == self.name and not self.is_leader:
+                self.leader_state.start(now)
+        return super().tick(now)
 
 
-class UnseatsOnReturn(Core):
+class UnseatsOnReturn(Election):
     """Planted: stands without asking first, whoever leads."""
 
     def _start_pre_vote(self, now: float) -> None:
-        self._become_candidate(now, forced=True)
+        self._start_candidacy(now, leadership_transfer=True)
+
+
+class UnseatsOnReturnNode(RaftNode):
+    election_type = UnseatsOnReturn
 
 
 def checked(cluster: Cluster, seconds: float) -> None:
@@ -115,7 +135,7 @@
         cluster.cuts.clear()
         checked(cluster, 3.0)
         self.assertEqual((cluster.led(), leader.live.term), (leader, term))
-        self.assertTrue(node.live.fresh(cluster.now))
+        self.assertTrue(node.live.in_contact_with_quorum(cluster.now))
         cluster.settle()
 
     def test_a_follower(self) -> None:
@@ -166,16 +186,16 @@
 class Planted(unittest.TestCase):
     """Each of these is found by a cut, and the core as it is isn't."""
 
-    def found(self, core_class: type[Core], play: Callable[[type[Core], int], None]) -> None:
+    def found(self, node_type: type[RaftNode], play: Callable[[type[RaftNode], int], None]) -> None:
         for seed in range(8):
-            play(Core, seed)
-        with self.assertRaises((Wrong, Diverged)):
+            play(RaftNode, seed)
+        with self.assertRaises((Wrong, ConsensusViolationError)):
             for seed in range(8):
-                play(core_class, seed)
+                play(node_type, seed)
 
-    def frozen(self, core_class: type[Core], seed: int) -> None:
+    def frozen(self, node_type: type[RaftNode], seed: int) -> None:
         """The leader freezes with answers under way; the others choose another; it wakes and reads them."""
-        cluster = Cluster(seed, 3, core_class)
+        cluster = Cluster(seed, 3, node_type)
         leader = cluster.led()
         cluster.load(0.02, 6.0)
         cluster.run(0.5 + 0.013 * seed)
@@ -190,8 +210,8 @@
                 raise Wrong("a stale lease")
             cluster.check(leader)
 
-    def isolated(self, core_class: type[Core], seed: int) -> None:
-        cluster = Cluster(seed, 5, core_class)
+    def isolated(self, node_type: type[RaftNode], seed: int) -> None:
+        cluster = Cluster(seed, 5, node_type)
         leader = cluster.led()
         cluster.load(0.02, 6.0)
         cluster.run(0.5)
@@ -201,8 +221,8 @@
         checked(cluster, 4.0)
         cluster.settle()
 
-    def restarted(self, core_class: type[Core], seed: int) -> None:
-        cluster = Cluster(seed, 3, core_class)
+    def restarted(self, node_type: type[RaftNode], seed: int) -> None:
+        cluster = Cluster(seed, 3, node_type)
         leader = cluster.led()
         cluster.load(0.02, 6.0)
         cluster.run(0.5)
@@ -212,8 +232,8 @@
         checked(cluster, 3.0)
         cluster.settle()
 
-    def returned(self, core_class: type[Core], seed: int) -> None:
-        cluster = Cluster(seed, 3, core_class)
+    def returned(self, node_type: type[RaftNode], seed: int) -> None:
+        cluster = Cluster(seed, 3, node_type)
         leader = cluster.led()
         cluster.load(0.05, 6.0)
         node = next(n for n in cluster.nodes.values() if n is not leader)
@@ -225,16 +245,16 @@
             raise Wrong("a good leader is unseated")
 
     def test_a_lease_not_bounded_by_the_leaders_own_stamps(self) -> None:
-        self.found(LeaseByArrival, self.frozen)
+        self.found(LeaseByArrivalNode, self.frozen)
 
     def test_a_leader_without_contact(self) -> None:
-        self.found(LeadsWithoutContact, self.isolated)
+        self.found(LeadsWithoutContactNode, self.isolated)
 
     def test_a_commit_without_a_majority(self) -> None:
-        self.found(CommitsWithoutQuorum, self.isolated)
+        self.found(CommitsWithoutQuorumNode, self.isolated)
 
     def test_a_restarted_member_that_leads_with_old_state(self) -> None:
         self.found(LeadsOnAfterRestart, self.restarted)
 
     def test_a_returning_member_that_unseats_the_leader(self) -> None:
-        self.found(UnseatsOnReturn, self.returned)
+        self.found(UnseatsOnReturnNode, self.returned)
