--- a/tests/mesh/test_raft_membership.py
+++ b/tests/mesh/test_raft_membership.py
@@ -5,16 +5,25 @@
 import itertools
 import unittest
 from collections.abc import Callable, Iterator
-from typing import Any
 from unittest import mock
 
 import msgpack
 
 from minthitch.mesh.raft import membership
-from minthitch.mesh.raft.core import LEADER, LEARNER, Core, ip_of
-from minthitch.mesh.raft.membership import View, surplus, table_for, without_silent
+from minthitch.mesh.raft.actions import Action, Send
+from minthitch.mesh.raft.errors import ConsensusViolationError
+from minthitch.mesh.raft.member import Role
+from minthitch.mesh.raft.membership import (
+    VoterView,
+    address_of,
+    voters_adding,
+    voters_without_surplus,
+    voters_without_unresponsive,
+)
+from minthitch.mesh.raft.messages import ForwardedJoin
+from minthitch.mesh.raft.node import RaftNode
 from minthitch.mesh.raft.placement import Tolerated
-from minthitch.mesh.raft.messages import JOIN, Diverged
+from minthitch.mesh.raft.reconfiguration import Reconfiguration
 from tests.mesh import chaos
 from tests.mesh.chaos import Chaos, Machine
 from tests.mesh.cluster import Cluster, Node, Wrong
@@ -25,52 +34,53 @@
 WALKS = 20
 
 
-def view(voters: tuple[str, ...], away: tuple[str, ...], wanted: int) -> View:
+def view(voters: tuple[str, ...], away: tuple[str, ...], wanted: int) -> VoterView:
     lively = frozenset(voters) - set(away)
-    return View(voters[0], voters, lively, away, wanted, Tolerated(), {})
+    return VoterView(voters[0], voters, lively, away, wanted, Tolerated(), {})
 
 
 def quorum(voters: tuple[str, ...]) -> int:
     return len(voters) // 2 + 1
 
 
-def removes_first(before: View, learner: str) -> tuple[str, ...] | None:
+def removes_first(before: VoterView, learner: str) -> tuple[str, ...] | None:
     """Planted: the silent voter is removed before its successor is added."""
-    if len(before.voters) < before.wanted:
+    if len(before.voters) < before.target_size:
         return before.with_added(learner)
-    return before.without(before.silent[0]) if before.silent else None
+    return before.without(before.unresponsive[0]) if before.unresponsive else None
 
 
-class TellsNobody(Core):
+class TellsNobody(RaftNode):
     """Planted: a follower that is asked for its vote by a voter of old doesn't tell the leader."""
 
-    def _send(self, to: str, *message: Any) -> None:
-        if message[0] != JOIN:
-            super()._send(to, *message)
+    def drain(self) -> list[Action]:
+        return [
+            a for a in super().drain() if not (isinstance(a, Send) and isinstance(a.message, ForwardedJoin))
+        ]
 
 
 class Steps(unittest.TestCase):
     """The pure rule, over all groups of 2 to 6 voters and all that may be silent in them."""
 
-    def views(self) -> Iterator[View]:
+    def views(self) -> Iterator[VoterView]:
         for count, wanted in itertools.product(range(2, 7), (3, 5)):
             voters = tuple(f"v{n}#0" for n in range(count))
             for silent in range(count - quorum(voters) + 1):
                 for away in itertools.combinations(voters[1:], silent):
                     yield view(voters, away, wanted)
 
-    def replaced(self, before: View) -> list[tuple[str, ...]]:
+    def replaced(self, before: VoterView) -> list[tuple[str, ...]]:
         """The tables that a group of the wanted number goes through while a learner takes a silent seat."""
         tables = [before.voters]
         for _ in range(4):
-            after = surplus(before) or table_for(before, "new#0") or before.voters
+            after = voters_without_surplus(before) or voters_adding(before, "new#0") or before.voters
             if after == before.voters:
                 break
-            gone = tuple(name for name in before.silent if name in after)
-            lively = (before.lively | {"new#0"}) & set(after)
-            before = before._replace(voters=after, silent=gone, lively=lively)
+            gone = tuple(name for name in before.unresponsive if name in after)
+            lively = (before.responsive | {"new#0"}) & set(after)
+            before = before._replace(voters=after, unresponsive=gone, responsive=lively)
             tables.append(after)
-            if "new#0" in after and len(after) == before.wanted:
+            if "new#0" in after and len(after) == before.target_size:
                 break
         return tables
 
@@ -78,14 +88,14 @@
         """Whichever voters they strike: k of 2k + 1 wanted, at each table of a replacement."""
         played = 0
         for before in self.views():
-            if not before.silent or len(before.voters) != before.wanted:
+            if not before.unresponsive or len(before.voters) != before.target_size:
                 continue
             tables = self.replaced(before)
-            self.assertEqual([len(table) - before.wanted for table in tables], [0, 1, 0], before)
-            self.assertEqual(set(tables[0]) - set(tables[-1]), {before.silent[0]})
+            self.assertEqual([len(table) - before.target_size for table in tables], [0, 1, 0], before)
+            self.assertEqual(set(tables[0]) - set(tables[-1]), {before.unresponsive[0]})
             for table in tables:
                 played += 1
-                self.assertGreaterEqual(len(table) - quorum(table), (before.wanted - 1) // 2, table)
+                self.assertGreaterEqual(len(table) - quorum(table), (before.target_size - 1) // 2, table)
         self.assertGreater(played, 30)
 
     def test_the_reverse_order_does_not(self) -> None:
@@ -95,14 +105,18 @@
 
     def test_each_step_can_be_committed_by_those_that_answer(self) -> None:
         for before in self.views():
-            for after in (table_for(before, "new#0"), surplus(before), without_silent(before)):
+            for after in (
+                voters_adding(before, "new#0"),
+                voters_without_surplus(before),
+                voters_without_unresponsive(before),
+            ):
                 if after is not None:
-                    answering = (before.lively | {"new#0"}) & set(after)
+                    answering = (before.responsive | {"new#0"}) & set(after)
                     self.assertGreaterEqual(len(answering), quorum(after), (before, after))
 
     def test_growth_bears_as_many_losses_as_before(self) -> None:
         for before in self.views():
-            for after in (table_for(before, "new#0"), without_silent(before)):
+            for after in (voters_adding(before, "new#0"), voters_without_unresponsive(before)):
                 if after is not None:
                     self.assertGreaterEqual(
                         len(after) - quorum(after), len(before.voters) - quorum(before.voters)
@@ -111,26 +125,26 @@
     def test_one_voter_at_a_time_and_never_the_leader_out(self) -> None:
         for before in self.views():
             for learner in ("new#0", "v1#1"):
-                after = table_for(before, learner)
+                after = voters_adding(before, learner)
                 if after is not None:
                     self.assertEqual(len(set(after) ^ set(before.voters)), 1)
-                    self.assertIn(before.me, after)
+                    self.assertIn(before.leader, after)
 
     def test_one_too_many_is_let_go_once_all_answer(self) -> None:
         """The silent one is back before it was removed: the one that lags most goes, but not the leader."""
         voters = ("a#0", "c#0", "b#0", "d#0")
-        self.assertEqual(surplus(view(voters, (), 3)), ("a#0", "b#0", "d#0"))
-        quiet = view(voters, (), 3)._replace(lively=frozenset(voters) - {"c#0"})
-        self.assertIsNone(surplus(quiet), "neither silent nor back")
+        self.assertEqual(voters_without_surplus(view(voters, (), 3)), ("a#0", "b#0", "d#0"))
+        quiet = view(voters, (), 3)._replace(responsive=frozenset(voters) - {"c#0"})
+        self.assertIsNone(voters_without_surplus(quiet), "neither silent nor back")
 
     def test_a_lost_disk_is_removed_before_it_is_added(self) -> None:
         voters = ("a#0", "b#0", "c#0")
-        self.assertEqual(table_for(view(voters, (), 3), "c#1"), ("a#0", "b#0"))
-        self.assertEqual(table_for(view(("a#0", "b#0"), (), 3), "c#1"), ("a#0", "b#0", "c#1"))
+        self.assertEqual(voters_adding(view(voters, (), 3), "c#1"), ("a#0", "b#0"))
+        self.assertEqual(voters_adding(view(("a#0", "b#0"), (), 3), "c#1"), ("a#0", "b#0", "c#1"))
 
     def test_what_the_voters_that_answer_cannot_commit_is_not_begun(self) -> None:
         voters = ("a#0", "b#0", "c#0", "d#0", "e#0")
-        self.assertIsNone(table_for(view(voters, ("c#0", "d#0", "e#0"), 5), "f#0"))
+        self.assertIsNone(voters_adding(view(voters, ("c#0", "d#0", "e#0"), 5), "f#0"))
 
     def test_nobody_is_replaced_for_no_learner(self) -> None:
         cluster = Cluster(1, 3)
@@ -146,8 +160,12 @@
 
     steps = ("silent", "addition begun", "addition committed", "removal begun", "removal committed")
 
-    def __init__(self, seed: int, count: int, gone_after: float = 1.5, core_class: type[Core] = Core) -> None:
-        self.cluster = Cluster(seed, count, core_class, spares=1, gone_after=gone_after, sync=(0.005, 0.04))
+    def __init__(
+        self, seed: int, count: int, unresponsive_after: float = 1.5, node_type: type[RaftNode] = RaftNode
+    ) -> None:
+        self.cluster = Cluster(
+            seed, count, node_type, spares=1, unresponsive_after=unresponsive_after, sync=(0.005, 0.04)
+        )
         self.cluster.led()
         self.cluster.load(0.04, 60.0)
         self.cluster.run(1.0)
@@ -161,15 +179,15 @@
         node = self.cluster.leader()
         if node is None:
             return False
-        log, commit = node.live.log, node.live.commit
+        log, commit = node.live.log, node.live.commit_index
         removed, added = self.gone.name not in log.voters, self.newcomer.name in log.voters
         return {
             "silent": True,
             "addition begun": added,
-            "addition committed": added and (removed or log.table_index <= commit),
+            "addition committed": added and (removed or log.voters_index <= commit),
             "removal begun": removed and added,
             "removal begun, no addition": removed and not added,
-            "removal committed": removed and added and log.table_index <= commit,
+            "removal committed": removed and added and log.voters_index <= commit,
         }[step]
 
     def until(self, step: str) -> None:
@@ -252,9 +270,9 @@
 
         self.each(play, 3)
 
-    def second_loss(self, seed: int, count: int, gone_after: float) -> None:
+    def second_loss(self, seed: int, count: int, unresponsive_after: float) -> None:
         """For good, as soon as the pages count the first as made up for."""
-        replacement = Replacement(seed, count, gone_after)
+        replacement = Replacement(seed, count, unresponsive_after)
         cluster = replacement.cluster
         cluster.run(SYNC_S)
         cluster.power(cluster.led())
@@ -290,7 +308,7 @@
     def test_removal_first_is_found(self) -> None:
         """The leader's disk is lost once the silent voter is removed, which is just restarting."""
         self.lost_while_one_restarts("addition begun")
-        with mock.patch.object(membership, "_step", removes_first), self.assertRaises(Wrong):
+        with mock.patch.object(membership, "_next_voters", removes_first), self.assertRaises(Wrong):
             self.lost_while_one_restarts("removal begun, no addition")
 
     def lost_while_one_restarts(self, step: str) -> None:
@@ -307,7 +325,7 @@
         """By the newest voters, agreed and four at least, with `lost` away."""
         core = cluster.led().live
         left = len(set(core.voters) - {lost.name}) - 1
-        agreed = core.log.table_index <= core.commit
+        agreed = core.log.voters_index <= core.commit_index
         return agreed and len(core.voters) >= 4 and left >= quorum(core.voters)
 
     def test_to_five_while_one_of_three_is_lost(self) -> None:
@@ -321,7 +339,7 @@
                 cluster.wanted = 5
                 for node in cluster.nodes.values():
                     if node.core is not None:
-                        node.core.voters_wanted = 5
+                        node.core.reconfiguration.policy.target_size = 5
                 cluster.until(lambda c=cluster, n=lost: self.bears_one_more(c, n), SYNC_S)  # type: ignore[misc]
                 second = cluster.led()
                 cluster.power(second)
@@ -348,12 +366,12 @@
 
     def test_a_replaced_voter_finds_a_leader_that_it_never_heard_of(self) -> None:
         """Its old table names the followers alone: they tell the leader of it."""
-        self.returns_to_a_new_leader(Core)
+        self.returns_to_a_new_leader(RaftNode)
         with self.assertRaises(Wrong):
             self.returns_to_a_new_leader(TellsNobody)
 
-    def returns_to_a_new_leader(self, core_class: type[Core]) -> None:
-        replacement = Replacement(0, 3, core_class=core_class)
+    def returns_to_a_new_leader(self, node_type: type[RaftNode]) -> None:
+        replacement = Replacement(0, 3, node_type=node_type)
         cluster = replacement.cluster
         replacement.until("removal committed")
         while cluster.led() is not replacement.newcomer:
@@ -362,7 +380,7 @@
             cluster.until(lambda old=leader: cluster.leader() not in (None, old))  # type: ignore[misc]
             cluster.thaw(leader)
         cluster.start(replacement.gone)
-        cluster.until(lambda: replacement.gone.live.role == LEARNER, 5.0)
+        cluster.until(lambda: replacement.gone.live.role is Role.LEARNER, 5.0)
         replacement.settle()
 
     def test_a_voter_that_was_replaced_returns_as_a_learner(self) -> None:
@@ -374,7 +392,7 @@
         self.assertIn("n3#0", cluster.led().live.voters)
         term = cluster.led().live.term
         cluster.thaw(away)
-        cluster.until(lambda: away.live.role == LEARNER, 2.0)
+        cluster.until(lambda: away.live.role is Role.LEARNER, 2.0)
         cluster.run(5.0)
         self.assertEqual((cluster.led().live.term, len(cluster.led().live.voters)), (term, 3))
         self.assertNotIn(away.name, cluster.led().live.voters, "it doesn't flap")
@@ -383,9 +401,9 @@
 class Restless(Chaos):
     """The adversary over replacements: voters are gone or retire more often, and seats are given up soon."""
 
-    def __init__(self, seed: int, count: int, spares: int, core_class: type[Core]) -> None:
+    def __init__(self, seed: int, count: int, spares: int, node_type: type[RaftNode]) -> None:
         self.gone_as_learners = set[str]()
-        super().__init__(seed, count, spares, core_class)
+        super().__init__(seed, count, spares, node_type)
 
     def step(self) -> None:
         super().step()
@@ -394,8 +412,8 @@
         if draw.random() < 0.004:
             self.lose(machine)
         elif draw.random() < 0.004 and machine.core is not None:
-            self.on(machine, lambda core: core.retire(machine.now))
-        elif machine.core is not None and machine.core.retired(machine.now):
+            self.on(machine, lambda core: core.begin_shutdown(machine.now))
+        elif machine.core is not None and machine.core.may_end(machine.now):
             self.stop(machine)
 
     def lost(self, *more: Machine) -> int:
@@ -403,7 +421,7 @@
         if not self.table:
             return super().lost(*more)
         entry = self.agreed[self.table]
-        voting = {ip_of(name) for name in msgpack.unpackb(entry.data)}
+        voting = {address_of(name) for name in msgpack.unpackb(entry.data)}
         outside = [m for m in self.machines.values() if m.ip not in voting]
         empty = [m for m in outside if m.incarnation and not m.gone and not m.holds(entry.index, entry.term)]
         gone = [m for m in outside if m.ip in self.gone_as_learners]
@@ -417,28 +435,34 @@
 
     def settle(self, rounds: int = 400) -> None:
         for machine in self.machines.values():
-            if machine.core is not None and machine.core.retiring is not None:
+            if machine.core is not None and machine.core.is_shutting_down:
                 self.stop(machine)
         super().settle(rounds)
 
 
-class SwapsAtOnce(Core):
-    """Planted: the successor takes the seat of the silent voter by one change."""
+class SwapsAtOnce(Reconfiguration):
+    """Planted: the successor takes the seat of the unresponsive voter by one change."""
 
-    def _change_voters(self, now: float) -> None:
-        waiting = [peer for peer in self.peers.values() if self._may_be_added(peer, now)]
-        silent = self._view(now).silent
-        if self.role == LEADER and waiting and silent and self.log.table_index <= self.commit:
-            table = tuple(name for name in self.voters if name != silent[0])
-            self._append_voters(now, tuple(sorted((*table, waiting[0].name))))
+    def change_voters(self, now: float) -> None:
+        member = self._member
+        learners = [peer for peer in self._leader.peers.values() if self._may_be_added(peer, now)]
+        unresponsive = self._view(now).unresponsive if member.is_leader else ()
+        settled = member.log.voters_index <= member.commit_index
+        if member.is_leader and learners and unresponsive and settled:
+            remaining = tuple(name for name in member.log.voters if name != unresponsive[0])
+            self._append_voters(now, tuple(sorted((*remaining, learners[0].name))))
         else:
-            super()._change_voters(now)
+            super().change_voters(now)
+
+
+class SwapsAtOnceNode(RaftNode):
+    reconfiguration_type = SwapsAtOnce
 
 
 class Adversary(unittest.TestCase):
-    def walk(self, seed: int, core_class: type[Core] = Core) -> Restless:
+    def walk(self, seed: int, node_type: type[RaftNode] = RaftNode) -> Restless:
         with mock.patch.object(chaos, "GONE", 0.3):
-            walk = Restless(seed, 5 if seed % 3 == 0 else 3, 2, core_class)
+            walk = Restless(seed, 5 if seed % 3 == 0 else 3, 2, node_type)
             walk.play(2_500)
         return walk
 
@@ -447,15 +471,15 @@
         self.assertGreater(gone, WALKS // 5, "so few are gone that little is proven")
 
     def test_a_swap_by_one_change_is_found(self) -> None:
-        with self.assertRaises((Wrong, Diverged)):
-            self.helped_up_and_replaced(SwapsAtOnce)
-        self.helped_up_and_replaced(Core)
+        with self.assertRaises((Wrong, ConsensusViolationError)):
+            self.helped_up_and_replaced(SwapsAtOnceNode)
+        self.helped_up_and_replaced(RaftNode)
 
-    def helped_up_and_replaced(self, core_class: type[Core]) -> None:
+    def helped_up_and_replaced(self, node_type: type[RaftNode]) -> None:
         """n0 leads. n2 helps n1 up in a newer term, n0 hears of neither and has the learner n3 at hand: if it
         commits with that one alone, two leaders agree on different things."""
         with mock.patch.object(chaos, "GONE", 0.3):
-            walk = Chaos(1, 3, 1, core_class)
+            walk = Chaos(1, 3, 1, node_type)
         old, new, helper, learner = walk.machines.values()
         for machine, seconds in ((new, 0.61), (helper, 0.61), (old, 1.3)):
             walk.tick(machine, seconds)
@@ -467,7 +491,7 @@
         for machine, seconds in ((helper, 0.61), (new, 1.3)):
             walk.tick(machine, seconds)
         self.among(walk, new, helper)
-        self.assertTrue(old.core and new.core and old.core.role == new.core.role == LEADER)
+        self.assertTrue(old.core and new.core and old.core.role == new.core.role == Role.LEADER)
         for _ in range(6):
             walk.tick(learner, 0.02)
             walk.tick(old, 0.06)
@@ -483,7 +507,7 @@
         for _ in range(30):
             wire, walk.wire = walk.wire, []
             for src, to, message in wire:
-                if {ip_of(src), ip_of(to)} <= names:
+                if {address_of(src), address_of(to)} <= names:
                     walk.arrive(src, to, message)
             for machine in machines:
                 walk.sync(machine)
--- a/tests/mesh/test_raft_placement.py
+++ b/tests/mesh/test_raft_placement.py
@@ -8,11 +8,11 @@
 from minthitch.mesh.raft.placement import (
     Location,
     Tolerated,
-    bears,
     improves,
+    least_useful,
     shortfall,
-    voters_wanted,
-    weakest,
+    target_group_size,
+    tolerates,
 )
 from tests.mesh.cluster import Cluster, Wrong
 
@@ -41,7 +41,7 @@
 class Rules(unittest.TestCase):
     def test_how_many_are_wanted(self) -> None:
         terms = (Tolerated(), Tolerated(0), Tolerated(2), Tolerated(1, 2), Tolerated(1, 0, 3))
-        self.assertEqual([voters_wanted(t) for t in terms], [3, 3, 5, 5, 7])
+        self.assertEqual([target_group_size(t) for t in terms], [3, 3, 5, 5, 7])
 
     def test_against_trial(self) -> None:
         for count, losses in itertools.product((3, 4, 5), (1, 2)):
@@ -52,29 +52,29 @@
 
     def test_regions_come_before_zones(self) -> None:
         places = {"n0": Location("1", "x"), "n1": Location("1", "y"), "n2": Location("1", "z")}
-        self.assertTrue(bears(names(3), places, Tolerated(1, 1, 1)), "zones of one name in three regions")
+        self.assertTrue(tolerates(names(3), places, Tolerated(1, 1, 1)), "zones of one name in three regions")
         places["n2"] = Location("2", "y")
         self.assertEqual(shortfall(names(3), places, Tolerated(1, 1, 1)), (1, 0))
 
     def test_too_few_machines(self) -> None:
-        self.assertFalse(bears(names(3), located("abc"), Tolerated(2, 1)))
+        self.assertFalse(tolerates(names(3), located("abc"), Tolerated(2, 1)))
 
     def test_an_unknown_place_counts_as_lost(self) -> None:
         places = located("abc")
         del places["n2"]
-        self.assertFalse(bears(names(3), places, ZONE))
+        self.assertFalse(tolerates(names(3), places, ZONE))
         self.assertFalse(improves(names(3), "n3#0", "n0#0", places, ZONE))
 
     def test_no_terms_no_moves(self) -> None:
         places = located("aaab")
-        self.assertTrue(bears(names(3), places, Tolerated()))
+        self.assertTrue(tolerates(names(3), places, Tolerated()))
         self.assertFalse(improves(names(3), "n3#0", "n0#0", places, Tolerated()))
 
     def test_a_swap_that_helps(self) -> None:
         places = located("aabc")
         self.assertTrue(improves(names(3), "n3#0", "n0#0", places, ZONE))
-        self.assertEqual(weakest(names(4), "n0#0", places, ZONE), "n1#0")
-        self.assertEqual(weakest(names(4), "n1#0", places, ZONE), "n0#0")
+        self.assertEqual(least_useful(names(4), "n0#0", places, ZONE), "n1#0")
+        self.assertEqual(least_useful(names(4), "n1#0", places, ZONE), "n0#0")
 
     def test_a_swap_that_helps_nothing(self) -> None:
         for zones in ("abcd", "aaba", "abca"):
@@ -90,12 +90,12 @@
                 better = [n for n in learners if improves(voters, n, voters[0], places, Tolerated(2, 1))]
                 if not better:
                     break
-                out = weakest((*voters, better[0]), voters[0], places, Tolerated(2, 1))
+                out = least_useful((*voters, better[0]), voters[0], places, Tolerated(2, 1))
                 voters = (*(n for n in voters if n != out), better[0])
                 learners = [n for n in (*learners, out) if n != better[0]]
                 swaps += 1
                 self.assertLess(swaps, 5)
-            self.assertTrue(bears(voters, places, Tolerated(2, 1)), zones)
+            self.assertTrue(tolerates(voters, places, Tolerated(2, 1)), zones)
 
 
 class Moves(unittest.TestCase):
@@ -109,8 +109,8 @@
         core = cluster.led().live
         return (
             len(core.voters) == cluster.wanted
-            and core.log.table_index <= core.commit
-            and bears(core.voters, cluster.locations, terms)
+            and core.log.voters_index <= core.commit_index
+            and tolerates(core.voters, cluster.locations, terms)
         )
 
     def loses(self, cluster: Cluster, zone: str) -> None:
@@ -159,7 +159,7 @@
         self.assertEqual([len(voters) for voters in seen], [3, 4, 3, 4, 3])
 
     def test_no_swap_while_a_voter_is_quiet(self) -> None:
-        cluster = Cluster(3, 3, spares=1, gone_after=60.0, tolerated=ZONE)
+        cluster = Cluster(3, 3, spares=1, unresponsive_after=60.0, tolerated=ZONE)
         leader = cluster.led()
         quiet = next(node for node in cluster.nodes.values() if node is not leader and node.ip != "n3")
         cluster.power(quiet)
--- a/tests/mesh/test_raft_snapshots.py
+++ b/tests/mesh/test_raft_snapshots.py
@@ -8,51 +8,62 @@
 
 import msgpack
 
-from minthitch.mesh.raft import following
-from minthitch.mesh.raft.core import PIECE, Core, ip_of
+from minthitch.mesh.raft import follower
+from minthitch.mesh.raft.actions import Action, Restore, Send, Timing
+from minthitch.mesh.raft.follower import Follower
+from minthitch.mesh.raft.leader import CHUNK_BYTES
 from minthitch.mesh.raft.log import Snapshot
-from minthitch.mesh.raft.messages import SNAPSHOT, Action, Restore, Send, Timing
-from minthitch.mesh.raft.snapshots import IncomingSnapshot, OutgoingSnapshot
+from minthitch.mesh.raft.membership import address_of
+from minthitch.mesh.raft.messages import InstallSnapshot, encode_message
+from minthitch.mesh.raft.node import RaftNode
+from minthitch.mesh.raft.snapshot_transfer import IncomingSnapshot, OutgoingSnapshot
 from tests.mesh.cluster import Cluster, Node, Wrong
 
 BIG = b"".join(bytes([n % 251]) * 1000 for n in range(600))
-PIECES = -(-len(BIG) // PIECE)
+CHUNKS = -(-len(BIG) // CHUNK_BYTES)
 SLOW = 331_000  # bytes a second
 CONTROL = Timing(0.05, 0.25)  # as the control servers have it
 
 
-class StartsAnew(Core):
+class StartsAnew(Follower):
     """Planted: what was received is forgotten with the leader that sent it."""
 
-    def _become_follower(self, now: float, term: int, leader: str | None) -> None:
-        if term > self.term:
-            self.incoming = None
-        super()._become_follower(now, term, leader)
+    def reset_match(self) -> None:
+        self.incoming_snapshot = None
+        super().reset_match()
+
+
+class StartsAnewNode(RaftNode):
+    follower_type = StartsAnew
 
 
 class TrustsWhatItGot(IncomingSnapshot):
     """Planted: the checksum isn't looked at."""
 
     @property
-    def intact(self) -> bool:
+    def is_intact(self) -> bool:
         return True
 
 
 class RetriesByTimer(OutgoingSnapshot):
     """Planted: a piece is sent again with each heartbeat, whatever has been answered."""
 
-    def piece(self, size: int, serial: int) -> bytes:
-        self.piece_serial = None
-        return super().piece(size, serial)
+    def next_chunk(self, size: int, sequence: int) -> bytes:
+        self._chunk_sequence = None
+        return super().next_chunk(size, sequence)
+
+
+def _has_chunk(send: Send) -> bool:
+    return isinstance(send.message, InstallSnapshot) and bool(send.message.chunk)
 
 
 class Transfer(Cluster):
     """One member of five lost its disk, and needs a snapshot of `BIG`; what is sent of it is counted."""
 
-    def __init__(self, seed: int, core_class: type[Core] = Core, slow: bool = False) -> None:
+    def __init__(self, seed: int, node_type: type[RaftNode] = RaftNode, slow: bool = False) -> None:
         self.pieces, self.lose = 0, set[int]()
         self.slow, self.link_free = False, dict[tuple[str, str], float]()
-        super().__init__(seed, 5, core_class, timing=CONTROL if slow else Timing())
+        super().__init__(seed, 5, node_type, timing=CONTROL if slow else Timing())
         leader = self.led()
         self.load(0.02, 1.0)
         self.run(1.5)
@@ -67,8 +78,8 @@
 
     def hold(self, node: Node, data: bytes) -> None:
         """Not what was agreed: only how it travels is looked at."""
-        log, index = node.live.log, min(each.live.applied for each in self.nodes.values())
-        log.tail = 0
+        log, index = node.live.log, min(each.live.last_applied for each in self.nodes.values())
+        log.retained_entries = 0
         log.compact(Snapshot(index, log.term_at(index), log.voters, data))
 
     def restore(self, node: Node, action: Restore) -> None:
@@ -76,7 +87,7 @@
 
     def act(self, node: Node, actions: Sequence[Action]) -> None:
         for action in actions:
-            if isinstance(action, Send) and action.message[0] == SNAPSHOT and action.message[8]:
+            if isinstance(action, Send) and _has_chunk(action):
                 self.pieces += 1
                 if self.pieces in self.lose:
                     continue
@@ -87,7 +98,7 @@
 
     def queue(self, node: Node, send: Send) -> None:
         """Over a slow link, in order."""
-        packed, target = msgpack.packb(send.message), self.nodes[ip_of(send.to)]
+        packed, target = msgpack.packb(encode_message(send.message)), self.nodes[address_of(send.to)]
         link = (node.ip, target.ip)
         self.link_free[link] = max(self.link_free.get(link, 0.0), self.now) + len(packed) / SLOW
         call, life = self.receiver(node.name, packed), target.life
@@ -99,8 +110,8 @@
         self.at(self.link_free[link] - self.now + 0.001, arrive)
 
     def has(self, count: int) -> bool:
-        incoming = self.learner.live.incoming
-        return incoming is not None and len(incoming.data) >= min(count * PIECE, len(BIG) - 1)
+        incoming = self.learner.live.follower.incoming_snapshot
+        return incoming is not None and len(incoming.data) >= min(count * CHUNK_BYTES, len(BIG) - 1)
 
     def until_it_has(self, count: int) -> None:
         while not self.has(count):
@@ -119,21 +130,21 @@
 
 class Pieces(unittest.TestCase):
     def test_each_piece_lost_once(self) -> None:
-        for lost in range(1, PIECES + 1):
+        for lost in range(1, CHUNKS + 1):
             with self.subTest(lost=lost):
                 transfer = Transfer(lost)
                 transfer.lose = {lost}
                 transfer.until(transfer.arrived, 2.0)
-                self.assertEqual(transfer.pieces, PIECES + 1)
+                self.assertEqual(transfer.pieces, CHUNKS + 1)
 
     def test_lost_again_and_again(self) -> None:
         transfer = Transfer(1)
         transfer.lose = set(range(3, 9))
         transfer.until(transfer.arrived, 2.5)
-        self.assertEqual(transfer.pieces, PIECES + 6)
+        self.assertEqual(transfer.pieces, CHUNKS + 6)
 
-    def leader_changes_at(self, count: int, core_class: type[Core]) -> int:
-        transfer = Transfer(count, core_class)
+    def leader_changes_at(self, count: int, node_type: type[RaftNode]) -> int:
+        transfer = Transfer(count, node_type)
         transfer.until_it_has(count)
         transfer.new_leader()
         transfer.until(transfer.arrived, 6.0)
@@ -141,16 +152,16 @@
 
     def test_leader_changes_at_each_piece(self) -> None:
         """At most the piece that was under way is sent again."""
-        for count in range(1, PIECES):
+        for count in range(1, CHUNKS):
             with self.subTest(count=count):
-                self.assertLessEqual(self.leader_changes_at(count, Core), PIECES + 1)
+                self.assertLessEqual(self.leader_changes_at(count, RaftNode), CHUNKS + 1)
 
     def test_a_start_anew_is_found(self) -> None:
-        self.assertGreater(self.leader_changes_at(PIECES - 2, StartsAnew), PIECES + 1)
+        self.assertGreater(self.leader_changes_at(CHUNKS - 2, StartsAnewNode), CHUNKS + 1)
 
     def test_a_new_leader_with_another_snapshot_starts_anew(self) -> None:
         transfer = Transfer(4)
-        transfer.until_it_has(PIECES // 2)
+        transfer.until_it_has(CHUNKS // 2)
         other = BIG[::-1]
         for node in transfer.nodes.values():
             if node not in (transfer.learner, transfer.led()):
@@ -160,7 +171,7 @@
 
     def test_the_member_loses_power(self) -> None:
         transfer = Transfer(5)
-        for count in (1, 3, PIECES - 1):
+        for count in (1, 3, CHUNKS - 1):
             transfer.until_it_has(count)
             transfer.power(transfer.learner)
             transfer.start(transfer.learner)
@@ -169,7 +180,7 @@
     def damaged(self) -> None:
         transfer = Transfer(6)
         transfer.until_it_has(2)
-        incoming = transfer.learner.live.incoming
+        incoming = transfer.learner.live.follower.incoming_snapshot
         assert incoming is not None
         incoming.data[70_000] ^= 1
         transfer.until(lambda: transfer.learner.live.log.snapshot.index > 0, 6.0)
@@ -178,29 +189,29 @@
 
     def test_damage_is_seen(self) -> None:
         self.damaged()
-        with mock.patch.object(following, "IncomingSnapshot", TrustsWhatItGot), self.assertRaises(Wrong):
+        with mock.patch.object(follower, "IncomingSnapshot", TrustsWhatItGot), self.assertRaises(Wrong):
             self.damaged()
 
     def test_a_slow_link_carries_each_piece_once(self) -> None:
         transfer = Transfer(7, slow=True)
         transfer.until(transfer.arrived, 6.0)
-        self.assertEqual(transfer.pieces, PIECES)
+        self.assertEqual(transfer.pieces, CHUNKS)
         self.assertLess(transfer.now - transfer.began, 1.5 * len(BIG) / SLOW)
 
     def test_a_lost_piece_on_a_slow_link_is_sent_again_soon(self) -> None:
         transfer = Transfer(8, slow=True)
         transfer.lose = {3}
         transfer.until(transfer.arrived, 6.0)
-        self.assertEqual(transfer.pieces, PIECES + 1)
+        self.assertEqual(transfer.pieces, CHUNKS + 1)
         self.assertLess(transfer.now - transfer.began, 1.5 * len(BIG) / SLOW + 0.3)
 
     def test_a_retry_by_timer_is_found(self) -> None:
         transfer = Transfer(7, slow=True)
         leader = transfer.led().live
-        transfer.until(lambda: transfer.learner.name in leader.peers)
-        peer = leader.peers[transfer.learner.name]
-        transfer.until(lambda: peer.outgoing is not None)
-        assert peer.outgoing is not None
-        peer.outgoing = RetriesByTimer(peer.outgoing.snapshot)
+        transfer.until(lambda: transfer.learner.name in leader.leader_state.peers)
+        peer = leader.leader_state.peers[transfer.learner.name]
+        transfer.until(lambda: peer.outgoing_snapshot is not None)
+        assert peer.outgoing_snapshot is not None
+        peer.outgoing_snapshot = RetriesByTimer(peer.outgoing_snapshot.snapshot)
         with self.assertRaises(Wrong):
             transfer.until(transfer.arrived, 6.0)
--- a/tests/mesh/test_raft_transfer.py
+++ b/tests/mesh/test_raft_transfer.py
@@ -6,33 +6,49 @@
 import unittest
 from typing import Any
 
-from minthitch.mesh.raft.core import RETIRE_S, Core
-from minthitch.mesh.raft.messages import Persist, Timing
+from minthitch.mesh.raft.actions import Persist, Timing
+from minthitch.mesh.raft.leadership_transfer import LeadershipTransfer
+from minthitch.mesh.raft.node import RaftNode
+from minthitch.mesh.raft.shutdown import GracefulShutdown
+from minthitch.mesh.raft.shutdown_state import SHUTDOWN_TIMEOUT_S
 from tests.mesh.cluster import Cluster, Node, Wrong
 
 SEEDS = range(6)
 PAUSE_S = 0.4  # between two acknowledgements; the shortest election timeout alone is 0.6 s
 
 
-class EndsAtOnce(Core):
+class EndsAtOnce(GracefulShutdown):
     """Planted: the process ends without a look at what it holds alone."""
 
-    def retired(self, now: float) -> bool:
-        return self.retiring is not None
+    def may_end(self, now: float) -> bool:
+        return self._state.started_at is not None
 
 
-class CountsItself(Core):
+class EndsAtOnceNode(RaftNode):
+    shutdown_type = EndsAtOnce
+
+
+class CountsItself(GracefulShutdown):
     """Planted: what is committed counts as held by the others, though it was counted itself."""
 
-    def retired(self, now: float) -> bool:
-        return super().retired(now) or (self.retiring is not None and self.commit >= self.retire_mark)
+    def may_end(self, now: float) -> bool:
+        begun = self._state.started_at is not None
+        return super().may_end(now) or (begun and self._member.commit_index >= self._state.max_acknowledged)
+
 
+class CountsItselfNode(RaftNode):
+    shutdown_type = CountsItself
 
-class HandsNothingOver(Core):
+
+class HandsNothingOver(LeadershipTransfer):
     """Planted: a leader that is to end just waits."""
 
-    def _transfer_leadership(self, now: float) -> bool:
-        return self.retiring is None and super()._transfer_leadership(now)
+    def continue_transfer(self, now: float) -> bool:
+        return self._shutdown.started_at is None and super().continue_transfer(now)
+
+
+class HandsNothingOverNode(RaftNode):
+    transfer_type = HandsNothingOver
 
 
 def copies(cluster: Cluster, index: int, without: Node) -> int:
@@ -40,14 +56,14 @@
     disks = [node.disk.saved for node in cluster.nodes.values() if node is not without]
     return sum(
         saved is not None
-        and (saved.snap_index >= index or any(cluster.agreed[index] == entry for entry in saved.entries))
+        and (saved.snapshot.index >= index or any(cluster.agreed[index] == entry for entry in saved.entries))
         for saved in disks
     )
 
 
 class Transfer(unittest.TestCase):
-    def begun(self, seed: int, count: int = 3, core_class: type[Core] = Core, **more: Any) -> Cluster:
-        cluster = Cluster(seed, count, core_class, **more)
+    def begun(self, seed: int, count: int = 3, node_type: type[RaftNode] = RaftNode, **more: Any) -> Cluster:
+        cluster = Cluster(seed, count, node_type, **more)
         cluster.led()
         cluster.load(0.01, 60.0)
         cluster.run(0.7)
@@ -55,7 +71,7 @@
         return cluster
 
     def gone(self, cluster: Cluster, node: Node) -> None:
-        cluster.until(lambda: any(left is node for left, _ in cluster.left), RETIRE_S + 0.1)
+        cluster.until(lambda: any(left is node for left, _ in cluster.left), SHUTDOWN_TIMEOUT_S + 0.1)
 
     def goes_on(self, cluster: Cluster, within: float) -> None:
         last = max(cluster.acknowledged)
@@ -73,16 +89,16 @@
                 cluster.settle()
 
     def test_no_transfer_is_found(self) -> None:
-        cluster = self.begun(1, core_class=HandsNothingOver)
+        cluster = self.begun(1, node_type=HandsNothingOverNode)
         old = cluster.led()
         cluster.retire(old)
         self.gone(cluster, old)
         with self.assertRaises(Wrong):
             self.goes_on(cluster, 0.3)
 
-    def leaves_nothing(self, seed: int, core_class: type[Core], leads: bool) -> None:
+    def leaves_nothing(self, seed: int, node_type: type[RaftNode], leads: bool) -> None:
         """When it ends, each acknowledged entry is on as many disks of others as make a majority."""
-        cluster = self.begun(seed, 3, core_class, sync=(0.005, 0.15), delay=0.06)
+        cluster = self.begun(seed, 3, node_type, sync=(0.005, 0.15), delay=0.06)
         leader = cluster.led()
         node = leader if leads else next(n for n in cluster.nodes.values() if n is not leader)
         cluster.run(0.013 * seed)
@@ -91,7 +107,7 @@
         self.gone(cluster, node)
         waited = cluster.left[-1][1] - started
         alone = [index for index in cluster.acknowledged if copies(cluster, index, node) < 2]
-        if alone and waited < RETIRE_S:
+        if alone and waited < SHUTDOWN_TIMEOUT_S:
             raise Wrong(f"{alone} are held by less than a majority without {node.name}")
         cluster.wipe(node)
         cluster.settle()
@@ -99,13 +115,13 @@
     def test_nothing_is_held_by_the_one_that_left(self) -> None:
         for seed, leads in itertools.product(SEEDS, (False, True)):
             with self.subTest(seed=seed, leads=leads):
-                self.leaves_nothing(seed, Core, leads)
+                self.leaves_nothing(seed, RaftNode, leads)
 
     def test_a_sole_copy_let_go_is_found(self) -> None:
-        for core_class, leads in ((EndsAtOnce, False), (EndsAtOnce, True), (CountsItself, False)):
-            with self.subTest(core_class.__name__, leads=leads), self.assertRaises(Wrong):
+        for node_type, leads in ((EndsAtOnceNode, False), (EndsAtOnceNode, True), (CountsItselfNode, False)):
+            with self.subTest(node_type.__name__, leads=leads), self.assertRaises(Wrong):
                 for seed in SEEDS:
-                    self.leaves_nothing(seed, core_class, leads)
+                    self.leaves_nothing(seed, node_type, leads)
 
     def test_the_one_that_holds_everything_is_chosen(self) -> None:
         for seed in SEEDS:
@@ -188,7 +204,7 @@
                 cluster = self.begun(seed)
                 for node in cluster.nodes.values():
                     cluster.retire(node, back_after=0.5)
-                cluster.run(RETIRE_S + 0.1)
+                cluster.run(SHUTDOWN_TIMEOUT_S + 0.1)
                 self.assertEqual(len(cluster.left), 3)
                 self.goes_on(cluster, 4.0)
                 cluster.settle()
@@ -214,45 +230,45 @@
 class Alone(unittest.TestCase):
     """One core by hand."""
 
-    def led(self) -> tuple[Core, float]:
-        core, now = Core("a#0", None, ("a#0",), Timing(), 1, 0.0), 0.0
-        while core.commit < core.last_index or core.role != "leader":
+    def led(self) -> tuple[RaftNode, float]:
+        core, now = RaftNode("a#0", None, ("a#0",), Timing(), 1, 0.0), 0.0
+        while core.commit_index < core.last_index or core.role != "leader":
             now += 0.02
             actions = core.tick(now)
             for action in actions:
                 if isinstance(action, Persist):
-                    actions += core.synced(now, action.ticket)
+                    actions += core.persisted(now, action.write_id)
             if now > 5.0:
                 raise Wrong("the only voter doesn't lead")
         return core, now
 
     def test_one_that_was_not_told_to_end(self) -> None:
         core, now = self.led()
-        self.assertFalse(core.retired(now + 10.0))
+        self.assertFalse(core.may_end(now + 10.0))
 
     def test_the_only_voter_waits_for_its_disk(self) -> None:
         core, now = self.led()
         self.assertIsNotNone(core.propose(now, b"last"))
         persist = next(action for action in core.drain() if isinstance(action, Persist))
-        core.retire(now)
-        self.assertFalse(core.retired(now))
-        core.synced(now, persist.ticket)
-        self.assertTrue(core.retired(now))
+        core.begin_shutdown(now)
+        self.assertFalse(core.may_end(now))
+        core.persisted(now, persist.write_id)
+        self.assertTrue(core.may_end(now))
 
     def test_a_learner_may_end_at_once(self) -> None:
-        core = Core("d#0", None, (), Timing(), 1, 0.0)
-        core.retire(0.0)
-        self.assertTrue(core.retired(0.0))
+        core = RaftNode("d#0", None, (), Timing(), 1, 0.0)
+        core.begin_shutdown(0.0)
+        self.assertTrue(core.may_end(0.0))
 
     def test_a_disk_that_is_well_again_does_not_stop_it(self) -> None:
         core, now = self.led()
-        core.retire(now)
-        core.disk_trouble(now, True)
-        core.disk_trouble(now, False)
+        core.begin_shutdown(now)
+        core.set_disk_health(now, False)
+        core.set_disk_health(now, True)
         self.assertIsNone(core.propose(now, b"late"))
 
     def test_told_twice(self) -> None:
         core, now = self.led()
-        core.retire(now)
-        core.retire(now + 0.5)
-        self.assertTrue(core.retired(now + RETIRE_S))
+        core.begin_shutdown(now)
+        core.begin_shutdown(now + 0.5)
+        self.assertTrue(core.may_end(now + SHUTDOWN_TIMEOUT_S))
--- a/tests/mesh/test_storage.py
+++ b/tests/mesh/test_storage.py
@@ -14,20 +14,17 @@
 import lmdb
 import msgpack
 
-from minthitch.mesh.raft.messages import DATA, Entry, Persist, Saved
-from minthitch.mesh.storage import meta
-from minthitch.mesh.storage.store import (
-    HEAD,
-    MARK,
-    Store,
-    StoreBroken,
-    StoreFull,
-    Kind,
-    log_key,
-    no_space,
-    seal,
+from minthitch.mesh.raft.actions import Persist, PersistedState
+from minthitch.mesh.raft.log import DATA, EMPTY_SNAPSHOT, Entry, Snapshot
+from minthitch.mesh.storage import lmdb_meta
+from minthitch.mesh.storage.errors import (
+    StoreCorruptedError,
+    StoreUnavailableError,
+    is_out_of_space,
 )
-from minthitch.mesh.storage.writer import Relief, Writer
+from minthitch.mesh.storage.records import FORMAT_NAME, HEADER_KEY, checksummed, log_key
+from minthitch.mesh.storage.store import Condition, Store
+from minthitch.mesh.storage.writer import StorageWriter
 
 MAP = 4 << 20
 VOTERS = ("10.0.0.1#0", "10.0.0.2#0")
@@ -38,12 +35,12 @@
 
 
 def persist(
-    ticket: int,
+    write_id: int,
     *entries: Entry,
-    truncate: int = 0,
-    snapshot: tuple[int, int, tuple[str, ...], bytes] | None = None,
+    truncate_from: int = 0,
+    snapshot: Snapshot | None = None,
 ) -> Persist:
-    return Persist(ticket, 1 + ticket, VOTERS[0], truncate, entries, snapshot)
+    return Persist(write_id, 1 + write_id, VOTERS[0], truncate_from, entries, snapshot)
 
 
 class Folder(unittest.TestCase):
@@ -59,7 +56,7 @@
 
     def begun(self, map_bytes: int = MAP) -> Store:
         store = self.open(map_bytes)
-        store.begin("0")
+        store.initialize("0")
         return store
 
     def again(self, store: Store) -> Store:
@@ -70,23 +67,23 @@
 class Keeps(Folder):
     def test_empty(self) -> None:
         store = self.open()
-        self.assertEqual((store.kind, store.load(), store.incarnation), (Kind.EMPTY, None, ""))
-        store.begin("7f")
+        self.assertEqual((store.condition, store.load(), store.incarnation), (Condition.EMPTY, None, ""))
+        store.initialize("7f")
         store = self.again(store)
-        self.assertEqual((store.kind, store.load(), store.incarnation), (Kind.WHOLE, None, "7f"))
+        self.assertEqual((store.condition, store.load(), store.incarnation), (Condition.INTACT, None, "7f"))
 
     def test_entries_term_and_vote(self) -> None:
         store = self.begun()
         store.write(persist(1, entry(1), entry(2)))
         store.write(persist(2, entry(3)))
         saved = self.again(store).load()
-        self.assertEqual(saved, Saved(3, VOTERS[0], (), 0, 0, b"", (entry(1), entry(2), entry(3))))
+        self.assertEqual(saved, PersistedState(3, VOTERS[0], EMPTY_SNAPSHOT, (entry(1), entry(2), entry(3))))
 
     def test_truncated(self) -> None:
         store = self.begun()
         store.write(persist(1, *map(entry, range(1, 9))))
-        store.write(persist(2, entry(4, 7), truncate=4))
-        store.write(persist(3, truncate=4))
+        store.write(persist(2, entry(4, 7), truncate_from=4))
+        store.write(persist(3, truncate_from=4))
         saved = self.again(store).load()
         assert saved is not None
         self.assertEqual(saved.entries, tuple(map(entry, range(1, 4))))
@@ -95,26 +92,29 @@
         store = self.begun()
         store.write(persist(1, *map(entry, range(1, 9))))
         for size in (70_000, 100_000, 3, 0, 40_000):
-            store.write(persist(2, snapshot=(5, 1, VOTERS, b"z" * size)))
+            store.write(persist(2, snapshot=Snapshot(5, 1, VOTERS, b"z" * size)))
             store = self.again(store)
             saved = store.load()
             self.assertEqual(
-                saved, Saved(3, VOTERS[0], VOTERS, 5, 1, b"z" * size, tuple(map(entry, range(6, 9))))
+                saved,
+                PersistedState(
+                    3, VOTERS[0], Snapshot(5, 1, VOTERS, b"z" * size), tuple(map(entry, range(6, 9)))
+                ),
             )
 
     def test_snapshot_of_a_leader_beyond_all(self) -> None:
         store = self.begun()
         store.write(persist(1, *map(entry, range(1, 9))))
-        store.write(persist(2, entry(41), truncate=41, snapshot=(40, 1, VOTERS, b"image")))
+        store.write(persist(2, entry(41), truncate_from=41, snapshot=Snapshot(40, 1, VOTERS, b"image")))
         saved = self.again(store).load()
         assert saved is not None
-        self.assertEqual((saved.snap_index, saved.entries), (40, (entry(41),)))
+        self.assertEqual((saved.snapshot.index, saved.entries), (40, (entry(41),)))
 
     def test_file_stays_bounded(self) -> None:
         store = self.begun()
         most = 0
         for n in range(600):
-            snapshot = (n - 5, 1, VOTERS, b"i" * 60_000) if n % 20 == 19 else None
+            snapshot = Snapshot(n - 5, 1, VOTERS, b"i" * 60_000) if n % 20 == 19 else None
             store.write(persist(n, entry(n + 1, 3000), snapshot=snapshot))
             if n == 200:
                 most = self.file.stat().st_size
@@ -126,11 +126,11 @@
     def fill(self, store: Store) -> int:
         """Write until it is full; the last index that was kept."""
         last = 0
-        with self.assertRaises(StoreFull) as told:
+        with self.assertRaises(StoreUnavailableError) as told:
             while last < 10_000:
                 store.write(persist(last + 1, entry(last + 1, 20_000)))
                 last += 1
-        self.assertTrue(no_space(told.exception))
+        self.assertTrue(is_out_of_space(told.exception))
         return last
 
     def test_map_full(self) -> None:
@@ -151,7 +151,7 @@
         size = self.file.stat().st_size
         resource.setrlimit(resource.RLIMIT_FSIZE, (size, old[1]))
         try:
-            with self.assertRaises(StoreFull):
+            with self.assertRaises(StoreUnavailableError):
                 store.write(persist(2, entry(2, 200_000)))
         finally:
             resource.setrlimit(resource.RLIMIT_FSIZE, old)
@@ -178,26 +178,28 @@
     def test_foreign(self) -> None:
         self.file.write_bytes(os.urandom(100_000))
         store = self.open()
-        self.assertEqual((store.kind, store.load()), (Kind.FOREIGN, None))
-        store.begin("1")
-        self.assertEqual(store.kind, Kind.WHOLE)
+        self.assertEqual((store.condition, store.load()), (Condition.FOREIGN, None))
+        store.initialize("1")
+        self.assertEqual(store.condition, Condition.INTACT)
         self.assertTrue(Path(self.path, "data.mdb.aside").exists())
 
     def test_foreign_lmdb(self) -> None:
         with lmdb.Environment(self.path, lock=False) as env, env.begin(write=True) as txn:
             txn.put(b"other", b"thing")
-        self.assertEqual(self.open().kind, Kind.FOREIGN)
+        self.assertEqual(self.open().condition, Condition.FOREIGN)
 
     def test_newer(self) -> None:
         self.filled()
         with lmdb.Environment(self.path, lock=False) as env, env.begin(write=True) as txn:
-            txn.put(HEAD, seal(HEAD, msgpack.packb([MARK, 2, "whatever", "it", "has"])))
-        self.assertEqual(self.open().kind, Kind.NEWER)
+            txn.put(
+                HEADER_KEY, checksummed(HEADER_KEY, msgpack.packb([FORMAT_NAME, 2, "whatever", "it", "has"]))
+            )
+        self.assertEqual(self.open().condition, Condition.NEWER)
 
     def test_nothing_but_zeros(self) -> None:
         """The first commit's writes were lost with the power, its file's length was not."""
         self.file.write_bytes(bytes(32768))
-        self.assertEqual(self.open().kind, Kind.EMPTY)
+        self.assertEqual(self.open().condition, Condition.EMPTY)
 
     def test_torn_meta_keeps_what_was_acknowledged(self) -> None:
         """The newest meta page has its new number and the rest of what stood there before."""
@@ -206,12 +208,12 @@
         store = self.open()
         store.write(persist(3, entry(3)))
         store.close()
-        newest = meta.read(str(self.file))[0]
-        head = meta.PAGE_HEAD + 24
-        old = before[newest.at + head : newest.at + head + 112]
+        newest = lmdb_meta.read_meta_pages(str(self.file))[0]
+        head = lmdb_meta.PAGE_HEADER_BYTES + 24
+        old = before[newest.offset + head : newest.offset + head + 112]
         for part in (range(96), range(48), range(88), range(44), range(104)):
             for at in part:
-                self.patch(newest.at + head + at, old[at : at + 1])
+                self.patch(newest.offset + head + at, old[at : at + 1])
             store = self.open()
             saved = store.load()
             store.close()
@@ -223,8 +225,8 @@
 
     def test_torn_meta_of_nonsense(self) -> None:
         self.filled()
-        newest = meta.read(str(self.file))[0]
-        self.patch(newest.at + meta.PAGE_HEAD + 24 + 40, (1 << 40).to_bytes(8, "little"))
+        newest = lmdb_meta.read_meta_pages(str(self.file))[0]
+        self.patch(newest.offset + lmdb_meta.PAGE_HEADER_BYTES + 24 + 40, (1 << 40).to_bytes(8, "little"))
         saved = self.open().load()
         assert saved is not None
         self.assertEqual(saved.entries, (entry(1),))
@@ -238,18 +240,18 @@
             self.patch(at + 50, b"\xff")
             at = raw.rfind(entry(2).data, 0, at)
         store = self.open()
-        self.assertEqual((store.kind, store.load()), (Kind.TORN, None))
-        store.begin("9")
-        self.assertEqual((store.kind, store.incarnation, store.load()), (Kind.WHOLE, "9", None))
+        self.assertEqual((store.condition, store.load()), (Condition.TORN, None))
+        store.initialize("9")
+        self.assertEqual((store.condition, store.incarnation, store.load()), (Condition.INTACT, "9", None))
 
     def test_absent_entry_is_a_lost_disk(self) -> None:
         store = self.begun()
         store.write(persist(1, entry(1), entry(2)))
-        with store.env.begin(write=True) as txn:
+        with store._environment.begin(write=True) as txn:
             txn.delete(log_key(1))
-            store.header.txn = txn.id()
-            txn.put(HEAD, seal(HEAD, store.header.pack()))
-        self.assertEqual(self.again(store).kind, Kind.TORN)
+            store.header.transaction_id = txn.id()
+            txn.put(HEADER_KEY, checksummed(HEADER_KEY, store.header.pack()))
+        self.assertEqual(self.again(store).condition, Condition.TORN)
 
     def test_power_lost_at_any_write(self) -> None:
         """Any mix of the last commit's pages that were not synced: all of before, or all of it."""
@@ -276,34 +278,36 @@
 
 
 class Writes(Folder):
-    def writer(self, store: Store) -> tuple[Writer, list[int], list[tuple[str, bool]], threading.Event]:
+    def writer(
+        self, store: Store
+    ) -> tuple[StorageWriter, list[int], list[tuple[str, bool]], threading.Event]:
         done: list[int] = []
         troubles: list[tuple[str, bool]] = []
         event = threading.Event()
 
-        def told(ticket: int) -> None:
-            done.append(ticket)
+        def told(write_id: int) -> None:
+            done.append(write_id)
             event.set()
 
         def trouble(reason: str, lost: bool) -> None:
             troubles.append((reason, lost))
 
-        writer = Writer(store, told, trouble, clock=lambda: 5.0)
+        writer = StorageWriter(store, told, trouble, clock=lambda: 5.0)
         return writer, done, troubles, event
 
     def test_in_order(self) -> None:
         writer, done, *_ = self.writer(self.begun())
         for n in range(1, 4):
-            writer.put(persist(n, entry(n)))
+            writer.submit(persist(n, entry(n)))
         self.assertEqual(writer.pending_since, 5.0)
         writer.start()
-        writer.end()
+        writer.stop()
         writer.join(10)
         self.assertEqual((done, writer.pending_since), ([1, 2, 3], None))
 
     def test_full_is_told_and_tried_again(self) -> None:
         store = self.begun()
-        refusals = [StoreFull("no"), StoreFull("no")]
+        refusals = [StoreUnavailableError("no"), StoreUnavailableError("no")]
         write = store.write
 
         def refuse(what: Persist) -> None:
@@ -314,18 +318,23 @@
         store.write = refuse  # type: ignore
         writer, done, troubles, told = self.writer(store)
         writer.start()
-        writer.put(persist(1, entry(1)))
+        writer.submit(persist(1, entry(1)))
         self.assertTrue(told.wait(10))
-        writer.end()
+        writer.stop()
         writer.join(10)
         self.assertEqual((done, troubles), ([1], [("no", False)] * 2))
 
     def offer(
-        self, writer: Writer, relief: Relief, troubles: list[tuple[str, bool]], reason: str, lost: bool
+        self,
+        writer: StorageWriter,
+        snapshot: Snapshot,
+        troubles: list[tuple[str, bool]],
+        reason: str,
+        lost: bool,
     ) -> None:
         """What the server does once the disk refuses."""
         troubles.append((reason, lost))
-        writer.relief = relief
+        writer.emergency_snapshot = snapshot
 
     def test_a_snapshot_frees_a_full_file(self) -> None:
         """The entry that fills it is refused until a snapshot drops the log in front of it."""
@@ -333,23 +342,23 @@
             shutil.rmtree(self.path)
             store = self.begun(2 << 20)
             last = 0
-            with self.assertRaises(StoreFull):
+            with self.assertRaises(StoreUnavailableError):
                 while last < 1_000:
                     store.write(persist(1, entry(last + 1, 20_000)))
                     last += 1
             store.reopen()
-            snapshot = (last, 1, VOTERS, b"s" * size)
+            snapshot = Snapshot(last, 1, VOTERS, b"s" * size)
             writer, _, troubles, told = self.writer(store)
-            writer.trouble = partial(self.offer, writer, snapshot, troubles)
-            writer.put(persist(9, entry(last + 1, 20_000)))
+            writer._on_failure = partial(self.offer, writer, snapshot, troubles)
+            writer.submit(persist(9, entry(last + 1, 20_000)))
             writer.start()
             self.assertTrue(told.wait(10), troubles)
-            writer.end()
+            writer.stop()
             writer.join(10)
             saved = self.again(store).load()
             assert saved is not None
             self.assertEqual(
-                (saved.term, saved.snap_index, saved.members, saved.entries),
+                (saved.term, saved.snapshot.index, saved.snapshot.voters, saved.entries),
                 (10, last, VOTERS, (entry(last + 1, 20_000),)),
             )
             self.assertEqual({lost for _, lost in troubles}, {False})
@@ -359,24 +368,26 @@
         store.write(persist(1, entry(1), entry(2)))
         writer, *_ = self.writer(store)
         for index in (0, 3):
-            writer.relief = (index, 1, VOTERS, b"s")
-            self.assertTrue(writer._relieved())
-            self.assertEqual((store.header.snap_index, writer.relief), (0, None))
-        writer.relief = (2, 1, VOTERS, b"s")
-        self.assertTrue(writer._relieved())
+            writer.emergency_snapshot = Snapshot(index, 1, VOTERS, b"s")
+            self.assertTrue(writer._make_space())
+            self.assertEqual((store.header.snapshot_index, writer.emergency_snapshot), (0, None))
+        writer.emergency_snapshot = Snapshot(2, 1, VOTERS, b"s")
+        self.assertTrue(writer._make_space())
         saved = self.again(store).load()
         assert saved is not None
-        self.assertEqual((saved.term, saved.vote, saved.snap_index, saved.entries), (2, VOTERS[0], 2, ()))
+        self.assertEqual(
+            (saved.term, saved.voted_for, saved.snapshot.index, saved.entries), (2, VOTERS[0], 2, ())
+        )
 
     def test_broken_is_told_once(self) -> None:
         store = self.begun()
 
         def broken(what: Persist) -> None:
-            raise StoreBroken("gone")
+            raise StoreCorruptedError("gone")
 
         store.write = broken  # type: ignore
         writer, done, troubles, _event = self.writer(store)
-        writer.put(persist(1, entry(1)))
+        writer.submit(persist(1, entry(1)))
         writer.start()
         writer.join(10)
         self.assertEqual((done, troubles, writer.pending_since), ([], [("gone", True)], 5.0))
