--- a/bench/meshsize.py
+++ b/bench/meshsize.py
@@ -17,7 +17,9 @@
 
 from minthitch.mesh.control.server import SURELY
 from minthitch.mesh.control.pushes import GATHER
-from minthitch.mesh.registry.table import Registry, Record, Views
+from minthitch.mesh.registry.merged_views import MergedViews
+from minthitch.mesh.registry.records import SidecarRecord
+from minthitch.mesh.registry.registry import Registry, RegistryDelta
 from minthitch.mesh.events.events import LOG
 from rigs.simulation.size import SPREAD, Crowd, Used
 
@@ -91,18 +93,20 @@
     """Microseconds for one record that changed: at a control node's list, to find it there, at a sidecar's
     list."""
 
-    def record(n: int, seq: int) -> Record:
-        return Record(f"10.{n >> 8}.{n & 255}.1", 7620, 1, seq, "a", "svc", f"life-{seq}", 5, "up", 0.0, True)
+    def record(n: int, seq: int) -> SidecarRecord:
+        return SidecarRecord(
+            f"10.{n >> 8}.{n & 255}.1", 7620, 1, seq, "a", "svc", f"life-{seq}", 5, "up", 0.0, True
+        )
 
-    registry, views = Registry(), Views()
+    registry, views = Registry(), MergedViews()
     for n in range(count):
-        registry.note(0.0, record(n, 1))
+        registry.update(0.0, record(n, 1))
     for control in ("a", "b", "c"):
-        views.take(0.0, control, True, list(registry.records.values()), [])
+        views.update(0.0, control, RegistryDelta(True, list(registry.records.values()), []))
     version = registry.version
-    note = _each(lambda n: registry.note(0.0, record(n, 2)))
+    note = _each(lambda n: registry.update(0.0, record(n, 2)))
     since = _each(lambda n: registry.since(max(version, registry.version - 1)))
-    take = _each(lambda n: views.take(0.0, "abc"[n % 3], False, [record(n, 2)], []))
+    take = _each(lambda n: views.update(0.0, "abc"[n % 3], RegistryDelta(False, [record(n, 2)], [])))
     return note, since, take
 
 
--- a/minthitch/cli/shown.py
+++ b/minthitch/cli/shown.py
@@ -6,13 +6,13 @@
 from collections.abc import Iterable, Sequence
 from typing import Any
 
-from minthitch.mesh.idempotency.operations import ANSWERED, AT_WORK, FREE, UNKNOWN
+from minthitch.mesh.idempotency.operations import OperationState
 
 Row = Sequence[object]
 Statuses = dict[str, dict[str, Any]]  # by address
 CLAIMS = ("claimed", "most", "newest", "older", "rotated_at", "window_s")
 SPENDING = ("requests", "spent", "left")
-STATES = (AT_WORK, ANSWERED, FREE, UNKNOWN)
+STATES = (OperationState.IN_PROGRESS, OperationState.ANSWERED, OperationState.NOT_RUN, OperationState.UNKNOWN)
 
 
 def columns(head: Row, rows: Iterable[Row]) -> list[str]:
--- a/minthitch/mesh/control/aging.py
+++ b/minthitch/mesh/control/aging.py
@@ -8,7 +8,7 @@
 
 from minthitch.mesh.control.proposals import Proposals
 from minthitch.mesh.control.state import ROTATE, TIME, State
-from minthitch.mesh.idempotency.rotation import ReignClock
+from minthitch.mesh.idempotency.rotation import LeadershipClock
 from minthitch.mesh.raft.node import RaftNode
 
 
@@ -25,22 +25,22 @@
 
     def __init__(self, host: Host, window: float) -> None:
         self.host, self.window = host, window
-        self.reign = ReignClock()
+        self.reign = LeadershipClock()
 
     def look(self, now: float, slack: float) -> None:
         """`now` was read from the steady clock right before; `slack` seconds are kept beyond the window."""
         core, reign, state = self.host.core, self.reign, self.host.state
         if not core.has_committed_in_term:
             return
-        reign.leads(now, core.term)
+        reign.on_leadership(now, core.term)
         if not state.claims.count():
             return
         needed = self._needed_ms(slack)
         if reign.may_rotate(core.last_applied, state.passed_ms, needed):
             placed = self.host.proposals.place(ROTATE, b"")
             if placed is not None:
-                reign.rotated(now, placed[0])
-        elif reign.due(now, state.passed_ms, needed):
+                reign.on_rotated(now, placed[0])
+        elif reign.is_due(now, state.passed_ms, needed):
             self._tell(now)
 
     def _needed_ms(self, slack: float) -> int:
@@ -51,6 +51,6 @@
         return max(least, int((self.window + self.host.state.patience()) * 1000))
 
     def _tell(self, now: float) -> None:
-        body = bytes(msgpack.packb(self.reign.untold_ms(now)))
+        body = bytes(msgpack.packb(self.reign.unrecorded_ms(now)))
         if self.host.proposals.place(TIME, body) is not None:
-            self.reign.counted(now)
+            self.reign.on_recorded(now)
--- a/minthitch/mesh/control/beats.py
+++ b/minthitch/mesh/control/beats.py
@@ -11,19 +11,18 @@
 from collections.abc import Iterable
 
 from minthitch.mesh.configuration.calls import Beat
-from minthitch.mesh.registry.table import Record
+from minthitch.mesh.registry.records import ServerState, SidecarRecord
 
-NONE = "none"  # a sidecar's state while it takes its server for gone
 
-
-def beat_holds(records: Iterable[Record], life: str, beat: Beat) -> bool:
+def beat_holds(records: Iterable[SidecarRecord], life: str, beat: Beat) -> bool:
     """Whether the sidecar of this life of a server at its address is in the state that the beat tells."""
     address = beat.addr.rpartition(":")[0]
     return any(
-        record.life == life and record.ip == address and record.state == beat.stat.state for record in records
+        record.server_id == life and record.ip == address and record.state == beat.stat.state
+        for record in records
     )
 
 
-def has_left(records: Iterable[Record], life: str) -> bool:
+def has_left(records: Iterable[SidecarRecord], life: str) -> bool:
     """Whether the sidecar of this life of a server has heard that it leaves for good."""
-    return any(record.life == life and record.state == NONE for record in records)
+    return any(record.server_id == life and record.state == ServerState.NONE for record in records)
--- a/minthitch/mesh/control/pushes.py
+++ b/minthitch/mesh/control/pushes.py
@@ -13,7 +13,8 @@
 from minthitch.mesh.transport import ops
 from minthitch.mesh.transport.connection import Connection
 from minthitch.mesh.transport.compression import squeezed
-from minthitch.mesh.registry.table import Registry, Record
+from minthitch.mesh.registry.records import SidecarRecord
+from minthitch.mesh.registry.registry import Registry
 
 GATHER = 0.04  # seconds between two pushes of news; one that comes alone goes at once
 
@@ -48,14 +49,14 @@
 
     def report(self, connection: Connection, message: ops.Message) -> None:
         """What a sidecar says of itself."""
-        record = Record(*message[2:])
+        record = SidecarRecord(*message[2:])
         watcher = self.watchers.get(connection)
         if watcher is None:
             watcher = self.watchers[connection] = Watcher(record.ip, record.epoch)
         lacks = watcher.index < 0 or message[1] < watcher.index
         if lacks:
             watcher.index = message[1]
-        if self.registry.note(self.host.loop.time(), record) or lacks:
+        if self.registry.update(self.host.loop.time(), record) or lacks:
             self.news()
 
     def fell(self, connection: Connection) -> None:
@@ -64,8 +65,8 @@
     def beat(self) -> None:
         """Lines that are alive say that their sidecars are; what is silent too long is dropped."""
         for connection, watcher in self.watchers.items():
-            self.registry.alive(watcher.ip, watcher.epoch, connection.came)
-        if self.registry.sweep(self.host.loop.time()):
+            self.registry.refresh(watcher.ip, watcher.epoch, connection.came)
+        if self.registry.expire(self.host.loop.time()):
             self.news()
 
     def news(self) -> None:
--- a/minthitch/mesh/control/server.py
+++ b/minthitch/mesh/control/server.py
@@ -35,7 +35,7 @@
 from minthitch.mesh.configuration.boot import Boot
 from minthitch.mesh.transport import ops
 from minthitch.mesh.transport.connection import Connection
-from minthitch.mesh.registry.table import Registry
+from minthitch.mesh.registry.registry import Registry
 from minthitch.mesh.events.events import Event, say
 
 TICK = 0.02  # seconds between two looks at the agreement's time
--- a/minthitch/mesh/control/state.py
+++ b/minthitch/mesh/control/state.py
@@ -10,7 +10,7 @@
 
 from minthitch.mesh.configuration.errors import ErrorKind
 from minthitch.mesh.configuration.items import ROUTE, ROUTES, Items
-from minthitch.mesh.idempotency.claims import Claim, Claims
+from minthitch.mesh.idempotency.claims import Claim, ClaimCommand, ClaimTable
 
 CONFIG, CLAIM, ROTATE, TIME = 1, 2, 3, 4  # kinds of commands
 GRANTED, HELD, FULL, NO_LEADER = "granted", "held", "full", "no leader"
@@ -50,7 +50,7 @@
     """The same on every control node that has applied the same entries."""
 
     def __init__(self) -> None:
-        self.items, self.claims = Items(), Claims()
+        self.items, self.claims = Items(), ClaimTable()
         self.rotated = 0  # index of the last rotation
         self.passed_ms = 0  # since then, as leaders told (minthitch.mesh.idempotency.rotation)
 
@@ -64,7 +64,7 @@
             conflict = verdict.kind is ErrorKind.CONFIG_CONFLICT
             return Patched(CONFLICT if conflict else REFUSED, verdict.why)
         if kind == CLAIM:
-            return self._claim(msgpack.unpackb(body, use_list=False))
+            return self._claim(ClaimCommand.unpack(body))
         if kind == ROTATE:
             self.claims.rotate()
             self.rotated, self.passed_ms = index, 0
@@ -72,26 +72,24 @@
             self.passed_ms += msgpack.unpackb(body)
         return ()
 
-    def _claim(self, row: tuple[Any, ...]) -> Claimed:
-        key, owner, claim, digest, over = row
-        new = Claim(owner, claim, digest)
-        held = self.claims.claim(key, new, over)
-        if held is None:
+    def _claim(self, wanted: ClaimCommand) -> Claimed:
+        valid = self.claims.acquire(wanted)
+        if valid is None:
             return Claimed(FULL)
-        return Claimed(GRANTED if held.claim == claim else HELD, *held)
+        return Claimed(GRANTED if valid.claim_id == wanted.claim_id else HELD, *valid)
 
     def patience(self) -> float:
         """Seconds that a request may take at most by the routes that stand: so late its claim may come."""
         return max((ROUTE.decode(body).tmo_s for _, body in self.items.standing(ROUTES)), default=0.0)
 
     def dump(self) -> bytes:
-        return bytes(msgpack.packb((self.items.snapshot(), self.claims.dump(), self._place())))
+        return bytes(msgpack.packb((self.items.snapshot(), self.claims.to_rows(), self._place())))
 
     def dump_steps(self) -> Iterator[bytes]:
         """The same as `dump` in pieces, as of this call: what is applied later is not in them."""
         if self.claims.count() <= STEP_ROWS:
             return iter((self.dump(),))
-        return self._steps(self.items.snapshot(), self.claims.copied(), self._place())
+        return self._steps(self.items.snapshot(), self.claims.copy_generations(), self._place())
 
     def _place(self) -> tuple[int, int]:
         return self.rotated, self.passed_ms
@@ -116,4 +114,4 @@
         # A version that counted no time gives the rotation's index alone: what passed since isn't known.
         self.rotated, self.passed_ms = (place, 0) if isinstance(place, int) else place
         self.items.restore(items)
-        self.claims.load(claims)
+        self.claims.load_rows(claims)
--- a/minthitch/mesh/control/status.py
+++ b/minthitch/mesh/control/status.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING, Any
 
-from minthitch.mesh.idempotency.claims import MOST
-from minthitch.mesh.registry.table import Record
+from minthitch.mesh.idempotency.claims import MAX_CLAIMS
+from minthitch.mesh.registry.records import SidecarRecord
 
 if TYPE_CHECKING:
     from minthitch.mesh.control.server import ControlServer
@@ -39,17 +39,17 @@
         "rotated_at": server.state.rotated,
         "newest": newest,
         "older": sum(older),
-        "most": MOST,
+        "most": MAX_CLAIMS,
         "window_s": server.boot.terms.bounds.key_win_s,
     }
 
 
-def _sidecar(record: Record) -> dict[str, Any]:
+def _sidecar(record: SidecarRecord) -> dict[str, Any]:
     return {
         "ip": record.ip,
         "service": record.service,
         "zone": record.zone,
-        "server": record.life,
+        "server": record.server_id,
         "state": record.state,
         "serving": record.serving,
     }
--- a/minthitch/mesh/idempotency/__init__.py
+++ b/minthitch/mesh/idempotency/__init__.py
@@ -1,1 +1,1 @@
-"""Keys: which operation holds one, and what became of it. No I/O and no clock."""
+"""Idempotency keys: which operation owns a key, and its outcome. No I/O and no clock."""
--- a/minthitch/mesh/idempotency/claims.py
+++ b/minthitch/mesh/idempotency/claims.py
@@ -1,8 +1,8 @@
-"""Whose a key is, as the control nodes agree: applied in the order of the agreed log, the same on each of
-them.
+"""Ownership of idempotency keys: a replicated state machine.
 
-A claim stands before the first send of its operation and until its window has passed twice over, whatever
-became of the run: only its owner's word that it never ran lets another take it over, by naming it.
+Every control node applies the same committed entries in the same order. A claim exists before the first
+attempt of its operation and until its retention window has passed twice, whatever the outcome. Only its
+owner's statement that the operation never ran lets another claim replace it, by naming it.
 """
 
 from __future__ import annotations
@@ -11,57 +11,87 @@
 
 import msgpack
 
-MOST = 150_000  # claims held, some 60 MB; past it none is granted, which refuses and loses nothing
+MAX_CLAIMS = 150_000  # about 60 MB; beyond it new claims are rejected, existing ones are kept
 
 
 class Claim(NamedTuple):
-    owner: str  # address of the sidecar that holds it, and its life
-    claim: bytes
-    digest: bytes  # of what was asked: a repeat must ask the same
+    """Who owns a key."""
 
+    owner: str  # address of the sidecar that owns it, and the epoch of that process
+    claim_id: bytes
+    request_digest: bytes  # a repeat of the operation must have the same
 
-class Claims:
-    """Three generations: the newest takes claims, a rotation forgets the oldest."""
+
+class ClaimCommand(NamedTuple):
+    """The command to claim a key. Its order of fields is stored and sent."""
+
+    key: bytes
+    owner: str
+    claim_id: bytes
+    request_digest: bytes
+    replaces: bytes  # id of the claim that this one may replace; empty: none
+
+    def pack(self) -> bytes:
+        """The command in msgpack."""
+        return bytes(msgpack.packb(tuple(self)))
+
+    @classmethod
+    def unpack(cls, data: bytes) -> ClaimCommand:
+        """The command that `pack` was given."""
+        return cls(*msgpack.unpackb(data, use_list=False))
+
+    @property
+    def claim(self) -> Claim:
+        """The claim that is asked for."""
+        return Claim(self.owner, self.claim_id, self.request_digest)
+
+
+class ClaimTable:
+    """Claims in two generations: the newer one takes new claims, a rotation forgets the older one."""
 
     def __init__(self) -> None:
         self.generations: list[dict[bytes, Claim]] = [{}, {}]
 
     def find(self, key: bytes) -> Claim | None:
-        for table in self.generations:
-            if (found := table.get(key)) is not None:
-                return found
+        """The claim on a key."""
+        for generation in self.generations:
+            if (claim := generation.get(key)) is not None:
+                return claim
         return None
 
     def count(self) -> int:
-        return sum(len(table) for table in self.generations)
-
-    def claim(self, key: bytes, new: Claim, over: bytes) -> Claim | None:
-        """Who holds the key now; `over` is the claim that this one may replace. None: no room for it."""
-        held = self.find(key)
-        if held is None and self.count() >= MOST:
+        """How many claims there are."""
+        return sum(len(generation) for generation in self.generations)
+
+    def acquire(self, command: ClaimCommand) -> Claim | None:
+        """Claim a key.
+
+        Returns:
+            The claim that is valid now: the new one, or an earlier one of another operation. None where the
+            table is full.
+        """
+        existing = self.find(command.key)
+        if existing is None and self.count() >= MAX_CLAIMS:
             return None
-        if held is None or held.claim == over:
-            for table in self.generations:
-                table.pop(key, None)
-            self.generations[0][key] = new
-            return new
-        return held
+        if existing is not None and existing.claim_id != command.replaces:
+            return existing
+        for generation in self.generations:
+            generation.pop(command.key, None)
+        self.generations[0][command.key] = command.claim
+        return command.claim
 
     def rotate(self) -> None:
-        """Forgets what was claimed before the rotation before this one."""
+        """Forget the claims that were made before the previous rotation."""
         self.generations = [{}, self.generations[0]]
 
-    def copied(self) -> list[dict[bytes, Claim]]:
-        """The generations as they are now; later changes don't show in them."""
-        return [dict(table) for table in self.generations]
-
-    def dump(self) -> Any:
-        return [[[k, *c] for k, c in table.items()] for table in self.generations]
-
-    def load(self, snapshot: Any) -> None:
-        self.generations = [{row[0]: Claim(*row[1:]) for row in table} for table in snapshot]
+    def copy_generations(self) -> list[dict[bytes, Claim]]:
+        """The generations as they are now; later changes do not show in them."""
+        return [dict(generation) for generation in self.generations]
 
+    def to_rows(self) -> list[list[list[Any]]]:
+        """The generations as lists, for a snapshot."""
+        return [[[key, *claim] for key, claim in generation.items()] for generation in self.generations]
 
-def packed(key: bytes, new: Claim, over: bytes) -> bytes:
-    """The claim as a command of the agreed log."""
-    return bytes(msgpack.packb((key, new.owner, new.claim, new.digest, over)))
+    def load_rows(self, rows: Any) -> None:
+        """Replace the table by one that `to_rows` gave."""
+        self.generations = [{row[0]: Claim(*row[1:]) for row in generation} for generation in rows]
--- a/minthitch/mesh/idempotency/operations.py
+++ b/minthitch/mesh/idempotency/operations.py
@@ -1,86 +1,117 @@
-"""Operations on keys as the sidecar that owns them knows them. No I/O; times are seconds, given in."""
+"""Operations on idempotency keys, as the sidecar that owns them knows them. Times are seconds, passed in."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
-from typing import Any
+from collections.abc import Callable
+from enum import StrEnum
 
-MOST_BYTES = 24 * 1024 * 1024  # of answers kept: past it the oldest are forgotten, and their repeats fail
-MOST = 100_000  # operations kept
+MAX_ANSWER_BYTES = 24 * 1024 * 1024  # of stored answers; beyond it the oldest are dropped, their repeats fail
+MAX_OPERATIONS = 100_000
+Fields = tuple[tuple[bytes, bytes], ...]
 
-AT_WORK, ANSWERED, FREE, UNKNOWN = "at work", "answered", "free", "unknown"
 
+class OperationState(StrEnum):
+    """What is known of an operation. The values travel between sidecars."""
 
-class Operation:
-    """One key's operation. `waiting` are called once with it when it is no longer at work."""
+    IN_PROGRESS = "at work"
+    ANSWERED = "answered"
+    NOT_RUN = "free"  # it never ran and never will: another claim may replace this one
+    UNKNOWN = "unknown"  # it may have run
 
-    __slots__ = ("key", "claim", "digest", "state", "status", "fields", "body", "since", "waiting")
 
-    def __init__(self, key: bytes, claim: bytes, digest: bytes, now: float) -> None:
-        self.key, self.claim, self.digest, self.since = key, claim, digest, now
-        self.state, self.status = AT_WORK, 0
-        self.fields: tuple[tuple[bytes, bytes], ...] = ()
+class Operation:
+    """One key's operation. `listeners` are called once with it when it is no longer in progress."""
+
+    __slots__ = (
+        "key",
+        "claim_id",
+        "request_digest",
+        "state",
+        "status",
+        "fields",
+        "body",
+        "started_at",
+        "listeners",
+    )
+
+    def __init__(self, key: bytes, claim_id: bytes, request_digest: bytes, now: float) -> None:
+        self.key = key
+        self.claim_id = claim_id
+        self.request_digest = request_digest
+        self.started_at = now
+        self.state = OperationState.IN_PROGRESS
+        self.status = 0  # of the answer
+        self.fields: Fields = ()
         self.body = b""
-        self.waiting: list[Any] = []
+        self.listeners: list[Callable[[Operation], None]] = []
 
 
-class Book:
-    """All operations that this sidecar has claimed in this life, for `keep` seconds at least."""
+class OperationTable:
+    """The operations that this process has claimed, for `retention_s` seconds at least."""
 
-    def __init__(self, keep: float) -> None:
-        self.keep = keep
-        self.held: OrderedDict[bytes, Operation] = OrderedDict()  # by claim, oldest first
+    def __init__(self, retention_s: float) -> None:
+        self.retention_s = retention_s
+        self.by_claim_id: OrderedDict[bytes, Operation] = OrderedDict()  # oldest first
         self.by_key: dict[bytes, Operation] = {}
-        self.size = 0
+        self.answer_bytes = 0
 
-    def begin(self, key: bytes, claim: bytes, digest: bytes, now: float) -> Operation:
-        self._forget(now)
-        operation = Operation(key, claim, digest, now)
-        self.held[claim] = self.by_key[key] = operation
+    def begin(self, key: bytes, claim_id: bytes, request_digest: bytes, now: float) -> Operation:
+        """Add an operation that is in progress."""
+        self._evict(now)
+        operation = Operation(key, claim_id, request_digest, now)
+        self.by_claim_id[claim_id] = self.by_key[key] = operation
         return operation
 
-    def _forget(self, now: float) -> None:
-        while self.held:
-            first = next(iter(self.held.values()))
-            if first.since > now - self.keep and len(self.held) < MOST:
+    def _evict(self, now: float) -> None:
+        while self.by_claim_id:
+            oldest = next(iter(self.by_claim_id.values()))
+            if oldest.started_at > now - self.retention_s and len(self.by_claim_id) < MAX_OPERATIONS:
                 break
-            self._drop(first)
+            self._remove(oldest)
 
-    def _drop(self, operation: Operation) -> None:
-        self.held.pop(operation.claim, None)
+    def _remove(self, operation: Operation) -> None:
+        self.by_claim_id.pop(operation.claim_id, None)
         if self.by_key.get(operation.key) is operation:
             del self.by_key[operation.key]
-        self.size -= len(operation.body)
-
-    def answered(
-        self, operation: Operation, status: int, fields: tuple[tuple[bytes, bytes], ...], body: bytes
-    ) -> None:
-        operation.status, operation.fields, operation.body = status, fields, body
-        self.size += len(body)
-        self._settle(operation, ANSWERED)
-        for old in self.held.values():  # danger: answers would fill the memory
-            if self.size <= MOST_BYTES:
+        self.answer_bytes -= len(operation.body)
+
+    def record_answer(self, operation: Operation, status: int, fields: Fields, body: bytes) -> None:
+        """The operation ran: repeats get this answer."""
+        operation.status = status
+        operation.fields = fields
+        operation.body = body
+        self.answer_bytes += len(body)
+        self._finish(operation, OperationState.ANSWERED)
+        self._limit_answers(operation)
+
+    def _limit_answers(self, newest: Operation) -> None:
+        """Drop the oldest answers beyond MAX_ANSWER_BYTES; whether those operations ran is then unknown."""
+        for operation in self.by_claim_id.values():
+            if self.answer_bytes <= MAX_ANSWER_BYTES:
                 break
-            if old.state is ANSWERED and old is not operation:
-                self.size -= len(old.body)
-                old.state, old.body, old.fields = UNKNOWN, b"", ()
-
-    def freed(self, operation: Operation) -> None:
-        """It never ran and never will under this claim: another may take it over by naming it."""
-        if operation.state is not AT_WORK:  # what may have run stays so
+            if operation.state is OperationState.ANSWERED and operation is not newest:
+                self.answer_bytes -= len(operation.body)
+                operation.state = OperationState.UNKNOWN
+                operation.body = b""
+                operation.fields = ()
+
+    def mark_not_run(self, operation: Operation) -> None:
+        """It never ran and never will under this claim. Has no effect on one that has ended already."""
+        if operation.state is not OperationState.IN_PROGRESS:
             return
-        self._settle(operation, FREE)
+        self._finish(operation, OperationState.NOT_RUN)
         if self.by_key.get(operation.key) is operation:
             del self.by_key[operation.key]
 
-    def lost(self, operation: Operation) -> None:
-        """It ended without an answer: it may have run, so it never runs again."""
-        self._settle(operation, UNKNOWN)
+    def mark_unknown(self, operation: Operation) -> None:
+        """It ended without an answer: it may have run, so it is never run again."""
+        self._finish(operation, OperationState.UNKNOWN)
 
-    def _settle(self, operation: Operation, state: str) -> None:
-        if operation.state is not AT_WORK:
+    def _finish(self, operation: Operation, state: OperationState) -> None:
+        if operation.state is not OperationState.IN_PROGRESS:
             return
         operation.state = state
-        waiting, operation.waiting = operation.waiting, []
-        for call in waiting:
-            call(operation)
+        listeners, operation.listeners = operation.listeners, []
+        for listener in listeners:
+            listener(operation)
--- a/minthitch/mesh/registry/__init__.py
+++ b/minthitch/mesh/registry/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there: servers and the sidecars beside them. No I/O and no clock."""
+"""Service registry: the servers and the sidecars beside them. No I/O and no clock."""
--- a/minthitch/mesh/sidecar/front.py
+++ b/minthitch/mesh/sidecar/front.py
@@ -118,9 +118,9 @@
         self.choice.listed(
             self.loop.time(),
             (
-                (r.service, r.life, r.ip, r.zone, r.slots, r.cold)
+                (r.service, r.server_id, r.ip, r.zone, r.capacity, r.slow_start_s)
                 for r in records.values()
-                if r.serving and r.state == "up" and r.life
+                if r.serving and r.state == "up" and r.server_id
             ),
         )
         self.copies.let_go(lambda ip: ip in records)
@@ -236,7 +236,7 @@
         """What this sidecar knows and does now, for operators."""
         gate = self.admission.gate
         states: dict[str, int] = {}
-        for operation in self.keys.book.held.values():
+        for operation in self.keys.operations.by_claim_id.values():
             states[operation.state] = states.get(operation.state, 0) + 1
         return {
             "sidecar": self.name,
--- a/minthitch/mesh/sidecar/handlers.py
+++ b/minthitch/mesh/sidecar/handlers.py
@@ -11,8 +11,7 @@
 from minthitch.mesh.configuration.errors import REPLIES, ErrorKind
 from minthitch.mesh.events.events import Event, say
 from minthitch.mesh.http.listener import ClientConnection
-from minthitch.mesh.idempotency.operations import MOST as MOST_HELD
-from minthitch.mesh.idempotency.operations import MOST_BYTES
+from minthitch.mesh.idempotency.operations import MAX_ANSWER_BYTES, MAX_OPERATIONS
 from minthitch.mesh.sidecar.front import Front
 
 if TYPE_CHECKING:
@@ -90,17 +89,17 @@
     def _status(self) -> dict[str, Any]:
         """The front's, with what its operators ask of budgets, keys and tracing."""
         front, table = self.front, self.front.status()
-        book = front.keys.book
+        operations = front.keys.operations
         table["budgets"] = {
             name: {**front.retry_budget.status(name), "window_s": front.boot.terms.bounds.retry_win_s}
             for name in list(front.retry_budget.budgets)
         }
         table["book"] = {
-            "held": len(book.held),
-            "most": MOST_HELD,
-            "bytes": book.size,
-            "most_bytes": MOST_BYTES,
-            "keep_s": round(book.keep, 1),
+            "held": len(operations.by_claim_id),
+            "most": MAX_OPERATIONS,
+            "bytes": operations.answer_bytes,
+            "most_bytes": MAX_ANSWER_BYTES,
+            "keep_s": round(operations.retention_s, 1),
         }
         table["traced"] = self.tracer.status() if self.tracer is not None else {}
         return table
--- a/minthitch/mesh/sidecar/keys.py
+++ b/minthitch/mesh/sidecar/keys.py
@@ -10,7 +10,7 @@
 
 from minthitch.mesh.configuration.errors import ErrorKind
 from minthitch.mesh.transport import ops
-from minthitch.mesh.idempotency.operations import ANSWERED, AT_WORK, FREE, UNKNOWN, Book, Operation
+from minthitch.mesh.idempotency.operations import Operation, OperationState, OperationTable
 from minthitch.mesh.sidecar.links import GRANTED, HELD, ControlLinks
 
 KEPT = 2.2  # windows for which an operation is kept here: longer than any repeat can come
@@ -43,28 +43,28 @@
     def __init__(self, controls: ControlLinks, window: float, owner: str, ask: Ask) -> None:
         self.controls, self.owner, self.ask = controls, owner, ask
         self.loop = asyncio.get_running_loop()
-        self.book = Book(window * KEPT)
+        self.operations = OperationTable(window * KEPT)
 
     def open(self, trip: Keyed, key: bytes, digest: bytes, turns: int = TURNS) -> None:
         """Leads to one of the trip's `go`, `settle` and `fail`."""
-        held = self.book.by_key.get(key)
+        held = self.operations.by_key.get(key)
         if held is not None:
             self._join(trip, held, digest)
             return
-        operation = self.book.begin(key, os.urandom(12), digest, self.loop.time())
+        operation = self.operations.begin(key, os.urandom(12), digest, self.loop.time())
         self._claim(trip, operation, b"", turns)
 
     def _claim(self, trip: Keyed, operation: Operation, over: bytes, turns: int) -> None:
-        body = (operation.key, self.owner, operation.claim, operation.digest, over)
+        body = (operation.key, self.owner, operation.claim_id, operation.request_digest, over)
 
         def done(verdict: str, owner: str, claim: bytes, digest: bytes) -> None:
             if verdict == GRANTED:
                 trip.go(operation)
             elif verdict != HELD:
-                self.book.freed(operation)
+                self.operations.mark_not_run(operation)
                 trip.fail(ErrorKind.NO_LEADER)
-            elif digest != operation.digest:
-                self.book.freed(operation)
+            elif digest != operation.request_digest:
+                self.operations.mark_not_run(operation)
                 trip.fail(ErrorKind.KEY_DIFFERS)
             else:
                 self._elsewhere(trip, operation, owner, claim, turns)
@@ -77,52 +77,52 @@
 
         def told(message: ops.Message | None) -> None:
             if message is None:  # its owner can't be reached: perhaps the next repeat can
-                self.book.freed(operation)
+                self.operations.mark_not_run(operation)
                 trip.fail(ErrorKind.KEY_UNKNOWN)
                 return
             state = message[2]
-            if state == ANSWERED:
-                self.book.answered(operation, message[3], message[4], message[5])
+            if state == OperationState.ANSWERED:
+                self.operations.record_answer(operation, message[3], message[4], message[5])
                 trip.settle(message[3], message[4], message[5])
-            elif state == FREE and turns > 0 and self.loop.time() < trip.deadline:
+            elif state == OperationState.NOT_RUN and turns > 0 and self.loop.time() < trip.deadline:
                 self._claim(trip, operation, claim, turns - 1)
-            elif state == FREE:
-                self.book.freed(operation)
+            elif state == OperationState.NOT_RUN:
+                self.operations.mark_not_run(operation)
                 trip.fail(ErrorKind.BUSY)
             else:  # danger: it may have run, and must not run again
-                self.book.lost(operation)
+                self.operations.mark_unknown(operation)
                 trip.fail(ErrorKind.KEY_UNKNOWN)
 
         self.ask(owner, claim, trip.deadline, told)
 
     def _join(self, trip: Keyed, operation: Operation, digest: bytes) -> None:
         """It is this sidecar's own, at work or over."""
-        if operation.digest != digest:
+        if operation.request_digest != digest:
             trip.fail(ErrorKind.KEY_DIFFERS)
-        elif operation.state is AT_WORK:
-            operation.waiting.append(lambda op: self._joined(trip, op))
+        elif operation.state is OperationState.IN_PROGRESS:
+            operation.listeners.append(lambda op: self._joined(trip, op))
         else:
             self._joined(trip, operation)
 
     def _joined(self, trip: Keyed, operation: Operation) -> None:
-        if operation.state is ANSWERED:
+        if operation.state is OperationState.ANSWERED:
             trip.settle(operation.status, operation.fields, operation.body)
-        elif operation.state is FREE:
+        elif operation.state is OperationState.NOT_RUN:
             trip.fail(ErrorKind.BUSY)
         else:
             trip.fail(ErrorKind.KEY_UNKNOWN)
 
     def asked(self, ident: int, claim: bytes, reply: Callable[[ops.Message], None]) -> None:
         """Another sidecar asks what became of a claim of ours: answered when that is known."""
-        operation = self.book.held.get(claim)
+        operation = self.operations.by_claim_id.get(claim)
 
         def tell(op: Operation) -> None:
             reply((ops.TOLD, ident, op.state, op.status, op.fields, op.body))
 
         if operation is None:  # danger: a claim of a life before this one may have run
-            reply((ops.TOLD, ident, UNKNOWN, 0, (), b""))
-        elif operation.state is AT_WORK:
-            operation.waiting.append(tell)
+            reply((ops.TOLD, ident, OperationState.UNKNOWN, 0, (), b""))
+        elif operation.state is OperationState.IN_PROGRESS:
+            operation.listeners.append(tell)
         else:
             tell(operation)
 
--- a/minthitch/mesh/sidecar/links.py
+++ b/minthitch/mesh/sidecar/links.py
@@ -14,7 +14,9 @@
 from minthitch.mesh.transport.connection import Connection
 from minthitch.mesh.transport.link import Link
 from minthitch.mesh.transport.compression import opened
-from minthitch.mesh.registry.table import Record, Views, told
+from minthitch.mesh.registry.merged_views import MergedViews
+from minthitch.mesh.registry.records import SidecarRecord, published_fields
+from minthitch.mesh.registry.registry import RegistryDelta
 from minthitch.mesh.events.events import Event, say
 
 REPORT_EVERY = 0.5  # seconds between two looks at what this sidecar would report
@@ -68,7 +70,7 @@
         self.loop = asyncio.get_running_loop()
         self.links: dict[str, Link] = {}
         self.by_line: dict[Connection, str] = {}
-        self.replica, self.views = Replica(), Views()
+        self.replica, self.views = Replica(), MergedViews()
         self.leader, self.term = "", 0
         self.fresh_seen = False  # whether a control node that knows the newest has told us all it knows
         self.fresh: dict[str, float] = {}  # when each last spoke as one that knows the newest
@@ -102,7 +104,7 @@
             return
         say(Event.CONTROL_DOWN, ip=ip)
         self.fresh.pop(ip, None)
-        self.views.forget(ip)
+        self.views.disconnect(ip)
         for claim in self.claims.values():
             if claim.to == ip:
                 claim.sent = 0.0
@@ -137,10 +139,10 @@
                 self._report_to(ip)
         records = whole or bool(changed) or bool(dropped)
         if records:  # of several control nodes that tell the same, the first one's word is news
-            rows = [Record(*row) for row in changed]
-            records = self.views.take(self.loop.time(), ip, whole, rows, list(dropped))
-            records = self.views.forget(PEER) or records
-        records = self.views.sweep(self.loop.time()) or records
+            rows = [SidecarRecord(*row) for row in changed]
+            records = self.views.update(self.loop.time(), ip, RegistryDelta(whole, rows, list(dropped)))
+            records = self.views.disconnect(PEER) or records
+        records = self.views.expire(self.loop.time()) or records
         if term >= self.term and leader:
             self.term, self.leader = term, leader
         self.host.heard_of(self.term)
@@ -163,7 +165,9 @@
         before = self.replica.index
         if delta is not None:
             self.replica.merge(delta)
-        self.views.take(self.loop.time(), PEER, True, [Record(*row) for row in records], [])
+        self.views.update(
+            self.loop.time(), PEER, RegistryDelta(True, [SidecarRecord(*row) for row in records], [])
+        )
         self.host.changed(self.replica.index > before, True)
 
     # Reports --------------------------------------------------------------------------------------
@@ -265,8 +269,8 @@
 
 def _acted_on(row: tuple[Any, ...]) -> tuple[Any, ...]:
     """What others act on, and whether the server is slow still: who hears of it later must not believe it."""
-    record = Record(*row)
-    return *told(record), record.cold > 0
+    record = SidecarRecord(*row)
+    return *published_fields(record), record.slow_start_s > 0
 
 
 class PeerHost(Protocol):
--- a/minthitch/mesh/sidecar/trip.py
+++ b/minthitch/mesh/sidecar/trip.py
@@ -249,7 +249,7 @@
             if self.out or (self._may_repeat() and self._again()):
                 return
         if self.operation is not None:
-            self.front.keys.book.answered(self.operation, status, fields, body)
+            self.front.keys.operations.record_answer(self.operation, status, fields, body)
         self._respond(status, fields, body)
         self._close()
 
@@ -314,13 +314,13 @@
 
     def _refuse(self, kind: ErrorKind) -> None:
         if self.operation is not None:
-            self.front.keys.book.freed(self.operation)
+            self.front.keys.operations.mark_not_run(self.operation)
         self._respond_error(kind)
         self._close()
 
     def _end_unknown(self, kind: ErrorKind) -> None:
         if self.operation is not None:
-            self.front.keys.book.lost(self.operation)
+            self.front.keys.operations.mark_unknown(self.operation)
         self._respond_error(kind)
         self._close()
 
--- a/rigs/hollow/crowd.py
+++ b/rigs/hollow/crowd.py
@@ -20,7 +20,8 @@
 import uvloop
 
 from minthitch.mesh.configuration.boot import read
-from minthitch.mesh.registry.table import Record, Views
+from minthitch.mesh.registry.merged_views import MergedViews
+from minthitch.mesh.registry.registry import RegistryDelta
 from minthitch.mesh.sidecar.front import Front
 from rigs.hollow.channel import listen
 from rigs.hollow.meter import Meter
@@ -32,10 +33,10 @@
 SLOTS = 6
 
 
-class NoViews(Views):
+class NoViews(MergedViews):
     """Takes every word and keeps no list: for thin sidecars, which are there to be told."""
 
-    def take(self, now: float, control: str, whole: bool, changed: list[Record], dropped: list[str]) -> bool:
+    def update(self, now: float, source: str, delta: RegistryDelta) -> bool:
         return False
 
 
@@ -61,7 +62,7 @@
         if not self.wanted_lives:
             return self.controls.replica.index > self.before_index
         listed = self.controls.views.merged
-        return all(ip in listed and listed[ip].life == life for ip, life in self.wanted_lives)
+        return all(ip in listed and listed[ip].server_id == life for ip, life in self.wanted_lives)
 
     def beat(self, life: str, seq: int) -> None:
         """What its server would tell it."""
--- a/rigs/simulation/planted.py
+++ b/rigs/simulation/planted.py
@@ -21,7 +21,7 @@
 from minthitch.mesh.control.state import CONFIG, ROTATE, State
 from minthitch.mesh.configuration.items import Items, Replica, _DELTA
 from minthitch.mesh.transport import ops
-from minthitch.mesh.idempotency.operations import Book
+from minthitch.mesh.idempotency.operations import OperationTable
 from minthitch.mesh.sidecar.admission import Admission
 from minthitch.mesh.sidecar.copies import Copies
 from minthitch.mesh.sidecar.front import Front
@@ -144,7 +144,7 @@
 
 def _asked_free(keys: Keys, ident: int, claim: bytes, reply: Any) -> None:
     """What this life knows nothing of is said to be free."""
-    if claim in keys.book.held:
+    if claim in keys.operations.by_claim_id:
         _ASKED(keys, ident, claim, reply)
     else:
         reply((ops.TOLD, ident, "free", 0, (), b""))
@@ -164,7 +164,9 @@
     "a wiped disk that keeps its vote": lambda: [mock.patch.object(SimStore, "initialize", _same_name)],
     "a new leader that rotates too soon": lambda: [mock.patch.object(ControlServer, "_rotate", _rotate)],
     "a vote forgotten": lambda: [mock.patch.object(server_module, "RaftNode", Forgetful)],
-    "a key freed that may have run": lambda: [mock.patch.object(Book, "lost", Book.freed)],
+    "a key freed that may have run": lambda: [
+        mock.patch.object(OperationTable, "mark_unknown", OperationTable.mark_not_run)
+    ],
     "a claim of a life before taken for free": lambda: [mock.patch.object(Keys, "asked", _asked_free)],
     "keys not claimed": lambda: [mock.patch.object(ControlLinks, "claim", _unclaimed)],
     "claims forgotten too soon": lambda: [
--- a/rigs/simulation/size.py
+++ b/rigs/simulation/size.py
@@ -22,7 +22,8 @@
 from minthitch.mesh.transport import ops
 from minthitch.mesh.transport.connection import Connection
 from minthitch.mesh.transport.framing import PIECE
-from minthitch.mesh.registry.table import Record, Views
+from minthitch.mesh.registry.merged_views import MergedViews
+from minthitch.mesh.registry.registry import RegistryDelta
 from minthitch.mesh.sidecar.links import ControlLinks, Peer
 from rigs.simulation.history import History
 from rigs.simulation.loop import VirtualLoop, _Due
@@ -93,18 +94,18 @@
         super().send(end, item)
 
 
-class _Views(Views):
+class _Views(MergedViews):
     """Notes when a record is told that is waited for; keeps the list or not."""
 
     def __init__(self, sidecar: Told, keeps: bool) -> None:
         super().__init__()
         self.sidecar, self.keeps = sidecar, keeps
 
-    def take(self, now: float, control: str, whole: bool, changed: list[Record], dropped: list[str]) -> bool:
-        for record in changed:
-            if (record.ip, record.life, record.state) in self.sidecar.crowd.wanted:
+    def update(self, now: float, source: str, delta: RegistryDelta) -> bool:
+        for record in delta.changed:
+            if (record.ip, record.server_id, record.state) in self.sidecar.crowd.wanted:
                 self.sidecar.crowd.note(self.sidecar.ip, record.ip)
-        return self.keeps and super().take(now, control, whole, changed, dropped)
+        return self.keeps and super().update(now, source, delta)
 
 
 class Told(Node):
--- a/tests/mesh/test_cli.py
+++ b/tests/mesh/test_cli.py
@@ -23,19 +23,21 @@
 from minthitch.cli import shown
 from minthitch.cli.commands import main
 from minthitch.mesh.control.state import CLAIM, CONFIG, State, command
-from minthitch.mesh.idempotency.claims import Claim, packed
+from minthitch.mesh.idempotency.claims import ClaimCommand
 from tests.mesh.test_configuration import SETTINGS, first, route, service
 from tests.mesh.test_configuration import call as config
 
 BINDS = {"Out": 8304, "Readyz": 8302, "Ctl": 8306}
 VOTERS = ("10.1.0.14#0", "10.2.0.10#0", "10.3.0.12#0")
-KEY, MINE, OTHER = b"k" * 16, Claim("10.1.0.8/7", b"m" * 12, b"d"), Claim("10.1.0.9/8", b"o" * 12, b"d")
+KEY = b"k" * 16
+MINE = ClaimCommand(KEY, "10.1.0.8/7", b"m" * 12, b"d", b"")
+OTHER = ClaimCommand(KEY, "10.1.0.9/8", b"o" * 12, b"d", b"")
 ENTRIES = (
     Entry(1, 0, MEMBERS, pack_members(VOTERS)),
     Entry(2, 1, NOOP, b""),
     Entry(3, 1, DATA, command(CONFIG, first(route()))),
-    Entry(4, 1, DATA, command(CLAIM, packed(KEY, MINE, b""))),
-    Entry(5, 2, DATA, command(CLAIM, packed(KEY, OTHER, b""))),
+    Entry(4, 1, DATA, command(CLAIM, MINE.pack())),
+    Entry(5, 2, DATA, command(CLAIM, OTHER.pack())),
     Entry(6, 2, DATA, command(CONFIG, b"{")),
     Entry(7, 2, DATA, command(CONFIG, config(drop={"Routes": [{"Name": "r-1", "Ver": "00000009"}]}))),
 )
--- a/tests/mesh/test_control_beats.py
+++ b/tests/mesh/test_control_beats.py
@@ -11,7 +11,8 @@
 from minthitch.mesh.control.server import ControlServer
 from minthitch.mesh.events.events import LOG
 from minthitch.mesh.http.listener import ClientConnection
-from minthitch.mesh.registry.table import GONE_AFTER, Record, Registry
+from minthitch.mesh.registry.records import SidecarRecord
+from minthitch.mesh.registry.registry import EXPIRY_S, Registry
 from minthitch.net.callers import Incoming
 
 LIFE, IP = "i-7f3a91c2", "10.128.0.9"
@@ -45,7 +46,9 @@
     def says(self, life: str, state: str, ip: str = IP) -> None:
         """A sidecar reports."""
         self.seq += 1
-        self.registry.note(0.0, Record(ip, 9000, 1, self.seq, "a", "shop", life, 9, state, 0.0, True))
+        self.registry.update(
+            0.0, SidecarRecord(ip, 9000, 1, self.seq, "a", "shop", life, 9, state, 0.0, True)
+        )
 
     def asked(self, path: str, body: bytes = b"") -> tuple[int, dict[bytes, bytes]]:
         item, client = Incoming(), Client()
@@ -82,7 +85,7 @@
 
     def test_a_sidecar_that_went_silent_vouches_for_nothing(self) -> None:
         self.says(LIFE, "draining")
-        self.registry.sweep(GONE_AFTER + 0.1)
+        self.registry.expire(EXPIRY_S + 0.1)
         self.assertEqual(self.beat("draining"), 503)
 
     def test_what_is_no_beat_is_refused(self) -> None:
--- a/tests/mesh/test_control_rotation.py
+++ b/tests/mesh/test_control_rotation.py
@@ -13,8 +13,8 @@
 from minthitch.mesh.control import server
 from minthitch.mesh.control.state import CLAIM, GRANTED, ROTATE, TIME, State, command
 from minthitch.mesh.events.events import LOG
-from minthitch.mesh.idempotency.claims import Claim, packed
-from minthitch.mesh.idempotency.rotation import TICK_S, ReignClock
+from minthitch.mesh.idempotency.claims import ClaimCommand
+from minthitch.mesh.idempotency.rotation import RECORD_INTERVAL_S, LeadershipClock
 from rigs.simulation.mesh import KEY_WINDOW, ROTATE_SLACK, ControlNode, Site
 
 WINDOW_S, SLACK_S = 60.0, 15.0
@@ -28,14 +28,14 @@
 class Member:
     """One control node's clock, which starts anywhere, and what it has told."""
 
-    def __init__(self, make: Callable[[], ReignClock], offset: float) -> None:
+    def __init__(self, make: Callable[[], LeadershipClock], offset: float) -> None:
         self.reign, self.offset = make(), offset
 
 
 class Play:
     """One log with leaders that change, freeze, wake and lose their last entries. Seconds are the world's."""
 
-    def __init__(self, seed: int, make: Callable[[], ReignClock], reign_s: float = 30.0) -> None:
+    def __init__(self, seed: int, make: Callable[[], LeadershipClock], reign_s: float = 30.0) -> None:
         self.random, self.reign_s = random.Random(seed), reign_s
         self.members = [Member(make, self.random.uniform(0.0, 1e5)) for _ in range(3)]
         self.state, self.applied, self.term, self.now = State(), 0, 0, 0.0
@@ -74,7 +74,7 @@
 
     def claim(self) -> bytes:
         key = self.random.randbytes(12)
-        return packed(key, Claim("10.0.0.9/1", key, b""), b"")
+        return ClaimCommand(key, "10.0.0.9/1", key, b"", b"").pack()
 
     def agree(self, until: float) -> None:
         while self.flying and self.flying[0][0] <= until:
@@ -92,32 +92,32 @@
     def look(self, member: Member) -> None:
         """As the server does."""
         now, reign, state = self.now + member.offset, member.reign, self.state
-        reign.leads(now, self.term)
+        reign.on_leadership(now, self.term)
         if reign.may_rotate(self.applied, state.passed_ms, NEEDED_MS):
-            reign.rotated(now, self.append(ROTATE, b""))
-        elif reign.due(now, state.passed_ms, NEEDED_MS):
-            self.append(TIME, bytes(msgpack.packb(reign.untold_ms(now))))
-            reign.counted(now)
+            reign.on_rotated(now, self.append(ROTATE, b""))
+        elif reign.is_due(now, state.passed_ms, NEEDED_MS):
+            self.append(TIME, bytes(msgpack.packb(reign.unrecorded_ms(now))))
+            reign.on_recorded(now)
 
 
-class CountsBefore(ReignClock):
+class CountsBefore(LeadershipClock):
     """Planted: goes on from where it last counted, through the reigns of others."""
 
-    def leads(self, now: float, term: int) -> None:
+    def on_leadership(self, now: float, term: int) -> None:
         if self.term:
             self.term = term
         else:
-            super().leads(now, term)
+            super().on_leadership(now, term)
 
 
-class CountsTwice(ReignClock):
+class CountsTwice(LeadershipClock):
     """Planted: each entry tells the whole reign."""
 
-    def counted(self, now: float) -> None:
+    def on_recorded(self, now: float) -> None:
         pass
 
 
-class RotatesTwice(ReignClock):
+class RotatesTwice(LeadershipClock):
     """Planted: doesn't wait for its own rotation under way."""
 
     def may_rotate(self, applied: int, agreed_ms: int, needed_ms: int) -> bool:
@@ -125,14 +125,14 @@
 
 
 class Storm(unittest.TestCase):
-    def play(self, make: Callable[[], ReignClock], seeds: range, reign_s: float = 30.0) -> list[Play]:
+    def play(self, make: Callable[[], LeadershipClock], seeds: range, reign_s: float = 30.0) -> list[Play]:
         plays = [Play(seed, make, reign_s) for seed in seeds]
         for play in plays:
             play.run(3600.0)
         return plays
 
     def test_an_hour_with_a_new_leader_every_thirty_seconds(self) -> None:
-        plays = self.play(ReignClock, range(12))
+        plays = self.play(LeadershipClock, range(12))
         for play in plays:
             self.assertGreater(play.rotations, 20)
             self.assertGreaterEqual(min(play.forgotten), WINDOW_S + SLACK_S - 0.01)
@@ -140,7 +140,7 @@
 
     def test_reigns_of_a_few_seconds_and_of_minutes(self) -> None:
         for reign_s in (5.0, 12.0, 300.0):
-            for play in self.play(ReignClock, range(3), reign_s):
+            for play in self.play(LeadershipClock, range(3), reign_s):
                 self.assertGreater(play.rotations, 10, reign_s)
                 self.assertGreaterEqual(min(play.forgotten), WINDOW_S + SLACK_S - 0.01)
 
@@ -195,32 +195,32 @@
             if result is not None and result[0] == GRANTED:
                 granted[key] = began
 
-        body = packed(key, Claim("10.0.0.9/1", key, b""), b"")
+        body = ClaimCommand(key, "10.0.0.9/1", key, b"", b"").pack()
         site.loop.after(0.0, leader.machine, leader.server.propose, CLAIM, body, told)
 
 
 class Agreed(unittest.TestCase):
     def test_a_tick_is_told_in_time(self) -> None:
-        reign = ReignClock()
-        reign.leads(100.0, 3)
-        self.assertFalse(reign.due(100.0 + TICK_S - 0.01, 0, NEEDED_MS))
-        self.assertTrue(reign.due(100.0 + TICK_S, 0, NEEDED_MS))
-        self.assertTrue(reign.due(100.5, NEEDED_MS - 500, NEEDED_MS), "the last part needs no whole tick")
-        reign.leads(101.0, 3)
-        self.assertEqual(reign.untold_ms(102.0), 2000)
-        reign.leads(103.0, 4)
-        self.assertEqual(reign.untold_ms(103.0005), 0)
+        reign = LeadershipClock()
+        reign.on_leadership(100.0, 3)
+        self.assertFalse(reign.is_due(100.0 + RECORD_INTERVAL_S - 0.01, 0, NEEDED_MS))
+        self.assertTrue(reign.is_due(100.0 + RECORD_INTERVAL_S, 0, NEEDED_MS))
+        self.assertTrue(reign.is_due(100.5, NEEDED_MS - 500, NEEDED_MS), "the last part needs no whole tick")
+        reign.on_leadership(101.0, 3)
+        self.assertEqual(reign.unrecorded_ms(102.0), 2000)
+        reign.on_leadership(103.0, 4)
+        self.assertEqual(reign.unrecorded_ms(103.0005), 0)
 
     def test_snapshots_and_logs_of_earlier_versions(self) -> None:
         state = State()
-        state.apply(1, command(CLAIM, packed(b"k", Claim("o", b"c", b""), b"")))
+        state.apply(1, command(CLAIM, ClaimCommand(b"k", "o", b"c", b"", b"").pack()))
         state.apply(2, command(TIME, msgpack.packb(1500)))
         state.apply(3, command(TIME, msgpack.packb(500)))
         self.assertEqual(state.passed_ms, 2000)
         again = State()
         again.load(state.dump())
         self.assertEqual((again.passed_ms, again.rotated, again.dump()), (2000, 0, state.dump()))
-        old = msgpack.packb((state.items.snapshot(), state.claims.dump(), 7))
+        old = msgpack.packb((state.items.snapshot(), state.claims.to_rows(), 7))
         again.load(old)
         self.assertEqual((again.passed_ms, again.rotated, again.claims.count()), (0, 7, 1))
         again.load(state.dump())
--- a/tests/mesh/test_control_snapshots.py
+++ b/tests/mesh/test_control_snapshots.py
@@ -18,7 +18,7 @@
 from minthitch.mesh.control.snapshots import LOG_BYTES, MAP_SHARE, STAGGER, Schedule, Snapshots, share_of
 from minthitch.mesh.control.state import CLAIM, CONFIG, State, command
 from minthitch.mesh.events.events import LOG
-from minthitch.mesh.idempotency.claims import Claim, packed
+from minthitch.mesh.idempotency.claims import Claim, ClaimCommand
 from minthitch.mesh.raft.actions import Action, Apply, Persist, Timing
 from minthitch.mesh.raft.log import DATA
 from minthitch.mesh.raft.node import RaftNode
@@ -216,7 +216,7 @@
         full = self.state(2_000)
         whole, steps = full.dump(), full.dump_steps()
         parts = [next(steps)]
-        full.apply(9, command(CLAIM, packed(b"key", Claim("o", b"c", b"d"), b"")))
+        full.apply(9, command(CLAIM, ClaimCommand(b"key", "o", b"c", b"d", b"").pack()))
         full.apply(10, command(CONFIG, long_item(1, 10)))
         full.claims.rotate()
         self.assertEqual(b"".join([*parts, *steps]), whole)
--- a/tests/mesh/test_delivery_trips.py
+++ b/tests/mesh/test_delivery_trips.py
@@ -11,7 +11,7 @@
 
 from minthitch.mesh.configuration.errors import REPLIES, ErrorKind
 from minthitch.mesh.configuration.routes import Route
-from minthitch.mesh.idempotency.operations import AT_WORK, FREE, UNKNOWN, Book
+from minthitch.mesh.idempotency.operations import OperationState, OperationTable
 from minthitch.mesh.sidecar.trip import Attempt, Trip
 from rigs.simulation.loop import VirtualLoop
 
@@ -42,7 +42,7 @@
     def play(self, whole: bool | None) -> None:
         """A keyed request whose claim stands, up to just after its deadline."""
         loop, self.said = VirtualLoop(1), list[int]()
-        self.copies, book = Copies(whole), Book(60.0)
+        self.copies, operations = Copies(whole), OperationTable(60.0)
         budget = mock.Mock()
         budget.left.return_value = 0
         front: Any = SimpleNamespace(
@@ -53,10 +53,10 @@
             choice=SimpleNamespace(pick=lambda *_: [SimpleNamespace(life="life", ip="10.0.0.2")]),
             retry_budget=SimpleNamespace(of=lambda service: budget),
             copies=self.copies,
-            keys=SimpleNamespace(book=book),
+            keys=SimpleNamespace(operations=operations),
             refused=lambda kind, route: None,
             over=lambda trip: None,
-            open_key=lambda trip: trip.go(book.begin(b"k", b"claim", b"d", 0.0)),
+            open_key=lambda trip: trip.go(operations.begin(b"k", b"claim", b"d", 0.0)),
         )
         client: Any = SimpleNamespace(
             token=1, respond=lambda token, status, fields, body: self.said.append(status)
@@ -69,22 +69,24 @@
         )
         self.trip.begin()
         loop.run_until(DEADLINE + 0.1)
-        self.operation = book.held[b"claim"]
+        self.operation = operations.by_claim_id[b"claim"]
 
     def test_one_that_waits_or_has_left_in_part_is_withdrawn_and_refused(self) -> None:
         for whole in (None, False):
             self.play(whole)
             self.assertEqual(self.said, [REPLIES[ErrorKind.NO_TIME].status])
             self.assertEqual((self.copies.cancelled, self.trip.closed), (self.copies.sent, True))
-            self.assertEqual((len(self.copies.sent), self.operation.state), (1, FREE))
+            self.assertEqual((len(self.copies.sent), self.operation.state), (1, OperationState.NOT_RUN))
 
     def test_one_that_has_left_stays_open_until_its_outcome(self) -> None:
         self.play(True)
         self.assertEqual(self.said, [REPLIES[ErrorKind.DEADLINE].status])
         self.assertEqual((self.copies.cancelled, self.trip.closed), ([], False))
-        self.assertEqual(self.operation.state, AT_WORK)
+        self.assertEqual(self.operation.state, OperationState.IN_PROGRESS)
         self.trip.lost(self.copies.sent[0])
-        self.assertEqual((self.operation.state, len(self.said), self.trip.closed), (UNKNOWN, 1, True))
+        self.assertEqual(
+            (self.operation.state, len(self.said), self.trip.closed), (OperationState.UNKNOWN, 1, True)
+        )
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_keys.py
+++ b/tests/mesh/test_keys.py
@@ -12,7 +12,7 @@
 from minthitch.mesh.control.state import CLAIM, State, command
 from minthitch.mesh.configuration.errors import REPLIES, ErrorKind
 from minthitch.mesh.idempotency.operations import Operation
-from minthitch.mesh.idempotency.claims import Claim, packed
+from minthitch.mesh.idempotency.claims import ClaimCommand
 from minthitch.mesh.sidecar.keys import Keys, hashed
 
 
@@ -28,7 +28,7 @@
 
         def apply() -> None:
             self.world.index += 1
-            data = command(CLAIM, packed(key, Claim(owner, claim, digest), over))
+            data = command(CLAIM, ClaimCommand(key, owner, claim, digest, over).pack())
             result = self.world.state.apply(self.world.index, data)
             lost = self.world.rng.random() < self.world.losses
             self.world.later(done, *(("no leader", "", b"", b"") if lost else result))
@@ -54,16 +54,16 @@
         self.world.later(self._end, operation, fate)
 
     def _end(self, operation: Operation, fate: str) -> None:
-        book = self.keys.book
+        operations = self.keys.operations
         if fate == "answered":
             body = self.world.runs[self.key][-1]
-            book.answered(operation, 200, (), body)
+            operations.record_answer(operation, 200, (), body)
             self.settle(200, (), body)
         elif fate == "not run":
-            book.freed(operation)
+            operations.mark_not_run(operation)
             self.fail(ErrorKind.BUSY)
         else:
-            book.lost(operation)
+            operations.mark_unknown(operation)
             self.fail(ErrorKind.MAY_HAVE_RUN)
 
     def settle(self, status: int, fields: Any, body: bytes) -> None:
@@ -163,16 +163,16 @@
     def test_a_lost_run_told_as_free_is_found(self) -> None:
         def plant(world: World) -> None:
             for keys in world.keys.values():
-                keys.book.lost = keys.book.freed  # type: ignore[method-assign]
+                keys.operations.mark_unknown = keys.operations.mark_not_run  # type: ignore[method-assign]
 
         self.assertTrue(self._found(plant))
 
     def test_a_claim_that_anybody_may_take_over_is_found(self) -> None:
         def plant(world: World) -> None:
             claims = world.state.claims
-            real = claims.claim
-            claims.claim = lambda key, new, over: real(  # type: ignore[method-assign]
-                key, new, held.claim if (held := claims.find(key)) else over
+            real = claims.acquire
+            claims.acquire = lambda command: real(  # type: ignore[method-assign]
+                command._replace(replaces=held.claim_id) if (held := claims.find(command.key)) else command
             )
 
         self.assertTrue(self._found(plant))
@@ -196,10 +196,10 @@
 
     def test_the_image_of_the_agreed_state_holds_claims_and_configuration(self) -> None:
         state, copy = State(), State()
-        state.apply(1, command(CLAIM, packed(b"k" * 16, Claim("v", b"c", b"d"), b"")))
+        state.apply(1, command(CLAIM, ClaimCommand(b"k" * 16, "v", b"c", b"d", b"").pack()))
         copy.load(state.dump())
         self.assertEqual(
-            copy.apply(2, command(CLAIM, packed(b"k" * 16, Claim("w", b"x", b"d"), b""))),
+            copy.apply(2, command(CLAIM, ClaimCommand(b"k" * 16, "w", b"x", b"d", b"").pack())),
             ("held", "v", b"c", b"d"),
         )
 
--- a/tests/mesh/test_parts.py
+++ b/tests/mesh/test_parts.py
@@ -1,4 +1,4 @@
-"""The small pure cores: pieces, gate, claims, book, registry, choice. Histories drawn, then checked."""
+"""The small pure cores: pieces, gate, claims, operations, registry, choice. Histories drawn, then checked."""
 
 from __future__ import annotations
 
@@ -7,9 +7,11 @@
 
 from minthitch.mesh.limits.gate import MOST_QUEUED, Gate, Waiting
 from minthitch.mesh.transport.framing import LONGEST, MOST_OPEN, PIECE, Broken, Inbox, Outbox
-from minthitch.mesh.registry.table import GONE_AFTER, Registry, Record, Views
-from minthitch.mesh.idempotency.operations import ANSWERED, FREE, MOST_BYTES, UNKNOWN, Book
-from minthitch.mesh.idempotency.claims import Claim, Claims
+from minthitch.mesh.registry.merged_views import MergedViews
+from minthitch.mesh.registry.records import SidecarRecord
+from minthitch.mesh.registry.registry import EXPIRY_S, Registry, RegistryDelta
+from minthitch.mesh.idempotency.operations import MAX_ANSWER_BYTES, OperationState, OperationTable
+from minthitch.mesh.idempotency.claims import Claim, ClaimCommand, ClaimTable
 from minthitch.mesh.sidecar.choice import Choice
 
 
@@ -126,61 +128,69 @@
 
 class Keys(unittest.TestCase):
     def test_one_holder_a_key_until_it_is_named_and_rotations_keep_what_is_young(self) -> None:
-        claims = Claims()
-        one, two = Claim("a", b"1", b"d"), Claim("b", b"2", b"d")
-        self.assertEqual(claims.claim(b"k", one, b""), one)
-        self.assertEqual(claims.claim(b"k", two, b""), one)
-        self.assertEqual(claims.claim(b"k", one, b""), one)  # the same claim once more: its answer was lost
-        claims.rotate()
-        self.assertEqual(claims.claim(b"k", two, b""), one)
-        self.assertEqual(claims.claim(b"k", two, b"1"), two)
-        self.assertEqual(claims.claim(b"k", Claim("c", b"3", b"d"), b"1"), two)  # free only once
-        copy = Claims()
-        copy.load(claims.dump())
-        self.assertEqual(copy.find(b"k"), two)
-        claims.rotate()
-        claims.rotate()
-        self.assertIsNone(claims.find(b"k"))
+        table = ClaimTable()
+
+        def acquire(owner: str, claim_id: bytes, replaces: bytes) -> tuple[str, bytes]:
+            valid = table.acquire(ClaimCommand(b"k", owner, claim_id, b"d", replaces))
+            assert valid is not None and valid.request_digest == b"d"
+            return valid.owner, valid.claim_id
+
+        one, two = ("a", b"1"), ("b", b"2")
+        self.assertEqual(acquire(*one, b""), one)
+        self.assertEqual(acquire(*two, b""), one)
+        self.assertEqual(acquire(*one, b""), one)  # the same claim once more: its answer was lost
+        table.rotate()
+        self.assertEqual(acquire(*two, b""), one)
+        self.assertEqual(acquire(*two, b"1"), two)
+        self.assertEqual(acquire("c", b"3", b"1"), two)  # free only once
+        copy = ClaimTable()
+        copy.load_rows(table.to_rows())
+        self.assertEqual(copy.find(b"k"), Claim("b", b"2", b"d"))
+        table.rotate()
+        table.rotate()
+        self.assertIsNone(table.find(b"k"))
 
     def test_what_became_of_an_operation_is_told_once_and_never_changes(self) -> None:
-        book, heard = Book(60.0), list[str]()
-        operation = book.begin(b"k", b"c", b"d", 0.0)
-        operation.waiting.append(lambda op: heard.append(op.state))
-        book.lost(operation)
-        book.freed(operation)
-        self.assertEqual((heard, operation.state), ([UNKNOWN], UNKNOWN))
-        self.assertIs(book.by_key[b"k"], operation, "no repeat begins it anew")
-        other = book.begin(b"x", b"y", b"d", 0.0)
-        book.freed(other)
-        self.assertEqual((other.state, book.by_key.get(b"x")), (FREE, None))
+        operations, heard = OperationTable(60.0), list[str]()
+        operation = operations.begin(b"k", b"c", b"d", 0.0)
+        operation.listeners.append(lambda op: heard.append(op.state))
+        operations.mark_unknown(operation)
+        operations.mark_not_run(operation)
+        self.assertEqual((heard, operation.state), ([OperationState.UNKNOWN], OperationState.UNKNOWN))
+        self.assertIs(operations.by_key[b"k"], operation, "no repeat begins it anew")
+        other = operations.begin(b"x", b"y", b"d", 0.0)
+        operations.mark_not_run(other)
+        self.assertEqual((other.state, operations.by_key.get(b"x")), (OperationState.NOT_RUN, None))
 
     def test_answers_are_bounded_in_bytes_and_forgotten_ones_are_unknown(self) -> None:
-        book = Book(60.0)
+        table = OperationTable(60.0)
         operations = []
         for number in range(30):
-            operation = book.begin(b"%d" % number, b"%d" % number, b"d", 0.0)
-            book.answered(operation, 200, (), b"x" * (MOST_BYTES // 20))
+            operation = table.begin(b"%d" % number, b"%d" % number, b"d", 0.0)
+            table.record_answer(operation, 200, (), b"x" * (MAX_ANSWER_BYTES // 20))
             operations.append(operation)
-        self.assertLessEqual(book.size, MOST_BYTES)
-        self.assertEqual((operations[0].state, operations[-1].state), (UNKNOWN, ANSWERED))
-        book.begin(b"new", b"new", b"d", 61.0)
-        self.assertEqual(len(book.held), 1)
+        self.assertLessEqual(table.answer_bytes, MAX_ANSWER_BYTES)
+        self.assertEqual(
+            (operations[0].state, operations[-1].state), (OperationState.UNKNOWN, OperationState.ANSWERED)
+        )
+        table.begin(b"new", b"new", b"d", 61.0)
+        self.assertEqual(len(table.by_claim_id), 1)
 
 
-def record(ip: str, epoch: int, seq: int, state: str = "up") -> Record:
-    return Record(ip, 1, epoch, seq, "z", "svc", f"life-{epoch}", 9, state, 0.0, True)
+def record(ip: str, epoch: int, seq: int, state: str = "up") -> SidecarRecord:
+    return SidecarRecord(ip, 1, epoch, seq, "z", "svc", f"life-{epoch}", 9, state, 0.0, True)
 
 
 class Racks(unittest.TestCase):
     def test_watchers_that_hear_differences_hold_what_the_rack_holds(self) -> None:
         for seed in range(20):
             rng = random.Random(seed)
-            registry, version, held, now = Registry(), 0, dict[str, Record](), 0.0
+            registry, version, held, now = Registry(), 0, dict[str, SidecarRecord](), 0.0
             for step in range(300):
                 now += rng.uniform(0.0, 0.3)
                 ip = f"10.0.0.{rng.randrange(6)}"
-                registry.note(now, record(ip, rng.randrange(3), step, rng.choice(("up", "draining"))))
-                registry.sweep(now)
+                registry.update(now, record(ip, rng.randrange(3), step, rng.choice(("up", "draining"))))
+                registry.expire(now)
                 if rng.random() < 0.3:
                     whole, changed, dropped = registry.since(version)
                     version = registry.version
@@ -189,27 +199,27 @@
                     for ip in dropped:
                         held.pop(ip, None)
                     self.assertEqual(
-                        {ip: r.life for ip, r in held.items()},
-                        {ip: r.life for ip, r in registry.records.items()},
+                        {ip: r.server_id for ip, r in held.items()},
+                        {ip: r.server_id for ip, r in registry.records.items()},
                     )
-            registry.sweep(now + GONE_AFTER + 1.0)
+            registry.expire(now + EXPIRY_S + 1.0)
             self.assertFalse(registry.records)
 
     def test_the_newest_life_wins_and_the_last_view_stays(self) -> None:
-        views = Views()
-        views.take(0.0, "f1", True, [record("a", 2, 1)], [])
-        views.take(0.0, "f2", True, [record("a", 1, 9)], [])
+        views = MergedViews()
+        views.update(0.0, "f1", RegistryDelta(True, [record("a", 2, 1)], []))
+        views.update(0.0, "f2", RegistryDelta(True, [record("a", 1, 9)], []))
         self.assertEqual(views.merged["a"].epoch, 2)
-        views.forget("f1")
+        views.disconnect("f1")
         self.assertEqual(views.merged["a"].epoch, 1)
-        views.forget("f2")
+        views.disconnect("f2")
         self.assertIn("a", views.merged)
-        views.take(5.0, "f1", True, [record("b", 3, 1)], [])
+        views.update(5.0, "f1", RegistryDelta(True, [record("b", 3, 1)], []))
         self.assertFalse(
-            views.sweep(5.0 + GONE_AFTER / 2)
+            views.expire(5.0 + EXPIRY_S / 2)
         )  # a control node that just started knows only a part
         self.assertIn("a", views.merged)
-        self.assertTrue(views.sweep(5.0 + GONE_AFTER))
+        self.assertTrue(views.expire(5.0 + EXPIRY_S))
         self.assertEqual(set(views.merged), {"b"})
 
 
--- a/tests/mesh/test_size.py
+++ b/tests/mesh/test_size.py
@@ -13,7 +13,9 @@
 from minthitch.mesh.transport.connection import DEAD
 from minthitch.mesh.transport.link import STALE
 from minthitch.mesh.transport.framing import PIECE, Broken
-from minthitch.mesh.registry.table import GONE_AFTER, Registry, Record, Views, newer, told
+from minthitch.mesh.registry.merged_views import MergedViews
+from minthitch.mesh.registry.records import SidecarRecord, is_newer, published_fields
+from minthitch.mesh.registry.registry import EXPIRY_S, Registry, RegistryDelta
 from minthitch.mesh.events.events import LOG
 from minthitch.mesh.sidecar import links
 from minthitch.mesh.sidecar.links import DOUBT_ONCE, HOLD, PROBE, Peer, _acted_on
@@ -24,20 +26,20 @@
 WAYS = 0.03  # seconds of the model's two ways and a turn of the loops
 
 
-def record(ip: str, epoch: int, seq: int, state: str = "up", cold: float = 0.0) -> Record:
-    return Record(ip, 1, epoch, seq, "a", "svc", f"{ip}-{epoch}", 4, state, cold, True)
+def record(ip: str, epoch: int, seq: int, state: str = "up", cold: float = 0.0) -> SidecarRecord:
+    return SidecarRecord(ip, 1, epoch, seq, "a", "svc", f"{ip}-{epoch}", 4, state, cold, True)
 
 
 class Lists(unittest.TestCase):
     def test_merging_what_a_word_touches_is_merging_all(self) -> None:
         for seed in range(30):
             rng = random.Random(seed)
-            views, news = Views(), Counter[bool]()
+            views, news = MergedViews(), Counter[bool]()
             for step in range(200):
-                before = {ip: told(r) for ip, r in views.merged.items()}
+                before = {ip: published_fields(r) for ip, r in views.merged.items()}
                 control = rng.choice("abc")
                 if rng.random() < 0.1:
-                    said = views.forget(control)
+                    said = views.disconnect(control)
                 else:
                     state = rng.choice(("up", "draining"))
                     rows = [
@@ -45,26 +47,28 @@
                         for _ in range(rng.randrange(3))
                     ]
                     gone = [ip for ip in "123456" if rng.random() < 0.1 and all(r.ip != ip for r in rows)]
-                    said = views.take(float(step), control, rng.random() < 0.1, rows, gone)
-                whole: dict[str, Record] = {}
+                    said = views.update(float(step), control, RegistryDelta(rng.random() < 0.1, rows, gone))
+                whole: dict[str, SidecarRecord] = {}
                 for view in views.views.values():
-                    whole.update({ip: r for ip, r in view.items() if newer(r, whole.get(ip))})
+                    whole.update({ip: r for ip, r in view.items() if is_newer(r, whole.get(ip))})
                 self.assertEqual(
-                    {ip: (r.epoch, r.seq) for ip, r in views.merged.items()},
-                    {ip: (r.epoch, r.seq) for ip, r in whole.items()},
+                    {ip: (r.epoch, r.sequence) for ip, r in views.merged.items()},
+                    {ip: (r.epoch, r.sequence) for ip, r in whole.items()},
                 )
-                self.assertEqual(said, before != {ip: told(r) for ip, r in whole.items()})
+                self.assertEqual(said, before != {ip: published_fields(r) for ip, r in whole.items()})
                 news[said] += 1
             self.assertGreater(min(news[True], news[False]), 10)
 
     def test_a_live_line_keeps_its_vise_and_no_other_life(self) -> None:
         registry, old, new = Registry(), record("a", 1, 9), record("a", 2, 1)
-        registry.note(0.0, old)
-        registry.alive("a", 1, GONE_AFTER)
-        self.assertFalse(registry.sweep(GONE_AFTER + 1.0))
-        registry.note(GONE_AFTER + 1.0, new)
-        registry.alive("a", 1, 9.0)  # danger: a line of a life before keeps the one that has died in the list
-        self.assertTrue(registry.sweep(9.0))
+        registry.update(0.0, old)
+        registry.refresh("a", 1, EXPIRY_S)
+        self.assertFalse(registry.expire(EXPIRY_S + 1.0))
+        registry.update(EXPIRY_S + 1.0, new)
+        registry.refresh(
+            "a", 1, 9.0
+        )  # danger: a line of a life before keeps the one that has died in the list
+        self.assertTrue(registry.expire(9.0))
 
     def test_a_server_is_reported_again_once_it_is_warm(self) -> None:
         self.assertNotEqual(_acted_on(record("a", 1, 1, cold=0.5)), _acted_on(record("a", 1, 2)))
@@ -129,10 +133,10 @@
     def test_who_says_nothing_new_stays_and_who_is_gone_goes(self) -> None:
         crowd = self.crowd()
         with mock.patch.object(links, "SURELY", 1e9):
-            crowd.loop.run_until(crowd.loop.now + 2 * GONE_AFTER)
+            crowd.loop.run_until(crowd.loop.now + 2 * EXPIRY_S)
             self.assertEqual(self.listed(crowd), {COUNT})
             crowd.told[-1].stop(power=True)
-            crowd.loop.run_until(crowd.loop.now + GONE_AFTER + 1.0)
+            crowd.loop.run_until(crowd.loop.now + EXPIRY_S + 1.0)
         self.assertEqual(self.listed(crowd), {COUNT - 1})
 
 
--- a/tests/mesh/test_start.py
+++ b/tests/mesh/test_start.py
@@ -46,7 +46,8 @@
     "mesh.transport.framing",
     "mesh.transport.compression",
     "mesh.registry",
-    "mesh.registry.table",
+    "mesh.registry.records",
+    "mesh.registry.registry",
     "mesh.events",
     "mesh.events.events",
     "mesh.http",
@@ -55,6 +56,7 @@
     "mesh.idempotency",
 }
 SIDECAR = BOTH | {
+    "mesh.registry.merged_views",
     "mesh.limits",
     "mesh.limits.budget",
     "mesh.limits.bulk",
