--- a/bench/meshsize.py
+++ b/bench/meshsize.py
@@ -15,8 +15,8 @@
 from statistics import median
 from typing import NamedTuple
 
-from minthitch.mesh.control.server import SURELY
-from minthitch.mesh.control.pushes import GATHER
+from minthitch.mesh.control.server import FULL_UPDATE_INTERVAL_S
+from minthitch.mesh.control.sidecar_updates import BATCH_INTERVAL_S
 from minthitch.mesh.registry.merged_views import MergedViews
 from minthitch.mesh.registry.records import SidecarRecord
 from minthitch.mesh.registry.registry import Registry, RegistryDelta
@@ -25,7 +25,7 @@
 
 SIZES, QUICK_SIZES = (20, 100, 1_000), (20, 100)
 FEW, MANY = 10, 2_000  # routes
-WINDOW = SURELY  # seconds looked at: one word to everyone whatever happens falls into each
+WINDOW = FULL_UPDATE_INTERVAL_S  # seconds looked at: one word to everyone whatever happens falls into each
 LOOKS = 5  # windows at rest, of which the cheapest counts: others' work on this machine only adds
 MEETERS = 2  # sidecars that open lines to all others
 PURE = 10_000
@@ -33,8 +33,10 @@
 REST_PART = 0.05  # of it that a control node may use at 100 sidecars at rest
 LIKE = 1.25  # by how much a figure for each sidecar may differ that must not depend on size
 WORK_LIKE = 3.0  # the same for processor time, which also grows with caches that no longer hold all
-TOLD_MOST = GATHER + 0.08  # seconds from an acknowledgement to the last sidecar: gathered, a sync, two ways
-REPLACED_WORDS = SPREAD / GATHER + 4.0  # words to each sidecar while a service is replaced
+TOLD_MOST = (
+    BATCH_INTERVAL_S + 0.08
+)  # seconds from an acknowledgement to the last sidecar: gathered, a sync, two ways
+REPLACED_WORDS = SPREAD / BATCH_INTERVAL_S + 4.0  # words to each sidecar while a service is replaced
 START_WORDS = 2.0 * REPLACED_WORDS  # a word to a new sidecar, and those of all that come after it
 
 
--- a/minthitch/cli/folder.py
+++ b/minthitch/cli/folder.py
@@ -7,7 +7,6 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 from pathlib import Path
-from typing import Any
 
 import msgpack
 from msgspec import DecodeError, json
@@ -18,7 +17,17 @@
 from minthitch.mesh.storage.records import Header
 from minthitch.mesh.storage.store import Condition, Store
 from minthitch.config import ConfigError
-from minthitch.mesh.control.state import CLAIM, CONFIG, ROTATE, TIME, State
+from minthitch.mesh.control.state_machine import (
+    ALREADY_CLAIMED,
+    CLAIM,
+    CONFIG,
+    ROTATE,
+    TIME,
+    ClaimResult,
+    ConfigurationResult,
+    StateMachine,
+)
+from minthitch.mesh.idempotency.claims import ClaimCommand
 
 FILE = "data.mdb"
 LEAST_MAP = 16 * 1024 * 1024  # bytes
@@ -87,15 +96,15 @@
     return found
 
 
-def begun(found: Found) -> State:
+def begun(found: Found) -> StateMachine:
     """What is agreed as of the image, before the entries."""
-    state = State()
+    state = StateMachine()
     if found.saved is not None:
-        state.load(found.saved.snapshot.data)
+        state.restore(found.saved.snapshot.data)
     return state
 
 
-def replayed(found: Found) -> State:
+def replayed(found: Found) -> StateMachine:
     """What the log comes to at its end; its last entries may not be agreed yet."""
     state = begun(found)
     for entry in found.entries:
@@ -117,7 +126,7 @@
             yield f"{entry.index} {entry.term} {line}"
 
 
-def _told(state: State, entry: Entry) -> str:
+def _told(state: StateMachine, entry: Entry) -> str:
     if entry.kind == MEMBERS:
         return f"members {', '.join(msgpack.unpackb(entry.data))}"
     if entry.kind != DATA:
@@ -125,19 +134,21 @@
     result = state.apply(entry.index, entry.data)
     kind, body = msgpack.unpackb(entry.data, use_list=False)
     if kind == CONFIG:
-        return f"config {result[0]} {result[1] or _items(body)}"
+        assert isinstance(result, ConfigurationResult)
+        return f"config {result.status} {result.reason or _items(body)}"
     if kind == CLAIM:
-        return _claim(msgpack.unpackb(body, use_list=False), result)
+        assert isinstance(result, ClaimResult)
+        return _claim(ClaimCommand.unpack(body), result)
     if kind == TIME:
         return f"time {msgpack.unpackb(body)} ms"
     return "rotate" if kind == ROTATE else f"kind {kind}"
 
 
-def _claim(row: tuple[Any, ...], result: tuple[Any, ...]) -> str:
-    key, owner, claim, _digest, over = row
-    instead = f" over {over.hex()[:8]}" if over else ""
-    held = f", held by {result[1]}" if result[0] == "held" else ""
-    return f"claim {key.hex()} {claim.hex()[:8]}{instead} by {owner}: {result[0]}{held}"
+def _claim(command: ClaimCommand, result: ClaimResult) -> str:
+    instead = f" over {command.replaces.hex()[:8]}" if command.replaces else ""
+    held = f", held by {result.owner}" if result.verdict == ALREADY_CLAIMED else ""
+    claim = command.claim_id.hex()[:8]
+    return f"claim {command.key.hex()} {claim}{instead} by {command.owner}: {result.verdict}{held}"
 
 
 def _items(body: bytes) -> str:
--- a/minthitch/cli/settings.py
+++ b/minthitch/cli/settings.py
@@ -12,7 +12,7 @@
 from minthitch.mesh.configuration import boot
 from minthitch.mesh.sidecar import program as sidecar
 
-NEEDS = {"sidecar": sidecar.needs, "ctl": control.needs}  # by what a process serves
+NEEDS = {"sidecar": sidecar.needs, "ctl": control.required_settings}  # by what a process serves
 LEAST_GRACE = sidecar.LINGER + sidecar.LAST  # seconds that a sidecar needs to leave without a refused client
 SEEDS = 3  # machines that found a group
 
--- a/minthitch/mesh/control/__init__.py
+++ b/minthitch/mesh/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane: agreement, the configuration, who is there, whose a key is; durable."""
+"""The control plane: consensus, configuration, service registry, ownership of idempotency keys; durable."""
--- a/minthitch/mesh/control/__main__.py
+++ b/minthitch/mesh/control/__main__.py
@@ -1,4 +1,4 @@
-"""`python3 -m minthitch.mesh.control`: one voice of the control plane, as its settings file tells."""
+"""`python3 -m minthitch.mesh.control`: one control node, configured by its settings file."""
 
 from __future__ import annotations
 
--- a/minthitch/mesh/control/allowance_leases.py
+++ b/minthitch/mesh/control/allowance_leases.py
@@ -1,45 +1,48 @@
-"""Leases on the slack, between a control node's lines and what decides on them
-(minthitch.mesh.limits.lease)."""
+"""Leases on the retry allowance: the decisions of `minthitch.mesh.limits.lease`, under a leader's lease."""
 
 from __future__ import annotations
 
 from typing import Any, Protocol
 
-from minthitch.mesh.raft.node import RaftNode
-from minthitch.mesh.limits.lease import Lender, Report
 from minthitch.mesh.configuration.boot import Bounds
+from minthitch.mesh.limits.lease import Lease, Lender, Report
+from minthitch.mesh.raft.node import RaftNode
 
-FOUNDED = 2  # index of the first leader's first entry, right after that of the founders
+FIRST_LEADER_INDEX = 2  # of the first leader's first entry, right after that of the founders
 
 
-class Life(Protocol):
-    """One life of a sidecar."""
+class Subscriber(Protocol):
+    """One run of a sidecar."""
 
     ip: str
     epoch: int
 
 
-class Leases:
-    """Lends while this control node surely leads. `now` is read from a steady clock right then."""
+class AllowanceLeases:
+    """Grants leases while this node surely leads. `now` is read from a steady clock right at the call."""
 
-    def __init__(self, bounds: Bounds, core: RaftNode) -> None:
-        self.core, self.lender = core, Lender(bounds.retry_slack, bounds.retry_win_s)
+    def __init__(self, bounds: Bounds, raft: RaftNode) -> None:
+        self.lender = Lender(bounds.retry_slack, bounds.retry_win_s)
+        self._raft = raft
 
-    def _leads(self, now: float) -> bool:
-        if not self.core.has_lease(now):
+    def _may_grant(self, now: float) -> bool:
+        if not self._raft.has_lease(now):
             return False
-        # A leader that lends has its first entry agreed: it is in the log of every later one, before its own.
-        self.lender.lead(now, self.core.term, self.core.leader_state.noop_index <= FOUNDED)
+        # The first entry of a leader that grants is committed, so it is in the log of every later leader.
+        is_first_leader = self._raft.leader_state.noop_index <= FIRST_LEADER_INDEX
+        self.lender.lead(now, self._raft.term, is_first_leader)
         return True
 
-    def heard(self, now: float, life: Life, report: tuple[Any, ...]) -> None:
-        if self._leads(now):
-            self.lender.heard(now, life.ip, life.epoch, Report(*report))
+    def on_report(self, now: float, subscriber: Subscriber, report: tuple[Any, ...]) -> None:
+        """A sidecar reports what it uses and needs."""
+        if self._may_grant(now):
+            self.lender.heard(now, subscriber.ip, subscriber.epoch, Report(*report))
 
-    def share(self, now: float) -> None:
-        if self._leads(now):
+    def distribute(self, now: float) -> None:
+        """Decide anew how much each sidecar gets."""
+        if self._may_grant(now):
             self.lender.share(now)
 
-    def lease(self, now: float, life: Life) -> tuple[Any, ...] | None:
-        lease = self.lender.lease(life.ip, life.epoch) if self._leads(now) else None
-        return None if lease is None else tuple(lease)
+    def grant(self, now: float, subscriber: Subscriber) -> Lease | None:
+        """The lease to send to a sidecar; None where there is nothing new."""
+        return self.lender.lease(subscriber.ip, subscriber.epoch) if self._may_grant(now) else None
--- a/minthitch/mesh/control/claim_expiry.py
+++ b/minthitch/mesh/control/claim_expiry.py
@@ -1,4 +1,4 @@
-"""The leader's part in letting claims grow old: it tells the time it has seen, and appends the rotation."""
+"""The leader's part in forgetting old claims: it records time, and appends rotations."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import msgpack
 
 from minthitch.mesh.control.proposals import Proposals
-from minthitch.mesh.control.state import ROTATE, TIME, State
+from minthitch.mesh.control.state_machine import ROTATE, TIME, StateMachine
 from minthitch.mesh.idempotency.rotation import LeadershipClock
 from minthitch.mesh.raft.node import RaftNode
 
@@ -15,42 +15,48 @@
 class Host(Protocol):
     """The control node whose claims they are."""
 
-    core: RaftNode
-    state: State
+    raft: RaftNode
+    state: StateMachine
     proposals: Proposals
 
 
-class Aging:
-    """`window` seconds is the time for which a key is kept (see minthitch.mesh.idempotency.rotation)."""
+class ClaimExpiry:
+    """`window_s` seconds is the time for which a key is kept (see minthitch.mesh.idempotency.rotation)."""
 
-    def __init__(self, host: Host, window: float) -> None:
-        self.host, self.window = host, window
-        self.reign = LeadershipClock()
+    def __init__(self, host: Host, window_s: float) -> None:
+        self.clock = LeadershipClock()
+        self._host = host
+        self._window_s = window_s
 
-    def look(self, now: float, slack: float) -> None:
-        """`now` was read from the steady clock right before; `slack` seconds are kept beyond the window."""
-        core, reign, state = self.host.core, self.reign, self.host.state
-        if not core.has_committed_in_term:
+    def tick(self, now: float, margin_s: float) -> None:
+        """As leader, append what is due.
+
+        Args:
+            now: read from the steady clock right before.
+            margin_s: seconds for which claims are kept beyond the window.
+        """
+        raft, state = self._host.raft, self._host.state
+        if not raft.has_committed_in_term:
             return
-        reign.on_leadership(now, core.term)
+        self.clock.on_leadership(now, raft.term)
         if not state.claims.count():
             return
-        needed = self._needed_ms(slack)
-        if reign.may_rotate(core.last_applied, state.passed_ms, needed):
-            placed = self.host.proposals.place(ROTATE, b"")
-            if placed is not None:
-                reign.on_rotated(now, placed[0])
-        elif reign.is_due(now, state.passed_ms, needed):
-            self._tell(now)
-
-    def _needed_ms(self, slack: float) -> int:
-        """Time between two rotations; all routes are only read where the rest is over."""
-        least = int((self.window + slack) * 1000)
-        if self.host.state.passed_ms < least:
-            return least
-        return max(least, int((self.window + self.host.state.patience()) * 1000))
-
-    def _tell(self, now: float) -> None:
-        body = bytes(msgpack.packb(self.reign.unrecorded_ms(now)))
-        if self.host.proposals.place(TIME, body) is not None:
-            self.reign.on_recorded(now)
+        needed_ms = self._needed_ms(margin_s)
+        if self.clock.may_rotate(raft.last_applied, state.elapsed_ms, needed_ms):
+            position = self._host.proposals.append(ROTATE, b"")
+            if position is not None:
+                self.clock.on_rotated(now, position.log_index)
+        elif self.clock.is_due(now, state.elapsed_ms, needed_ms):
+            self._record_time(now)
+
+    def _needed_ms(self, margin_s: float) -> int:
+        """Time between two rotations. All routes are read only once the rest of the time is over."""
+        shortest = int((self._window_s + margin_s) * 1000)
+        if self._host.state.elapsed_ms < shortest:
+            return shortest
+        return max(shortest, int((self._window_s + self._host.state.longest_route_timeout()) * 1000))
+
+    def _record_time(self, now: float) -> None:
+        body = bytes(msgpack.packb(self.clock.unrecorded_ms(now)))
+        if self._host.proposals.append(TIME, body) is not None:
+            self.clock.on_recorded(now)
--- a/minthitch/mesh/control/configuration_calls.py
+++ b/minthitch/mesh/control/configuration_calls.py
@@ -1,7 +1,9 @@
-"""Calls of the operator at the node that took them: each is answered once, before its caller gives up on it.
+"""Configuration calls at the control node that received them: each is answered once, before its caller
+times out.
 
-Callers of `Ctl` go to another node after a second of silence. A call that has no result after DEADLINE is
-answered as unclear instead: it may have been taken, so it is never refused, and sending it again is safe.
+Callers of `Ctl` go to another node after a second without an answer. A call without a result after
+RESULT_TIMEOUT_S is answered as unclear instead: it may have been committed, so it is never rejected, and
+sending it again is safe.
 """
 
 from __future__ import annotations
@@ -10,94 +12,114 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any, Protocol
 
-from minthitch.mesh.control.state import CONFIG, Fetched, State
+from minthitch.mesh.control.state_machine import CONFIG, FetchResult, StateMachine
 from minthitch.mesh.raft.node import RaftNode
 from minthitch.mesh.transport import ops
 
 if TYPE_CHECKING:
     from minthitch.mesh.control.proposals import Proposals
 
-DEADLINE = 0.7  # seconds from a call's arrival to its answer: the rest of the second is for the way
-BODY_RATE = 4 * 1024 * 1024  # bytes of a body for which a second is added: callers wait longer for these
-Result = Callable[[tuple[Any, ...] | None], None]
+RESULT_TIMEOUT_S = 0.7  # from a call's arrival to its answer: the rest of the second is for the network
+BODY_BYTES_PER_S = 4 * 1024 * 1024  # callers wait a second longer for so many bytes of a body
+OnResult = Callable[[tuple[Any, ...] | None], None]  # the result; None: unclear
 
 
 class Host(Protocol):
-    """The control node that took them."""
+    """The control node that received them."""
 
-    core: RaftNode
-    state: State
+    raft: RaftNode
+    state: StateMachine
     proposals: Proposals
     loop: asyncio.AbstractEventLoop
     clock: Callable[[], float]
 
     @property
-    def bad(self) -> bool: ...  # its disk
-    def propose(self, kind: int, data: bytes, done: Result) -> None: ...
+    def disk_healthy(self) -> bool: ...
+    def propose(self, kind: int, data: bytes, on_result: OnResult) -> None: ...
 
 
-def patience(size: int) -> float:
-    """Seconds within which a call with a body of `size` bytes is answered."""
-    return DEADLINE + size / BODY_RATE
+def call_timeout(body_bytes: int) -> float:
+    """Seconds within which a call with a body of that size is answered."""
+    return RESULT_TIMEOUT_S + body_bytes / BODY_BYTES_PER_S
 
 
-class Order:
-    """One open call; call it with the result, or with None where that is unclear."""
+class PendingCall:
+    """One open call. It is called with the result, or with None where the outcome is unclear."""
 
-    __slots__ = ("open", "done", "timer")
+    __slots__ = ("_open_calls", "_on_result", "_timer")
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, open_orders: set[Order], seconds: float, done: Result
+        self,
+        loop: asyncio.AbstractEventLoop,
+        open_calls: set[PendingCall],
+        timeout_s: float,
+        on_result: OnResult,
     ) -> None:
-        self.open, self.done = open_orders, done
-        self.timer = loop.call_later(seconds, self, None)
-        open_orders.add(self)
+        self._open_calls = open_calls
+        self._on_result = on_result
+        self._timer = loop.call_later(timeout_s, self, None)
+        open_calls.add(self)
 
     def __call__(self, result: tuple[Any, ...] | None) -> None:
-        """Answers the caller; a result that comes after the answer is dropped."""
-        if self not in self.open:
+        """Answer the caller; a result that comes after the answer is dropped."""
+        if self not in self._open_calls:
             return
-        self.open.discard(self)
-        self.timer.cancel()
-        self.done(result)
+        self._open_calls.discard(self)
+        self._timer.cancel()
+        self._on_result(result)
 
 
-class Orders:
-    """Those that are open."""
+class ConfigurationCalls:
+    """The calls that are open at this node."""
 
     def __init__(self, host: Host) -> None:
-        self.host = host
-        self.open: set[Order] = set()
-
-    def patch(self, body: bytes, done: Result) -> None:
-        """A change; `done` is told None at once where no majority is reached, or late where it is unclear."""
-        if self._in_touch():
-            self.host.propose(CONFIG, body, Order(self.host.loop, self.open, patience(len(body)), done))
+        self.open_calls: set[PendingCall] = set()
+        self._host = host
+
+    def patch(self, body: bytes, on_result: OnResult) -> None:
+        """Change the configuration.
+
+        Args:
+            body: the call as sent. on_result: gets a ConfigurationResult; None at once where no majority
+            can be reached, and after the
+                timeout where the outcome is unclear.
+        """
+        if self._reaches_quorum():
+            self._host.propose(CONFIG, body, self._pending(on_result, len(body)))
+        else:
+            on_result(None)
+
+    def fetch(self, on_result: OnResult) -> None:
+        """Read the configuration as the leader knows it while it has its lease.
+
+        Args:
+            on_result: gets a FetchResult; None as for `patch`.
+        """
+        if self._host.raft.is_leader:
+            self.fetch_locally(on_result)
+        elif self._reaches_quorum():
+            self._host.proposals.forward(ops.FETCH, (), self._pending(on_result, 0))
         else:
-            done(None)
-
-    def fetch(self, done: Result) -> None:
-        """The configuration as the leader knows it while it surely leads; `done` as for `patch`."""
-        host = self.host
-        if host.core.role == "leader":
-            self.fetch_here(done)
-        elif self._in_touch():
-            host.proposals.forward(ops.FETCH, (), Order(host.loop, self.open, patience(0), done))
+            on_result(None)
+
+    def fetch_locally(self, on_result: OnResult) -> None:
+        """Read the configuration of this node, if it has the leader's lease."""
+        host = self._host
+        if host.raft.has_lease(self._now()) and host.disk_healthy:
+            on_result(FetchResult(host.state.items.fetch(), host.state.items.index))
         else:
-            done(None)
+            on_result(None)
 
-    def fetch_here(self, done: Result) -> None:
-        """As this node knows it, if it surely leads."""
-        host = self.host
-        sure = host.core.has_lease(self._now()) and not host.bad
-        done(Fetched(host.state.items.fetch(), host.state.items.index) if sure else None)
+    def _pending(self, on_result: OnResult, body_bytes: int) -> PendingCall:
+        return PendingCall(self._host.loop, self.open_calls, call_timeout(body_bytes), on_result)
 
-    def _in_touch(self) -> bool:
-        """Whether this node reaches a majority, or has led too short a time to have heard from one."""
-        core, now = self.host.core, self._now()
-        young = core.role == "leader" and now - core.leader_state.elected_at <= core.timing.election_timeout
-        return young or core.in_contact_with_quorum(now)
+    def _reaches_quorum(self) -> bool:
+        """Whether this node reaches a majority, or has led for too short a time to have heard from one."""
+        raft, now = self._host.raft, self._now()
+        if raft.is_leader and now - raft.leader_state.elected_at <= raft.timing.election_timeout:
+            return True
+        return raft.in_contact_with_quorum(now)
 
     def _now(self) -> float:
-        """Danger: the loop's time is that of its last turn, and this machine may have been frozen since."""
-        return max(self.host.loop.time(), self.host.clock())
+        """The loop's time is that of its last turn, and the process may have been frozen since."""
+        return max(self._host.loop.time(), self._host.clock())
--- a/minthitch/mesh/control/disk_health.py
+++ b/minthitch/mesh/control/disk_health.py
@@ -1,38 +1,39 @@
-"""Whether this control node's disk can be relied on now: it hangs, or it refused a write lately."""
+"""Whether this control node's disk can be relied on: it may hang, or refuse writes."""
 
 from __future__ import annotations
 
-from minthitch.mesh.events.events import Event, say
+from minthitch.mesh.events.events import Event, log_event
 
-HUNG = 0.3  # seconds without an answer of the disk after which it counts as hung
-FULL_FOR = 0.5  # seconds after its last complaint for which a disk counts as full
-SAID_AGAIN = 1.0  # seconds between two lines on complaints
+HANG_TIMEOUT_S = 0.3  # without an answer of the disk after which it counts as hanging
+REFUSAL_VALID_S = 0.5  # after its last refusal for which a disk counts as full
+LOG_INTERVAL_S = 1.0  # between two log lines on refusals
 
 
-class DiskWatch:
-    """`bad` is what is acted on."""
+class DiskHealth:
+    """`healthy` is what is acted on."""
 
     def __init__(self) -> None:
-        self.bad = False
-        self.complaint = float("-inf")  # when a write was refused last
+        self.healthy = True
+        self._last_refusal = float("-inf")
 
-    def look(self, now: float, waits: float) -> bool:
-        """Whether `bad` has changed; `waits` seconds are how long the write under way has been."""
-        bad = waits > HUNG or self.refuses(now)
-        if bad == self.bad:
+    def update(self, now: float, pending_s: float) -> bool:
+        """Whether `healthy` has changed; `pending_s` is how long the write under way takes already."""
+        healthy = pending_s <= HANG_TIMEOUT_S and not self.refuses_writes(now)
+        if healthy == self.healthy:
             return False
-        self.bad = bad
-        if bad:
-            say(Event.DISK_SLOW, since=waits)
+        self.healthy = healthy
+        if healthy:
+            log_event(Event.DISK_WELL)
         else:
-            say(Event.DISK_WELL)
+            log_event(Event.DISK_SLOW, since=pending_s)
         return True
 
-    def refused(self, now: float, why: str) -> None:
-        if now - self.complaint > SAID_AGAIN:
-            say(Event.DISK_FULL, why=why)
-        self.complaint = now
+    def on_write_refused(self, now: float, reason: str) -> None:
+        """A write was refused."""
+        if now - self._last_refusal > LOG_INTERVAL_S:
+            log_event(Event.DISK_FULL, why=reason)
+        self._last_refusal = now
 
-    def refuses(self, now: float) -> bool:
-        """It refused a write lately."""
-        return now - self.complaint < FULL_FOR
+    def refuses_writes(self, now: float) -> bool:
+        """A write was refused lately."""
+        return now - self._last_refusal < REFUSAL_VALID_S
--- a/minthitch/mesh/control/handlers.py
+++ b/minthitch/mesh/control/handlers.py
@@ -1,4 +1,4 @@
-"""What a control node answers at `Ctl`: the operator's calls, and beats of servers that found no sidecar."""
+"""What a control node answers at `Ctl`: calls of operators, and heartbeats that reached no sidecar."""
 
 from __future__ import annotations
 
@@ -7,115 +7,136 @@
 from msgspec import DecodeError
 from msgspec.json import encode
 
-from minthitch.mesh.control.beats import beat_holds, has_left
-from minthitch.mesh.control.server import MOST_PATCH, ControlServer
-from minthitch.mesh.control.state import OK, Fetched, Patched
-from minthitch.mesh.control.status import status
-from minthitch.net.callers import Incoming
 from minthitch.mesh.configuration.calls import find, methods, read_beat
 from minthitch.mesh.configuration.errors import REPLIES, ErrorKind
-from minthitch.mesh.events.events import Event, say
+from minthitch.mesh.control.heartbeats import is_deregistered, is_heartbeat_applied
+from minthitch.mesh.control.server import ControlServer
+from minthitch.mesh.control.state_machine import OK, ConfigurationResult, FetchResult
+from minthitch.mesh.control.status import status
+from minthitch.mesh.events.events import Event, log_event
 from minthitch.mesh.http.listener import ClientConnection
+from minthitch.net.callers import Incoming
 
-HEAD_BYTES = 16 * 1024
-UNCLEAR = "unclear: send it again"  # it may have been taken: what was taken is acknowledged again
-AT_SIDECARS = ("trace", "explain")  # calls that only sidecars answer
+MAX_HEADER_BYTES = 16 * 1024
+MAX_BODY_BYTES = 4 * 1024 * 1024  # of one configuration call
+MAX_REASON_BYTES = 400  # of an error in an answer
+UNCLEAR = "unclear: send it again"  # it may have been committed: a repeat is acknowledged again
+SIDECAR_CALLS = ("trace", "explain")  # that only sidecars answer
 JSON = ((b"Content-Type", b"application/json"),)
 
 
-class Desk:
-    """One desk for the calls of the table."""
+class ControlHandlers:
+    """Answers the calls of `minthitch.mesh.configuration.calls`."""
 
     def __init__(self, server: ControlServer) -> None:
-        self.server = server
-        self.leaving = False
+        self.shutting_down = False
+        self._server = server
 
-    def gone(self, client: ClientConnection) -> None:
-        pass
+    # RequestHandler -------------------------------------------------------------------------------
 
-    def wanted(self) -> bool:
-        return not self.leaving
+    def on_client_lost(self, client: ClientConnection) -> None:
+        """A client has gone: what it asked for is done all the same."""
 
-    def header_bytes(self) -> int:
-        return HEAD_BYTES
+    def accepts_requests(self) -> bool:
+        """Whether connections are kept for further requests."""
+        return not self.shutting_down
 
-    def body_bytes(self) -> int:
-        return MOST_PATCH
+    def max_header_bytes(self) -> int:
+        """The limit of a request's head."""
+        return MAX_HEADER_BYTES
 
-    def note(self, text: str) -> None:
-        say(Event.VISITOR, text=text)
+    def max_body_bytes(self) -> int:
+        """The limit of a request's body."""
+        return MAX_BODY_BYTES
 
-    def take(self, client: ClientConnection, item: Incoming) -> None:
-        found = find(item.method, item.target)
+    def log_client_error(self, text: str) -> None:
+        """Log what a client did wrong."""
+        log_event(Event.CLIENT_ERROR, text=text)
+
+    def handle(self, client: ClientConnection, request: Incoming) -> None:
+        """Answer a request, now or later."""
+        found = find(request.method, request.target)
         if found is None:
-            kind = ErrorKind.METHOD if methods(item.target) else ErrorKind.UNKNOWN_CALL
-            self._error(client, client.token, kind, "")
+            kind = ErrorKind.METHOD if methods(request.target) else ErrorKind.UNKNOWN_CALL
+            self._respond_error(client, client.token, kind, "")
             return
         call, ident = found
-        if call.handler in AT_SIDECARS:
-            self._error(client, client.token, ErrorKind.UNKNOWN_CALL, "ask a sidecar")
-            return
-        token = client.token
-        if self.leaving and call.handler != "status":
-            self._error(client, token, ErrorKind.LEAVING, "this node is leaving: call another")
-        elif call.handler == "patch":
-            self.server.patch(item.body, lambda result: self._patched(client, token, result))
-        elif call.handler == "fetch":
-            self.server.fetch(lambda result: self._fetched(client, token, result))
-        elif call.handler == "whole":
-            self.server.fetch(lambda result: self._told_whole(client, token, result))
-        elif call.handler == "ready":
-            fresh = self.server.core.in_contact_with_quorum(self.server.loop.time())
-            client.respond(token, 200 if fresh else 503, (), b"")
-        elif call.handler == "status":
-            client.respond(token, 200, JSON, encode(status(self.server)))
+        if call.handler in SIDECAR_CALLS:
+            self._respond_error(client, client.token, ErrorKind.UNKNOWN_CALL, "ask a sidecar")
+        elif self.shutting_down and call.handler != "status":
+            reason = "this node is leaving: call another"
+            self._respond_error(client, client.token, ErrorKind.LEAVING, reason)
         else:
-            self._beat(client, call.handler, ident, item.body)
+            self._handle_call(client, call.handler, ident, request.body)
+
+    def _handle_call(self, client: ClientConnection, handler: str, ident: str, body: bytes) -> None:
+        server, token = self._server, client.token
+        if handler == "patch":
+            server.patch(body, lambda result: self._respond_patched(client, token, result))
+        elif handler == "fetch":
+            server.fetch(lambda result: self._respond_fetched(client, token, result))
+        elif handler == "whole":
+            server.fetch(lambda result: self._respond_with_index(client, token, result))
+        elif handler == "ready":
+            in_contact = server.raft.in_contact_with_quorum(server.loop.time())
+            client.respond(token, 200 if in_contact else 503, (), b"")
+        elif handler == "status":
+            client.respond(token, 200, JSON, encode(status(server)))
+        else:
+            self._handle_heartbeat(client, handler, ident, body)
+
+    # Answers --------------------------------------------------------------------------------------
 
-    def _beat(self, client: ClientConnection, handler: str, life: str, body: bytes) -> None:
-        """A server's word: acknowledged only where its sidecar acts on it already."""
-        records = self.server.registry.records.values()
+    def _handle_heartbeat(self, client: ClientConnection, handler: str, server_id: str, body: bytes) -> None:
+        """Acknowledge a server's state only where its sidecar acts on it already."""
+        records = self._server.registry.records.values()
         if handler == "leave":
-            holds = has_left(records, life)
+            is_applied = is_deregistered(records, server_id)
         else:
             try:
-                holds = beat_holds(records, life, read_beat(body))
-            except DecodeError as err:
-                self.note(f"beat of {life[:40]}: {err}")
+                is_applied = is_heartbeat_applied(records, server_id, read_beat(body))
+            except DecodeError as error:
+                self.log_client_error(f"beat of {server_id[:40]}: {error}")
                 client.respond(client.token, REPLIES[ErrorKind.BAD_REQUEST].status, JSON, b"{}")
                 return
-        if holds:
+        if is_applied:
             client.respond(client.token, 200, JSON, b"{}")
         else:
-            self._error(client, client.token, ErrorKind.NO_SERVER, "its sidecar has not heard this")
+            reason = "its sidecar has not heard this"
+            self._respond_error(client, client.token, ErrorKind.NO_SERVER, reason)
 
-    def _patched(self, client: ClientConnection, token: int, result: tuple[Any, ...] | None) -> None:
+    def _respond_patched(self, client: ClientConnection, token: int, result: tuple[Any, ...] | None) -> None:
         if result is None:
-            self._error(client, token, ErrorKind.NO_LEADER, UNCLEAR)
+            self._respond_error(client, token, ErrorKind.NO_LEADER, UNCLEAR)
             return
-        patched = Patched(*result)
+        outcome = ConfigurationResult(*result)
         body = b"{}"
-        if patched.status != OK:
-            body = b'{"Err":"%s"}' % patched.why.replace('"', "'").encode()[:400]
-        client.respond(token, patched.status, JSON, body)
+        if outcome.status != OK:
+            reason = outcome.reason.replace('"', "'").encode()[:MAX_REASON_BYTES]
+            body = b'{"Err":"%s"}' % reason
+        client.respond(token, outcome.status, JSON, body)
 
-    def _fetched(self, client: ClientConnection, token: int, result: tuple[Any, ...] | None) -> None:
+    def _respond_fetched(self, client: ClientConnection, token: int, result: tuple[Any, ...] | None) -> None:
         if result is None:
-            self._error(client, token, ErrorKind.NO_LEADER, UNCLEAR)
+            self._respond_error(client, token, ErrorKind.NO_LEADER, UNCLEAR)
         else:
             client.respond(token, 200, JSON, result[0])
 
-    def _told_whole(self, client: ClientConnection, token: int, result: tuple[Any, ...] | None) -> None:
-        """As a call that would bring it back, with the index of the log at which it stood."""
-        if result is None or len(result) < 2:  # a leader of the version before says no index
-            self._error(client, token, ErrorKind.NO_LEADER, UNCLEAR)
+    def _respond_with_index(
+        self, client: ClientConnection, token: int, result: tuple[Any, ...] | None
+    ) -> None:
+        """As a call that would bring it back, with the index of the log as of which it is valid."""
+        if result is None or len(result) < len(FetchResult._fields):  # an older leader sends no index
+            self._respond_error(client, token, ErrorKind.NO_LEADER, UNCLEAR)
         else:
-            fetched = Fetched(*result)
-            client.respond(token, 200, JSON, b'{"Index":%d,"Upsert":%b}' % (fetched.as_of, fetched.body))
+            fetched = FetchResult(*result)
+            client.respond(
+                token, 200, JSON, b'{"Index":%d,"Upsert":%b}' % (fetched.as_of_index, fetched.body)
+            )
 
-    def _error(self, client: ClientConnection, token: int, kind: ErrorKind, why: str) -> None:
+    def _respond_error(self, client: ClientConnection, token: int, kind: ErrorKind, reason: str) -> None:
         reply = REPLIES[kind]
         fields = list(JSON)
         if reply.retry_after is not None:
             fields.append((b"Retry-After", b"%.3f" % reply.retry_after))
-        client.respond(token, reply.status, fields, b'{"Err":"%s"}' % (why or kind.value).encode())
+        client.respond(token, reply.status, fields, b'{"Err":"%s"}' % (reason or kind.value).encode())
--- a/minthitch/mesh/control/peer_links.py
+++ b/minthitch/mesh/control/peer_links.py
@@ -1,79 +1,94 @@
-"""The other control nodes: a line to each, and how a control node that forgot is taken in."""
+"""Links to the other control nodes, and the way in which a learner is added to the group."""
 
 from __future__ import annotations
 
 from typing import Protocol
 
-from minthitch.mesh.raft.node import RaftNode
+from minthitch.mesh.events.events import Event, log_event
 from minthitch.mesh.raft.actions import Action, Send
+from minthitch.mesh.raft.member import Role
+from minthitch.mesh.raft.membership import address_of
 from minthitch.mesh.raft.messages import encode_message
+from minthitch.mesh.raft.node import RaftNode
 from minthitch.mesh.raft.placement import Location
 from minthitch.mesh.transport import ops
-from minthitch.mesh.transport.connection import Host as Hears
+from minthitch.mesh.transport.connection import Host as MessageReceiver
 from minthitch.mesh.transport.link import Link
-from minthitch.mesh.events.events import Event, say
 
 
-class Host(Hears, Protocol):
-    """The control node whose lines these are."""
+class Host(MessageReceiver, Protocol):
+    """The control node whose links these are."""
 
-    core: RaftNode
+    raft: RaftNode
 
-    def act(self, actions: list[Action]) -> None: ...
+    def carry_out(self, actions: list[Action]) -> None: ...
     def time(self) -> float: ...
 
 
-class Others:
-    """The links to them, by address."""
+class PeerLinks:
+    """One link to each other control node that is known, by address."""
 
-    def __init__(self, host: Host, ip: str, port: int, place: Location) -> None:
-        self.host, self.ip, self.port = host, ip, port
-        self.hello = (ops.HELLO, "control", ip, *place)
+    def __init__(self, host: Host, ip: str, port: int, location: Location) -> None:
         self.links: dict[str, Link] = {}
-
-    def know(self, ips: tuple[str, ...]) -> None:
-        """Keeps a line to each of these from here on."""
-        for ip in ips:
-            if ip not in self.links and ip != self.ip:
-                link = Link(self.host, (ip, self.port), self.hello)
-                self.links[ip] = link
+        self._host = host
+        self._ip = ip
+        self._port = port
+        self._hello = (ops.HELLO, "control", ip, *location)
+
+    def connect_to(self, addresses: tuple[str, ...]) -> None:
+        """Keep a link to each of these from now on."""
+        for address in addresses:
+            if address not in self.links and address != self._ip:
+                link = Link(self._host, (address, self._port), self._hello)
+                self.links[address] = link
                 link.start()
 
+    def link_to_leader(self) -> Link | None:
+        """The link to the leader, as far as it is known."""
+        return self.links.get(address_of(self._host.raft.leader or ""))
+
     def send(self, action: Send) -> None:
-        ip = action.to.partition("#")[0]
-        self.know((ip,))
-        link = self.links.get(ip)
+        """Send a message of the consensus core."""
+        address = address_of(action.to)
+        self.connect_to((address,))
+        link = self.links.get(address)
         if link is not None:
-            link.send((ops.RAFT, action.to, self.host.core.name, encode_message(action.message)), 0)
+            envelope = (ops.RAFT, action.to, self._host.raft.name, encode_message(action.message))
+            link.send(envelope, 0)
 
-    def called(self, ip: str, place: tuple[str, ...]) -> None:
-        """It has opened a link itself, and told its zone and region.
+    def on_hello(self, address: str, location: tuple[str, ...]) -> None:
+        """Another control node has connected to this one, and told its zone and region.
 
-        Danger: a learner's seeds may name no leader, but the leader calls.
+        The seeds of a learner may not include the leader, but then the leader connects to the learner.
         """
-        if len(place) == len(Location._fields):
-            self.host.core.locations[ip] = Location(*place)
-        self.know((ip,))
-        if ip in self.links:
-            self.links[ip].nudge()
-
-    def ask_to_join(self) -> None:
-        """A learner asks everyone to be taken in."""
-        if self.host.core.role == "learner":
-            say(Event.KNOCKED, member=self.host.core.name)
+        if len(location) == len(Location._fields):
+            self._host.raft.locations[address] = Location(*location)
+        self.connect_to((address,))
+        if address in self.links:
+            self.links[address].nudge()
+
+    def request_to_join(self) -> None:
+        """As learner, ask every other control node to be added to the group."""
+        raft = self._host.raft
+        if raft.role is Role.LEARNER:
+            log_event(Event.JOIN_REQUESTED, member=raft.name)
             for link in self.links.values():
-                link.send((ops.JOIN, self.host.core.name), 0)
-
-    def asked_to_join(self, who: str, said_by: str) -> None:
-        """`said_by` is the address that opened the link: only the learner's own word is handed on, and so
-        once, whoever takes whom for the leader."""
-        ip, core = who.partition("#")[0], self.host.core
-        self.know((ip,))
-        leader = self.links.get((core.leader or "").partition("#")[0])
-        if core.role != "leader" and said_by == ip and leader is not None:
-            leader.send((ops.JOIN, who), 0)
-        self.host.act(core.add_learner(self.host.time(), who))
+                link.send((ops.JOIN, raft.name), 0)
+
+    def on_join_request(self, member: str, sender: str) -> None:
+        """A learner asks to be added.
+
+        The request is forwarded to the leader only if `sender`, the address that opened the connection, is
+        the learner itself: so it is forwarded once, even if two nodes take each other for the leader.
+        """
+        address, raft = address_of(member), self._host.raft
+        self.connect_to((address,))
+        leader = self.link_to_leader()
+        if not raft.is_leader and sender == address and leader is not None:
+            leader.send((ops.JOIN, member), 0)
+        self._host.carry_out(raft.add_learner(self._host.time(), member))
 
     def close(self) -> None:
+        """Close all links."""
         for link in self.links.values():
             link.close()
--- a/minthitch/mesh/control/proposals.py
+++ b/minthitch/mesh/control/proposals.py
@@ -1,155 +1,179 @@
-"""What waits to be agreed at one control node: own proposals while it leads, and those forwarded to the
-leader."""
+"""Proposals that wait for their commit: in the own log of a leader, else forwarded to the leader."""
 
 from __future__ import annotations
 
-from typing import Any, Protocol
+from typing import Any, NamedTuple, Protocol
 
-from minthitch.mesh.raft.node import RaftNode
+from minthitch.mesh.control.configuration_calls import OnResult
+from minthitch.mesh.control.peer_links import PeerLinks
+from minthitch.mesh.control.state_machine import CONFIG, pack_command
 from minthitch.mesh.raft.actions import Action
 from minthitch.mesh.raft.log import Entry
-from minthitch.mesh.control.orders import Result
-from minthitch.mesh.control.state import CONFIG, State, command
-from minthitch.mesh.transport import ops
+from minthitch.mesh.raft.node import RaftNode
 from minthitch.mesh.transport.connection import Connection
-from minthitch.mesh.transport.link import Link
+from minthitch.mesh.transport.control_messages import ForwardedProposal, ForwardedResult, encode_result
+from minthitch.mesh.transport import ops
 
-UNCLEAR = 3.0  # seconds after which a proposal is forgotten: those who ask for claims ask again
-MOST_PROPOSED = 20_000  # proposals that wait for their result
+PROPOSAL_TIMEOUT_S = 3.0  # after which a proposal is forgotten: sidecars repeat their claims
+MAX_PROPOSALS = 20_000  # that wait for their result
 
 
 class Host(Protocol):
     """The control node that they wait at."""
 
-    core: RaftNode
-    state: State
-    links: dict[str, Link]
+    raft: RaftNode
+    peer_links: PeerLinks
 
     @property
-    def bad(self) -> bool: ...  # its disk
-    def act(self, actions: list[Action]) -> None: ...
-    def propose(self, kind: int, data: bytes, done: Result) -> None: ...
+    def disk_healthy(self) -> bool: ...
+    def carry_out(self, actions: list[Action]) -> None: ...
+    def propose(self, kind: int, data: bytes, on_result: OnResult) -> None: ...
     def time(self) -> float: ...
 
 
-class Waiting:
-    """Those who wait for one entry of the own log."""
+class LogPosition(NamedTuple):
+    """Where a proposal is in the own log."""
+
+    log_index: int
+    term: int
+
+
+class PendingEntry:
+    """The callers that wait for one entry of the own log."""
 
     __slots__ = ("term", "callers", "since")
 
     def __init__(self, term: int, since: float) -> None:
-        self.term, self.since = term, since
-        self.callers: list[Result] = []
+        self.term = term
+        self.since = since
+        self.callers: list[OnResult] = []
 
-    def tell(self, result: tuple[Any, ...] | None) -> None:
-        for done in self.callers:
-            done(result)
+    def finish(self, result: tuple[Any, ...] | None) -> None:
+        """Give the callers their result."""
+        for on_result in self.callers:
+            on_result(result)
+
+
+class PendingForward(NamedTuple):
+    """The caller that waits for the leader's answer."""
+
+    on_result: OnResult
+    since: float
 
 
 class Proposals:
-    """Each is told its result once, or None where that is unclear."""
+    """Each caller gets its result once, or None where the outcome is unknown."""
 
     def __init__(self, host: Host) -> None:
-        self.host = host
-        self.waiting: dict[int, Waiting] = {}  # by index
-        self.forwarded: dict[int, tuple[Result, float]] = {}
-        self.unapplied: dict[bytes, tuple[int, int]] = {}  # orders in the own log: body -> index, term
-        self.next = 1
-
-    def propose(self, kind: int, data: bytes, done: Result) -> None:
-        """`done` is told the result once it is agreed, or None where that is unclear or nobody leads."""
-        if self.host.core.role != "leader":
-            self.forward(ops.FORWARD, (kind, data), done)
+        self._host = host
+        self._pending: dict[int, PendingEntry] = {}  # by index
+        self._next_request_id = 1
+        self.forwarded: dict[int, PendingForward] = {}  # by request id
+        # Configuration changes in the own log that are not applied yet, by their bodies.
+        self.unapplied: dict[bytes, LogPosition] = {}
+
+    def propose(self, kind: int, data: bytes, on_result: OnResult) -> None:
+        """Propose a command; `on_result` gets None where the outcome is unknown or there is no leader."""
+        if not self._host.raft.is_leader:
+            self.forward(ops.FORWARD, (kind, data), on_result)
             return
-        placed = self._repeated(data) if kind == CONFIG else None
-        if placed is None:
-            placed = self.place(kind, data)
-        if placed is None:
-            done(None)
+        position = self._unapplied_repeat(data) if kind == CONFIG else None
+        if position is None:
+            position = self.append(kind, data)
+        if position is None:
+            on_result(None)
             return
-        index, term = placed
-        before = self.waiting.get(index)
-        if before is not None and before.term != term:
-            before.tell(None)  # its entry was cut off by another leader's: it will never be applied
-            before = None
-        if before is None:
-            before = self.waiting[index] = Waiting(term, self.host.time())
-        before.callers.append(done)
+        self._wait_for(position, on_result)
         if kind == CONFIG:
-            self.unapplied[data] = placed
-
-    def place(self, kind: int, data: bytes) -> tuple[int, int] | None:
-        """Appends to the own log; index and term, or None where this node can't lead now."""
-        host, placed = self.host, None
-        if len(self.waiting) < MOST_PROPOSED and not host.bad:
-            placed = host.core.propose(host.time(), command(kind, data))
-        host.act(host.core.drain())
-        return placed
-
-    def _repeated(self, body: bytes) -> tuple[int, int] | None:
-        """Where the same order stands in the own log and isn't applied yet.
-
-        Danger: over a thin link a long order takes longer than its callers wait. Appended once more with each
-        repeat, it would never come through.
+            self.unapplied[data] = position
+
+    def _wait_for(self, position: LogPosition, on_result: OnResult) -> None:
+        pending = self._pending.get(position.log_index)
+        if pending is not None and pending.term != position.term:
+            pending.finish(None)  # its entry was replaced by another leader's: it will never be applied
+            pending = None
+        if pending is None:
+            pending = self._pending[position.log_index] = PendingEntry(position.term, self._host.time())
+        pending.callers.append(on_result)
+
+    def append(self, kind: int, data: bytes) -> LogPosition | None:
+        """Append a command to the own log; None where this node can't lead now."""
+        host = self._host
+        appended = None
+        if len(self._pending) < MAX_PROPOSALS and host.disk_healthy:
+            appended = host.raft.propose(host.time(), pack_command(kind, data))
+        host.carry_out(host.raft.drain())
+        return LogPosition(*appended) if appended is not None else None
+
+    def _unapplied_repeat(self, body: bytes) -> LogPosition | None:
+        """Where the same change is in the own log and not applied yet.
+
+        Over a slow link a large change takes longer than its callers wait. Appended again with each repeat,
+        it would never be committed.
         """
-        placed, core = self.unapplied.get(body), self.host.core
-        return (
-            placed
-            if placed is not None and placed[1] == core.term and placed[0] > core.last_applied
-            else None
-        )
-
-    def applied(self, entry: Entry, result: tuple[Any, ...]) -> None:
-        """Tells whoever waits at that index; another term's entry there is not what was asked for."""
-        waiting = self.waiting.pop(entry.index, None)
-        if waiting is not None:
-            waiting.tell(result if waiting.term == entry.term else None)
-        for body in [body for body, (index, _) in self.unapplied.items() if index <= entry.index]:
+        position, raft = self.unapplied.get(body), self._host.raft
+        if position is None or position.term != raft.term or position.log_index <= raft.last_applied:
+            return None
+        return position
+
+    def on_applied(self, entry: Entry, result: tuple[Any, ...]) -> None:
+        """Give the callers of an entry their result; an entry of another term is not what they proposed."""
+        pending = self._pending.pop(entry.index, None)
+        if pending is not None:
+            pending.finish(result if pending.term == entry.term else None)
+        applied = [body for body, position in self.unapplied.items() if position.log_index <= entry.index]
+        for body in applied:
             del self.unapplied[body]
 
-    def forward(self, op: int, rest: tuple[Any, ...], done: Result) -> None:
-        """Asks the leader."""
-        host = self.host
-        leader = (host.core.leader or "").partition("#")[0]
-        link = host.links.get(leader)
-        if link is None or not link.up or len(self.forwarded) >= MOST_PROPOSED:
-            done(None)
+    def forward(self, op: int, fields: tuple[Any, ...], on_result: OnResult) -> None:
+        """Ask the leader."""
+        link = self._host.peer_links.link_to_leader()
+        if link is None or not link.up or len(self.forwarded) >= MAX_PROPOSALS:
+            on_result(None)
             return
-        ident, self.next = self.next, self.next + 1
-        self.forwarded[ident] = done, host.time()
-        link.send((op, ident, *rest), 0)
-
-    def heard(self, message: ops.Message) -> None:
-        """The leader's answer to one that was forwarded."""
-        waiting = self.forwarded.pop(message[1], None)
-        if waiting is not None:
-            waiting[0](message[3] if message[2] else None)
-
-    def for_other(self, connection: Connection, message: ops.Message) -> None:
-        """Another control node takes this one for the leader."""
-        _, ident, kind, data = message
-        if self.host.core.role == "leader":
-            self.host.propose(kind, data, lambda result: answer(connection, ident, result))
-        else:  # danger: forwarding it once more could go in a circle
-            answer(connection, ident, None)
-
-    def resend(self) -> None:
-        """Nobody knows any more what became of these: who asked asks again, which does no harm."""
-        lost, self.forwarded = self.forwarded, {}
+        request_id = self._next_request_id
+        self._next_request_id += 1
+        self.forwarded[request_id] = PendingForward(on_result, self._host.time())
+        link.send((op, request_id, *fields), 0)
+
+    def on_forwarded_result(self, message: ForwardedResult) -> None:
+        """The leader has answered."""
+        pending = self.forwarded.pop(message.request_id, None)
+        if pending is not None:
+            pending.on_result(message.result)
+
+    def on_forwarded_proposal(self, connection: Connection, message: ForwardedProposal) -> None:
+        """Another control node takes this one for the leader. Forwarding it again could go in a circle."""
+        if self._host.raft.is_leader:
+            self._host.propose(
+                message.kind,
+                message.data,
+                lambda result: send_result(connection, message.request_id, result),
+            )
+        else:
+            send_result(connection, message.request_id, None)
+
+    def on_leader_change(self) -> None:
+        """Nobody knows what became of forwarded proposals: the callers repeat them, which does no harm."""
+        forwarded, self.forwarded = self.forwarded, {}
         self.unapplied.clear()
-        for done, _ in lost.values():
-            done(None)
+        for pending in forwarded.values():
+            pending.on_result(None)
 
     def expire(self, now: float) -> None:
-        for index in [i for i, waiting in self.waiting.items() if waiting.since < now - UNCLEAR]:
-            self.waiting.pop(index).tell(None)
-        for ident in [i for i, (_, since) in self.forwarded.items() if since < now - UNCLEAR]:
-            self.forwarded.pop(ident)[0](None)
+        """Give up what has waited for too long."""
+        oldest = now - PROPOSAL_TIMEOUT_S
+        for index in [index for index, entry in self._pending.items() if entry.since < oldest]:
+            self._pending.pop(index).finish(None)
+        for request_id in [number for number, row in self.forwarded.items() if row.since < oldest]:
+            self.forwarded.pop(request_id).on_result(None)
 
     def count(self) -> int:
-        return len(self.waiting) + len(self.forwarded)
+        """How many proposals wait."""
+        return len(self._pending) + len(self.forwarded)
 
 
-def answer(connection: Connection, ident: int, result: tuple[Any, ...] | None) -> None:
+def send_result(connection: Connection, request_id: int, result: tuple[Any, ...] | None) -> None:
+    """Answer a forwarded proposal or fetch."""
     if connection.up:
-        connection.send((ops.RESULT, ident, result is not None, result), 0)
+        connection.send(encode_result(request_id, result), 0)
--- a/minthitch/mesh/control/server.py
+++ b/minthitch/mesh/control/server.py
@@ -1,59 +1,52 @@
-"""One control node on its loop: the agreement and its disk, the other control nodes, the sidecars,
-operators and servers."""
+"""One control node: its parts, its timers, and the messages of the other processes."""
 
 from __future__ import annotations
 
 import asyncio
-import os
-import random
 import time
-from collections.abc import Callable
 from typing import Any
 
-import msgpack
-
-from minthitch.mesh.raft.node import RaftNode
-from minthitch.mesh.raft.reconfiguration import UNRESPONSIVE_AFTER_S, GroupPolicy
-from minthitch.mesh.raft.actions import Action, Apply, Persist, Restore, Send, Timing
+from minthitch.mesh.configuration.boot import Boot
+from minthitch.mesh.control.allowance_leases import AllowanceLeases
+from minthitch.mesh.control.claim_expiry import ClaimExpiry
+from minthitch.mesh.control.configuration_calls import ConfigurationCalls, OnResult
+from minthitch.mesh.control.consensus import Clock, ConsensusDriver, MakeWriter
+from minthitch.mesh.control.peer_links import PeerLinks
+from minthitch.mesh.control.proposals import Proposals, send_result
+from minthitch.mesh.control.sidecar_updates import SidecarUpdates
+from minthitch.mesh.control.state_machine import CLAIM, NO_LEADER, ClaimResult
+from minthitch.mesh.raft.actions import Action, Send
 from minthitch.mesh.raft.errors import ConsensusViolationError
-from minthitch.mesh.raft.log import DATA, MEMBERS
-from minthitch.mesh.raft.messages import decode_message
-from minthitch.mesh.raft.placement import Location, Tolerated, target_group_size
-from minthitch.mesh.storage.errors import StoreCorruptedError
-from minthitch.mesh.storage.store import Condition, Store
+from minthitch.mesh.raft.log import Entry
+from minthitch.mesh.raft.membership import address_of
+from minthitch.mesh.raft.placement import Location
+from minthitch.mesh.registry.registry import Registry
+from minthitch.mesh.storage.store import Store
 from minthitch.mesh.storage.writer import StorageWriter
-from minthitch.mesh.control.aging import Aging
-from minthitch.mesh.control.diskwatch import DiskWatch
-from minthitch.mesh.control.leases import Leases
-from minthitch.mesh.control.members import Others
-from minthitch.mesh.control.orders import Orders, Result
-from minthitch.mesh.control.proposals import Proposals, answer
-from minthitch.mesh.control.pushes import Pushes
-from minthitch.mesh.control.retirement import Retirement
-from minthitch.mesh.control.snapshots import Schedule, Snapshots
-from minthitch.mesh.control.state import CLAIM, NO_LEADER, Claimed, Patched, State
-from minthitch.mesh.configuration.boot import Boot
 from minthitch.mesh.transport import ops
 from minthitch.mesh.transport.connection import Connection
-from minthitch.mesh.registry.registry import Registry
-from minthitch.mesh.events.events import Event, say
-
-TICK = 0.02  # seconds between two looks at the agreement's time
-TIMING = Timing(heartbeat=0.05, election_timeout=0.25)
-LOOK_EVERY = 0.5  # seconds between two looks at who is alive
-SURELY = 2.0  # seconds between two words to a sidecar, whatever has changed: its line beats by itself
-JOIN_EVERY = 0.5  # seconds between two tries of a learner to be taken in
-SNAPSHOT_EVERY = 4_000  # entries between two snapshots at most, however short: a start applies them all
-GONE_PART = 0.35  # of the time that a successor has, after which a silent voter gives up its seat
-MAP_PART = 0.7  # part of the disk that the file may take
-ROTATE_SLACK = 15.0  # seconds beyond the window before claims grow old: requests take their time too
-MOST_PATCH = 4 * 1024 * 1024  # bytes of one call of the operator
-Clock = Callable[[], float]
-MakeWriter = Callable[[Store, Callable[[int], None], Callable[[str, bool], None], Clock], StorageWriter]
+from minthitch.mesh.transport.control_messages import (
+    ClaimRequest,
+    ForwardedFetch,
+    ForwardedProposal,
+    ForwardedResult,
+    Hello,
+    JoinRequest,
+    LeaseRequest,
+    RaftEnvelope,
+    SidecarReport,
+    decode_control_message,
+)
+
+TICK_INTERVAL_S = 0.02  # between two ticks of the consensus core
+MAINTENANCE_INTERVAL_S = 0.5  # between two looks at who is alive and what has expired
+JOIN_INTERVAL_S = 0.5  # between two requests of a learner to be added
+FULL_UPDATE_INTERVAL_S = 2.0  # between two updates to a sidecar that lacks nothing
+CLAIM_MARGIN_S = 15.0  # for which claims are kept beyond the window: requests take their time too
 
 
 class ControlServer:
-    """Everything that one control node holds."""
+    """Everything that one control node has."""
 
     def __init__(
         self,
@@ -62,292 +55,212 @@
         writer: MakeWriter = StorageWriter,
         clock: Clock = time.monotonic,
     ) -> None:
-        """Models give `store`, `writer` and `clock` (steady seconds); else they are the system's."""
-        self.boot, self.clock = boot, clock
+        """Start it.
+
+        Args:
+            boot: the settings.
+            store: the data folder; None: the one that the settings name. Simulations give their own.
+            writer: makes the writer of the store.
+            clock: seconds of the steady clock, read anew at each call.
+
+        Raises:
+            StoreError, OSError: the data folder can't be used.
+        """
+        self.boot = boot
+        self.clock = clock
         self.loop = asyncio.get_running_loop()
-        self.ip, self.port = boot.own.ip, boot.net.port_range[0]
-        self.random = random.Random(os.urandom(8))
-        self.state, self.registry = State(), Registry()
-        self.seeds = tuple(seed.rpartition(":")[0] for seed in boot.net.seeds)
-        self.proposals, self.pushes = Proposals(self), Pushes(self, self.registry)
-        self.orders = Orders(self)
-        self.others = Others(self, self.ip, self.port, Location(boot.own.az, boot.own.region))
-        self.links = self.others.links
-        self.disk = DiskWatch()
-        self.knew_newest = False
-        self.failed: BaseException | None = None
-        self.finished = asyncio.Event()
-        self.said: tuple[Any, ...] = ()
-        self.told_all = 0.0
-        self.aging = Aging(self, boot.terms.bounds.key_win_s)
-        size = int(max(boot.own.limits.disk_mb, 16.0) * MAP_PART) * 1024 * 1024
-        self.store = store or Store(boot.own.datadir, size)
-        self.core = self._core()
-        kept = self.core.log.snapshot
-        schedule = Schedule(self.ip, size, kept.index, len(kept.data))
-        self.snapshots = Snapshots(self.loop, self.state, schedule, self._snapshot)
-        self.retirement = Retirement(self.core)
-        self.retired = asyncio.Event()
-        self.leases = Leases(boot.terms.bounds, self.core)
-        self.writer = writer(self.store, self._synced_soon, self._trouble_soon, clock)
-        self.writer.start()
-        self.act(self.core.drain())
-        self.others.know(self.seeds + tuple(member.partition("#")[0] for member in self.core.voters))
-        self.timers = [
-            self.loop.call_later(TICK, self._tick),
-            self.loop.call_later(LOOK_EVERY, self._look),
-            self.loop.call_later(JOIN_EVERY, self._join_group),
-        ]
-
-    # Start ----------------------------------------------------------------------------------------
-
-    def _core(self) -> RaftNode:
-        store, founders = self.store, tuple[str, ...]()
-        say(
-            Event.DISK_LOADED,
-            state=store.condition.value,
-            entries=store.header.last_index,
-            term=store.header.term,
-        )
-        if (
-            store.condition is Condition.NEWER
-        ):  # danger: written by a later version: what it says would be lost
-            raise StoreCorruptedError("the folder was written by a later version")
-        if store.condition is not Condition.INTACT:
-            # Only the first start of the whole system, told so, may form a group; danger: two groups.
-            founds = self.boot.own.init and store.condition is Condition.EMPTY and self.ip in self.seeds
-            store.initialize("0" if founds else os.urandom(6).hex())
-        if store.incarnation == "0":
-            founders = tuple(f"{ip}#0" for ip in self.seeds)
-        saved = store.load()
-        now = self.loop.time()
-        me = f"{self.ip}#{store.incarnation}"
-        terms = self.boot.terms
-        tolerated = Tolerated(terms.tolerate.hw, terms.tolerate.azs, terms.tolerate.regions)
-        core = RaftNode(
-            me,
-            saved,
-            founders,
-            TIMING,
-            self.random.getrandbits(60),
-            now,
-            GroupPolicy(
-                target_group_size(tolerated),
-                min(UNRESPONSIVE_AFTER_S, GONE_PART * terms.bounds.sync_s),
-                tolerated,
-            ),
-        )
-        core.locations[self.ip] = Location(self.boot.own.az, self.boot.own.region)
-        return core
-
-    # The agreement --------------------------------------------------------------------------------
+        self.port = boot.net.port_range[0]
+        self.failure: BaseException | None = None
+        self.finished = asyncio.Event()  # the process has to end
+        self.may_end = asyncio.Event()  # after `begin_shutdown`
+        self.registry = Registry()
+        self.proposals = Proposals(self)
+        self.calls = ConfigurationCalls(self)
+        self.updates = SidecarUpdates(self, self.registry)
+        self.claim_expiry = ClaimExpiry(self, boot.terms.bounds.key_win_s)
+        self.peer_links = PeerLinks(self, boot.own.ip, self.port, Location(boot.own.az, boot.own.region))
+        self.consensus = ConsensusDriver(self, boot, store, writer, clock)
+        self.raft = self.consensus.raft
+        self.state = self.consensus.state
+        self.leases = AllowanceLeases(boot.terms.bounds, self.raft)
+        self._was_up_to_date = False
+        self._last_full_update = 0.0
+        self.carry_out(self.raft.drain())
+        seeds = tuple(address.rpartition(":")[0] for address in boot.net.seeds)
+        self.peer_links.connect_to(seeds + self._voter_addresses())
+        self._timers = {
+            self._tick: self.loop.call_later(TICK_INTERVAL_S, self._tick),
+            self._maintain: self.loop.call_later(MAINTENANCE_INTERVAL_S, self._maintain),
+            self._request_to_join: self.loop.call_later(JOIN_INTERVAL_S, self._request_to_join),
+        }
+
+    def _voter_addresses(self) -> tuple[str, ...]:
+        return tuple(address_of(member) for member in self.raft.voters)
+
+    # State ----------------------------------------------------------------------------------------
 
-    def _tick(self) -> None:
-        self.timers[0] = self.loop.call_later(TICK, self._tick)
-        now = self.loop.time()
-        if self.retirement.begun is None and self.disk.look(now, self.disk_waits()):
-            self.act(self.core.set_disk_health(now, not self.bad))
-        self.act(self.core.tick(now))
-        if self.retirement.over(now, len(self.orders.open)):
-            self.retired.set()
-        changed = self._tell_changes(now)
-        if changed or self.knows_newest(now) != self.knew_newest:
-            self.knew_newest = self.knows_newest(now)
-            # Danger: sidecars would send claims to the leader before for half a second more.
-            self.pushes.push(True)
-
-    def knows_newest(self, now: float) -> bool:
-        """Whether what this control node has applied is what was agreed, and not of a time before a cut."""
-        return self.core.in_contact_with_quorum(now) and self.core.last_applied >= self.core.commit_index > 0
-
-    def disk_waits(self) -> float:
-        """Seconds for which the write under way has been."""
-        since = self.writer.pending_since
-        return self.clock() - since if since is not None else 0.0
+    def time(self) -> float:
+        """The loop's time in seconds."""
+        return self.loop.time()
+
+    def is_up_to_date(self, now: float) -> bool:
+        """Whether everything committed is applied here, and is not outdated by a partition."""
+        return self.consensus.is_up_to_date(now)
 
     @property
-    def bad(self) -> bool:
-        """Whether its disk can't be relied on now."""
-        return self.disk.bad
-
-    def _tell_changes(self, now: float) -> bool:
-        """Says who leads and votes; whether that is news."""
-        core = self.core
-        leads = core.role == "leader"
-        told = (core.role == "leader", core.leader, core.term, core.voters)
-        if told == self.said:
-            return False
-        if not self.said or told[3] != self.said[3]:
-            say(Event.MEMBERS, voters=", ".join(core.voters))
-        if leads:
-            say(Event.LEADS, term=core.term)
-        elif core.leader:
-            say(Event.FOLLOWS, leader=core.leader, term=core.term)
-        else:
-            say(Event.NO_LEADER, term=core.term)
-        self.said = told
-        self.others.know(tuple(member.partition("#")[0] for member in core.voters))
-        self.proposals.resend()
-        return True
-
-    def act(self, actions: list[Action]) -> None:
-        for action in actions:
-            if isinstance(action, Send):
-                self.others.send(action)
-            elif isinstance(action, Persist):
-                self.writer.submit(action)
-            elif isinstance(action, Apply):
-                self._apply(action)
-            elif isinstance(action, Restore):
-                self.state.load(action.data)
-                self.snapshots.restored(action.index, len(action.data))
-                self.pushes.news()
-
-    def _apply(self, action: Apply) -> None:
-        entry = action.entry
-        result: tuple[Any, ...] = ()
-        if entry.kind == DATA:
-            result = self.state.apply(entry.index, entry.data)
-            if isinstance(result, Patched):
-                say(Event.PATCHED, index=entry.index, verdict=f"{result.status} {result.why}")
-                self.pushes.news()
-        elif entry.kind == MEMBERS:
-            self.pushes.news()
-        self.proposals.applied(entry, result)
-        self.snapshots.applied(entry.index, len(entry.data), SNAPSHOT_EVERY)
-
-    def _snapshot(self, index: int, snapshot: bytes) -> None:
-        self.act(self.core.compact(index, snapshot))
-        log = self.core.log
-        if self.disk.refuses(self.loop.time()) and index == log.snapshot.index <= log.durable:
-            self.writer.emergency_snapshot = log.snapshot
-
-    def _synced_soon(self, ticket: int) -> None:
-        self.loop.call_soon_threadsafe(self._synced, ticket)
-
-    def _synced(self, ticket: int) -> None:
-        self.act(self.core.persisted(self.loop.time(), ticket))
-
-    def _trouble_soon(self, why: str, lost: bool) -> None:
-        self.loop.call_soon_threadsafe(self._trouble, why, lost)
-
-    def _trouble(self, why: str, lost: bool) -> None:
-        self.disk.refused(self.loop.time(), why)
-        if lost:  # danger: what it acknowledged may be missing: it must come back as one that forgot
-            self.fail(RuntimeError(why))
-        else:
-            self.snapshots.hurry(self.core.last_applied)
+    def disk_healthy(self) -> bool:
+        """Whether the disk can be relied on."""
+        return self.consensus.disk.healthy
+
+    def pending_write_s(self) -> float:
+        """Seconds that the write under way takes already."""
+        return self.consensus.pending_write_s()
 
-    def retire(self) -> None:
-        """Before this process ends: `retired` is set once it may."""
-        self.act(self.retirement.begin(self.loop.time()))
+    # Calls ----------------------------------------------------------------------------------------
 
-    def fail(self, err: BaseException) -> None:
-        self.failed = err
+    def propose(self, kind: int, data: bytes, on_result: OnResult) -> None:
+        """Propose a command; `on_result` gets None where the outcome is unknown or there is no leader."""
+        self.proposals.propose(kind, data, on_result)
+
+    def patch(self, body: bytes, on_result: OnResult) -> None:
+        """Change the configuration: see `ConfigurationCalls.patch`."""
+        self.calls.patch(body, on_result)
+
+    def fetch(self, on_result: OnResult) -> None:
+        """Read the configuration: see `ConfigurationCalls.fetch`."""
+        self.calls.fetch(on_result)
+
+    def begin_shutdown(self) -> None:
+        """Prepare the end of this process: `may_end` is set once it may end."""
+        self.carry_out(self.consensus.shutdown.begin(self.loop.time()))
+
+    def fail(self, error: BaseException) -> None:
+        """End this process at once, because of an error."""
+        self.failure = error
         self.finished.set()
-        self.retired.set()
+        self.may_end.set()
 
-    # Proposals ------------------------------------------------------------------------------------
+    # Events of the consensus core -----------------------------------------------------------------
 
-    def time(self) -> float:
-        return self.loop.time()
+    def carry_out(self, actions: list[Action]) -> None:
+        """Do what the consensus core asks for."""
+        self.consensus.carry_out(actions)
+
+    def send(self, action: Send) -> None:
+        """Send a message of the consensus core."""
+        self.peer_links.send(action)
 
-    def propose(self, kind: int, data: bytes, done: Result) -> None:
-        """`done` is told the result once it is agreed, or None where that is unclear or nobody leads."""
-        self.proposals.propose(kind, data, done)
+    def on_applied(self, entry: Entry, result: tuple[Any, ...]) -> None:
+        """A committed entry was applied."""
+        self.proposals.on_applied(entry, result)
 
-    def patch(self, body: bytes, done: Result) -> None:
-        self.orders.patch(body, done)
+    def on_state_changed(self) -> None:
+        """Sidecars have to be told of the configuration or of the voters."""
+        self.updates.schedule()
 
-    def fetch(self, done: Result) -> None:
-        self.orders.fetch(done)
+    def on_leader_changed(self) -> None:
+        """There is another leader, or other voters."""
+        self.peer_links.connect_to(self._voter_addresses())
+        self.proposals.on_leader_change()
 
-    # Lines ----------------------------------------------------------------------------------------
+    # Messages -------------------------------------------------------------------------------------
 
-    def heard(self, connection: Connection, message: ops.Message) -> None:
+    def on_message(self, connection: Connection, wire: ops.Message) -> None:
+        """A message of another process has come."""
         try:
-            self._heard(connection, message)
-        except ConsensusViolationError as err:
-            self.fail(err)
-
-    def _heard(self, connection: Connection, message: ops.Message) -> None:
-        op = message[0]
-        if op == ops.HELLO:
-            if connection.kind == "control":
-                self.others.called(connection.name, tuple(message[3:]))
-        elif op == ops.RAFT:
-            if message[1] == self.core.name:  # danger: meant for the disk that was lost
-                self._receive(message[2], message[3])
-        elif op == ops.REPORT:
-            self.pushes.report(connection, message)
-        elif op == ops.LEASE_REQUEST:
-            watcher = self.pushes.watchers.get(connection)
-            if watcher is not None:
-                self.leases.heard(max(self.loop.time(), self.clock()), watcher, message[1:])
-        elif op == ops.CLAIM:
+            self._dispatch(connection, wire)
+        except ConsensusViolationError as error:
+            self.fail(error)
+
+    def _dispatch(self, connection: Connection, wire: ops.Message) -> None:
+        message = decode_control_message(wire)
+        if isinstance(message, RaftEnvelope):
+            self.consensus.receive(message.source, message.target, message.message)
+        elif isinstance(message, ClaimRequest):
             self._claim(connection, message)
-        elif op == ops.FORWARD:
-            self.proposals.for_other(connection, message)
-        elif op == ops.FETCH:
-            if self.core.role == "leader":
-                self.orders.fetch_here(lambda result: answer(connection, message[1], result))
-            else:
-                answer(connection, message[1], None)
-        elif op == ops.RESULT:
-            self.proposals.heard(message)
-        elif op == ops.JOIN:
-            self.others.asked_to_join(message[1], connection.name)
-
-    def _receive(self, source: str, wire: tuple[Any, ...]) -> None:
-        decoded = decode_message(wire)
-        if decoded is not None:
-            self.act(self.core.receive(self.loop.time(), source, decoded))
-
-    def _claim(self, connection: Connection, message: ops.Message) -> None:
-        _, ident, key, owner, claim, digest, over = message
-        body = bytes(msgpack.packb((key, owner, claim, digest, over)))
-
-        def done(result: tuple[Any, ...] | None) -> None:
+        elif isinstance(message, SidecarReport):
+            self.updates.on_report(connection, message)
+        elif isinstance(message, LeaseRequest):
+            self._report_lease(connection, message)
+        elif isinstance(message, ForwardedProposal):
+            self.proposals.on_forwarded_proposal(connection, message)
+        elif isinstance(message, ForwardedFetch):
+            self._fetch_for_peer(connection, message)
+        elif isinstance(message, ForwardedResult):
+            self.proposals.on_forwarded_result(message)
+        elif isinstance(message, JoinRequest):
+            self.peer_links.on_join_request(message.member, connection.name)
+        elif isinstance(message, Hello) and connection.kind == "control":
+            self.peer_links.on_hello(connection.name, message.location)
+
+    def _claim(self, connection: Connection, message: ClaimRequest) -> None:
+        def on_result(result: tuple[Any, ...] | None) -> None:
             if connection.up:
-                connection.send((ops.CLAIMED, ident, *(result or Claimed(NO_LEADER))), 0)
+                answer = result or ClaimResult(NO_LEADER)
+                connection.send((ops.CLAIMED, message.request_id, *answer), 0)
 
-        self.propose(CLAIM, body, done)
+        self.propose(CLAIM, message.command.pack(), on_result)
 
-    def fell(self, connection: Connection) -> None:
-        self.pushes.fell(connection)
+    def _report_lease(self, connection: Connection, message: LeaseRequest) -> None:
+        subscriber = self.updates.subscribers.get(connection)
+        if subscriber is not None:
+            self.leases.on_report(max(self.loop.time(), self.clock()), subscriber, message.report)
+
+    def _fetch_for_peer(self, connection: Connection, message: ForwardedFetch) -> None:
+        if self.raft.is_leader:
+            self.calls.fetch_locally(lambda result: send_result(connection, message.request_id, result))
+        else:
+            send_result(connection, message.request_id, None)
+
+    def on_connection_lost(self, connection: Connection) -> None:
+        """A connection has ended."""
+        self.updates.on_connection_lost(connection)
 
     # Time -----------------------------------------------------------------------------------------
 
-    def _look(self) -> None:
-        self.timers[1] = self.loop.call_later(LOOK_EVERY, self._look)
+    def _tick(self) -> None:
+        self._timers[self._tick] = self.loop.call_later(TICK_INTERVAL_S, self._tick)
+        now = self.loop.time()
+        changed = self.consensus.tick(now)
+        if self.consensus.shutdown.is_finished(now, len(self.calls.open_calls)):
+            self.may_end.set()
+        up_to_date = self.is_up_to_date(now)
+        if changed or up_to_date != self._was_up_to_date:
+            self._was_up_to_date = up_to_date
+            # Without this, sidecars would send claims to the previous leader for half a second more.
+            self.updates.send(to_all=True)
+
+    def _maintain(self) -> None:
+        self._timers[self._maintain] = self.loop.call_later(MAINTENANCE_INTERVAL_S, self._maintain)
         now = self.loop.time()
-        self.pushes.beat()
+        self.updates.refresh_liveness()
         self.proposals.expire(now)
-        self._rotate(now)
-        surely = now - self.told_all >= SURELY
-        self.told_all = now if surely else self.told_all
-        self.pushes.push(surely)
-        self._lend(max(now, self.clock()))
-
-    def _lend(self, now: float) -> None:
-        """Settles who holds how much of the slack, and tells each sidecar."""
-        self.leases.share(now)
-        for connection, watcher in self.pushes.watchers.items():
-            lease = self.leases.lease(now, watcher)
+        self._expire_claims()
+        to_all = now - self._last_full_update >= FULL_UPDATE_INTERVAL_S
+        if to_all:
+            self._last_full_update = now
+        self.updates.send(to_all=to_all)
+        self._grant_leases(max(now, self.clock()))
+
+    def _expire_claims(self) -> None:
+        # By the steady clock: the loop's time may be from before a freeze of this process.
+        self.claim_expiry.tick(self.clock(), CLAIM_MARGIN_S)
+
+    def _grant_leases(self, now: float) -> None:
+        self.leases.distribute(now)
+        for connection, subscriber in self.updates.subscribers.items():
+            lease = self.leases.grant(now, subscriber)
             if lease is not None:
                 connection.send((ops.LEASE_GRANT, *lease), 0)
 
-    def _join_group(self) -> None:
-        self.timers[2] = self.loop.call_later(JOIN_EVERY, self._join_group)
-        self.others.ask_to_join()
-
-    def _rotate(self, now: float) -> None:
-        self.aging.look(self.clock(), ROTATE_SLACK)  # danger: the loop's time is from before a freeze maybe
+    def _request_to_join(self) -> None:
+        self._timers[self._request_to_join] = self.loop.call_later(JOIN_INTERVAL_S, self._request_to_join)
+        self.peer_links.request_to_join()
 
     def close(self) -> None:
-        for timer in self.timers:
+        """Stop everything."""
+        for timer in self._timers.values():
             timer.cancel()
-        self.snapshots.close()
-        self.others.close()
-        self.pushes.close()
-        self.writer.stop()
+        self.consensus.close()
+        self.peer_links.close()
+        self.updates.close()
--- a/minthitch/mesh/control/shutdown.py
+++ b/minthitch/mesh/control/shutdown.py
@@ -1,7 +1,7 @@
-"""A control node that is told to end hands over leadership first, so that nobody waits out an election.
+"""Graceful shutdown of a control node: it hands leadership over first, so that nobody waits for an election.
 
-It retires once it doesn't lead, knows who leads instead, has answered the calls that it had taken, and the
-others can do without what its disk holds.
+It may end once it does not lead, knows who leads instead, has answered the calls that it had accepted, and
+the others have what its disk has.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 
 from minthitch.mesh.raft.actions import Action
 
-MOST_S = 1.0  # seconds for handing over: callers give up after a second, and the platform kills before long
+SHUTDOWN_TIMEOUT_S = 1.0  # callers give up after a second, and the platform kills not much later
 
 
-class Agreement(Protocol):
-    """What is asked of the core."""
+class Consensus(Protocol):
+    """What is asked of the consensus core."""
 
     @property
     def is_leader(self) -> bool: ...
@@ -27,24 +27,31 @@
     def may_end(self, now: float) -> bool: ...
 
 
-class Retirement:
+class GracefulShutdown:
     """Once begun it is never taken back."""
 
-    def __init__(self, core: Agreement) -> None:
-        self.core = core
-        self.begun: float | None = None
+    def __init__(self, raft: Consensus) -> None:
+        self._raft = raft
+        self._started_at: float | None = None
+
+    @property
+    def has_begun(self) -> bool:
+        """`begin` was called."""
+        return self._started_at is not None
 
     def begin(self, now: float) -> list[Action]:
-        """No new proposals; leadership goes to the best voter. This node stands for none itself."""
-        if self.begun is not None:
+        """Take no new proposals, hand leadership to the best voter, do not campaign."""
+        if self._started_at is not None:
             return []
-        self.begun = now
-        return self.core.begin_shutdown(now)
+        self._started_at = now
+        return self._raft.begin_shutdown(now)
 
-    def over(self, now: float, open_orders: int) -> bool:
+    def is_finished(self, now: float, open_calls: int) -> bool:
         """Whether the process may end."""
-        if self.begun is None:
+        if self._started_at is None:
             return False
-        core = self.core
-        handed_over = not core.is_leader and core.leader not in (None, core.name) and core.may_end(now)
-        return (handed_over and not open_orders) or now - self.begun >= MOST_S
+        raft = self._raft
+        another_leads = not raft.is_leader and raft.leader not in (None, raft.name)
+        if another_leads and raft.may_end(now) and not open_calls:
+            return True
+        return now - self._started_at >= SHUTDOWN_TIMEOUT_S
--- a/minthitch/mesh/control/sidecar_updates.py
+++ b/minthitch/mesh/control/sidecar_updates.py
@@ -1,121 +1,139 @@
-"""What one control node tells the sidecars that have a line to it: differences, gathered, and packed once
-for many."""
+"""What a control node sends to its sidecars: differences, batched, and packed once for many."""
 
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Iterable
 from typing import Protocol, cast
 
 import msgpack
 
+from minthitch.mesh.control.state_machine import StateMachine
+from minthitch.mesh.raft.membership import address_of
 from minthitch.mesh.raft.node import RaftNode
-from minthitch.mesh.control.state import State
+from minthitch.mesh.registry.registry import Registry
 from minthitch.mesh.transport import ops
-from minthitch.mesh.transport.connection import Connection
 from minthitch.mesh.transport.compression import squeezed
-from minthitch.mesh.registry.records import SidecarRecord
-from minthitch.mesh.registry.registry import Registry
+from minthitch.mesh.transport.connection import Connection
+from minthitch.mesh.transport.control_messages import SidecarReport
 
-GATHER = 0.04  # seconds between two pushes of news; one that comes alone goes at once
+BATCH_INTERVAL_S = 0.04  # between two updates; one that comes alone is sent at once
+NO_CONFIGURATION = -1
 
 
 class Host(Protocol):
-    """The control node whose knowledge is pushed."""
+    """The control node whose knowledge is sent."""
 
-    core: RaftNode
-    state: State
+    raft: RaftNode
+    state: StateMachine
     loop: asyncio.AbstractEventLoop
 
-    def knows_newest(self, now: float) -> bool: ...
+    def is_up_to_date(self, now: float) -> bool: ...
 
 
-class Watcher:
-    """A sidecar's line, what it has been told, and whose it is."""
+class Subscriber:
+    """A connected sidecar, and what it was sent."""
 
-    __slots__ = ("index", "version", "ip", "epoch")
+    __slots__ = ("configuration_index", "registry_version", "ip", "epoch")
 
     def __init__(self, ip: str, epoch: int) -> None:
-        self.index, self.version, self.ip, self.epoch = -1, 0, ip, epoch
+        self.ip = ip
+        self.epoch = epoch
+        self.configuration_index = NO_CONFIGURATION
+        self.registry_version = 0
 
 
-class Pushes:
-    """The sidecars' lines."""
+class SidecarUpdates:
+    """The connected sidecars."""
 
     def __init__(self, host: Host, registry: Registry) -> None:
-        self.host, self.registry = host, registry
-        self.watchers: dict[Connection, Watcher] = {}
-        self.pushed = float("-inf")  # when news last went out
-        self.timer: asyncio.TimerHandle | None = None
-
-    def report(self, connection: Connection, message: ops.Message) -> None:
-        """What a sidecar says of itself."""
-        record = SidecarRecord(*message[2:])
-        watcher = self.watchers.get(connection)
-        if watcher is None:
-            watcher = self.watchers[connection] = Watcher(record.ip, record.epoch)
-        lacks = watcher.index < 0 or message[1] < watcher.index
-        if lacks:
-            watcher.index = message[1]
-        if self.registry.update(self.host.loop.time(), record) or lacks:
-            self.news()
-
-    def fell(self, connection: Connection) -> None:
-        self.watchers.pop(connection, None)
-
-    def beat(self) -> None:
-        """Lines that are alive say that their sidecars are; what is silent too long is dropped."""
-        for connection, watcher in self.watchers.items():
-            self.registry.refresh(watcher.ip, watcher.epoch, connection.came)
-        if self.registry.expire(self.host.loop.time()):
-            self.news()
-
-    def news(self) -> None:
-        """Something that sidecars must hear: all of it that comes within GATHER goes in one word to each.
-
-        Danger: a push for each report that is news to all is N x N words where N sidecars start at once.
+        self.subscribers: dict[Connection, Subscriber] = {}
+        self._host = host
+        self._registry = registry
+        self._last_sent = float("-inf")
+        self._timer: asyncio.TimerHandle | None = None
+
+    def on_report(self, connection: Connection, report: SidecarReport) -> None:
+        """A sidecar reports on itself, and which configuration it has."""
+        record = report.record
+        subscriber = self.subscribers.get(connection)
+        if subscriber is None:
+            subscriber = self.subscribers[connection] = Subscriber(record.ip, record.epoch)
+        index = subscriber.configuration_index
+        is_behind = index < 0 or report.configuration_index < index
+        if is_behind:
+            subscriber.configuration_index = report.configuration_index
+        if self._registry.update(self._host.loop.time(), record) or is_behind:
+            self.schedule()
+
+    def on_connection_lost(self, connection: Connection) -> None:
+        """A connection has ended."""
+        self.subscribers.pop(connection, None)
+
+    def refresh_liveness(self) -> None:
+        """A live connection shows that its sidecar is alive; sidecars without contact are dropped."""
+        for connection, subscriber in self.subscribers.items():
+            self._registry.refresh(subscriber.ip, subscriber.epoch, connection.came)
+        if self._registry.expire(self._host.loop.time()):
+            self.schedule()
+
+    def schedule(self) -> None:
+        """Something has changed: all that changes within BATCH_INTERVAL_S is sent in one message.
+
+        One message for each change would be N x N messages where N sidecars start at once.
         """
-        if self.timer is None:
-            wait = self.pushed + GATHER - self.host.loop.time()
-            self.timer = self.host.loop.call_later(max(wait, 0.0), self._tell)
-
-    def _tell(self) -> None:
-        self.timer = None
-        self.push(False)
-
-    def push(self, always: bool) -> None:
-        """Tells each sidecar what it has not been told; `always`: that this one is still there, too."""
-        version, index = self.registry.version, self.host.state.items.index
-        lack = [
-            (connection, watcher)
-            for connection, watcher in self.watchers.items()
-            if always or watcher.version < version or watcher.index < index
+        if self._timer is None:
+            delay = self._last_sent + BATCH_INTERVAL_S - self._host.loop.time()
+            self._timer = self._host.loop.call_later(max(delay, 0.0), self._send_scheduled)
+
+    def _send_scheduled(self) -> None:
+        self._timer = None
+        self.send(to_all=False)
+
+    def send(self, *, to_all: bool) -> None:
+        """Send each sidecar what it lacks; with `to_all` also those that lack nothing, as a sign of life."""
+        version, index = self._registry.version, self._host.state.items.index
+        due = [
+            (connection, subscriber)
+            for connection, subscriber in self.subscribers.items()
+            if to_all or subscriber.registry_version < version or subscriber.configuration_index < index
         ]
-        if lack:
-            self.pushed = self.host.loop.time()
-            self._push(lack)
-
-    def _push(self, watchers: list[tuple[Connection, Watcher]]) -> None:
-        core, items = self.host.core, self.host.state.items
-        fresh = self.host.knows_newest(self.host.loop.time())
-        controls = tuple(member.partition("#")[0] for member in core.voters)
-        head = (ops.STATE, fresh, core.term, (core.leader or "").partition("#")[0], controls)
-        packed: dict[tuple[int, int], bytes] = {}
-        deltas: dict[int, bytes | None] = {-1: None}
-        for connection, watcher in watchers:
-            after = watcher.index if fresh and items.index > watcher.index >= 0 else -1
-            word = packed.get((watcher.version, after))
-            if word is None:
+        if due:
+            self._last_sent = self._host.loop.time()
+            self._send_to(due)
+
+    def _send_to(self, due: Iterable[tuple[Connection, Subscriber]]) -> None:
+        items = self._host.state.items
+        up_to_date = self._host.is_up_to_date(self._host.loop.time())
+        head = self._head(up_to_date)
+        packed_messages: dict[tuple[int, int], bytes] = {}
+        deltas: dict[int, bytes | None] = {NO_CONFIGURATION: None}
+        for connection, subscriber in due:
+            lacks_changes = items.index > subscriber.configuration_index >= 0
+            after = subscriber.configuration_index if up_to_date and lacks_changes else NO_CONFIGURATION
+            packed = packed_messages.get((subscriber.registry_version, after))
+            if packed is None:
                 if after not in deltas:
                     deltas[after] = squeezed(items.since(after))
-                whole, changed, dropped = self.registry.since(watcher.version)
-                word = packed[watcher.version, after] = cast(
-                    bytes, msgpack.packb((*head, deltas[after], whole and bool(changed), changed, dropped))
-                )
-            watcher.version = self.registry.version
+                packed = self._pack(head, deltas[after], subscriber.registry_version)
+                packed_messages[subscriber.registry_version, after] = packed
+            subscriber.registry_version = self._registry.version
             if after >= 0:
-                watcher.index = items.index
-            connection.send_packed(word, 0)
+                subscriber.configuration_index = items.index
+            connection.send_packed(packed, 0)
+
+    def _head(self, up_to_date: bool) -> ops.Message:
+        raft = self._host.raft
+        control_nodes = tuple(address_of(member) for member in raft.voters)
+        return (ops.STATE, up_to_date, raft.term, address_of(raft.leader or ""), control_nodes)
+
+    def _pack(self, head: ops.Message, configuration: bytes | None, registry_version: int) -> bytes:
+        delta = self._registry.since(registry_version)
+        is_complete = delta.complete and bool(delta.changed)
+        message = (*head, configuration, is_complete, delta.changed, delta.dropped)
+        return cast(bytes, msgpack.packb(message))
 
     def close(self) -> None:
-        if self.timer is not None:
-            self.timer.cancel()
+        """Send nothing more."""
+        if self._timer is not None:
+            self._timer.cancel()
--- a/minthitch/mesh/control/state_machine.py
+++ b/minthitch/mesh/control/state_machine.py
@@ -1,10 +1,10 @@
-"""What the control nodes agree on: the configuration and the claims. Applied in the log's order; no I/O."""
+"""The replicated state machine: configuration and claims, changed by committed commands only. No I/O."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 from itertools import islice
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 import msgpack
 
@@ -12,106 +12,117 @@
 from minthitch.mesh.configuration.items import ROUTE, ROUTES, Items
 from minthitch.mesh.idempotency.claims import Claim, ClaimCommand, ClaimTable
 
-CONFIG, CLAIM, ROTATE, TIME = 1, 2, 3, 4  # kinds of commands
-GRANTED, HELD, FULL, NO_LEADER = "granted", "held", "full", "no leader"
-OK, REFUSED, CONFLICT = 200, 400, 409
+CONFIG, CLAIM, ROTATE, TIME = 1, 2, 3, 4  # kinds of commands, as stored
+GRANTED, ALREADY_CLAIMED, FULL, NO_LEADER = "granted", "held", "full", "no leader"  # verdicts, as sent
+OK, REJECTED, CONFLICT = 200, 400, 409
 STEP_ROWS = 500  # claims encoded in one step: a quarter of a millisecond
 
 
-class Patched(NamedTuple):
-    """What became of a change of the configuration. Results travel between control nodes as arrays."""
+class ConfigurationResult(NamedTuple):
+    """The outcome of a configuration change. Results travel between control nodes as arrays."""
 
     status: int
-    why: str = ""
+    reason: str = ""
     changed: bool = False
 
 
-class Claimed(NamedTuple):
-    """Whose a key is: the owner's own words, empty where there is no room for the claim."""
+class ClaimResult(NamedTuple):
+    """Who owns a key now; the owner is empty where there was no space for the claim."""
 
     verdict: str
     owner: str = ""
-    claim: bytes = b""
-    digest: bytes = b""
+    claim_id: bytes = b""
+    request_digest: bytes = b""
 
 
-class Fetched(NamedTuple):
-    """The configuration, and the index of the log as of which it stands."""
+class FetchResult(NamedTuple):
+    """The configuration, and the index of the log as of which it is valid."""
 
     body: bytes
-    as_of: int
+    as_of_index: int
 
 
-def command(kind: int, data: bytes) -> bytes:
+CommandResult = ConfigurationResult | ClaimResult | None  # None: the command has no result
+
+
+def pack_command(kind: int, data: bytes) -> bytes:
+    """The data of a log entry with a command."""
     return bytes(msgpack.packb((kind, data)))
 
 
-class State:
+class StateMachine:
     """The same on every control node that has applied the same entries."""
 
     def __init__(self) -> None:
-        self.items, self.claims = Items(), ClaimTable()
-        self.rotated = 0  # index of the last rotation
-        self.passed_ms = 0  # since then, as leaders told (minthitch.mesh.idempotency.rotation)
+        self.items = Items()
+        self.claims = ClaimTable()
+        self.rotation_index = 0  # of the last rotation of claims
+        self.elapsed_ms = 0  # since then, as leaders recorded (minthitch.mesh.idempotency.rotation)
 
-    def apply(self, index: int, data: bytes) -> tuple[Any, ...]:
-        """The result, as whoever proposed it is told: Patched, Claimed, or nothing for other entries."""
+    def apply(self, index: int, data: bytes) -> CommandResult:
+        """Apply the command of the committed entry at `index`."""
         kind, body = msgpack.unpackb(data, use_list=False)
         if kind == CONFIG:
-            verdict = self.items.apply(body, index)
-            if verdict.ok:
-                return Patched(OK, changed=verdict.changed)
-            conflict = verdict.kind is ErrorKind.CONFIG_CONFLICT
-            return Patched(CONFLICT if conflict else REFUSED, verdict.why)
+            return self._change_configuration(index, body)
         if kind == CLAIM:
             return self._claim(ClaimCommand.unpack(body))
         if kind == ROTATE:
             self.claims.rotate()
-            self.rotated, self.passed_ms = index, 0
+            self.rotation_index = index
+            self.elapsed_ms = 0
         elif kind == TIME:
-            self.passed_ms += msgpack.unpackb(body)
-        return ()
-
-    def _claim(self, wanted: ClaimCommand) -> Claimed:
-        valid = self.claims.acquire(wanted)
+            self.elapsed_ms += msgpack.unpackb(body)
+        return None
+
+    def _change_configuration(self, index: int, body: bytes) -> ConfigurationResult:
+        verdict = self.items.apply(body, index)
+        if verdict.ok:
+            return ConfigurationResult(OK, changed=verdict.changed)
+        conflict = verdict.kind is ErrorKind.CONFIG_CONFLICT
+        return ConfigurationResult(CONFLICT if conflict else REJECTED, verdict.why)
+
+    def _claim(self, command: ClaimCommand) -> ClaimResult:
+        valid = self.claims.acquire(command)
         if valid is None:
-            return Claimed(FULL)
-        return Claimed(GRANTED if valid.claim_id == wanted.claim_id else HELD, *valid)
+            return ClaimResult(FULL)
+        return ClaimResult(GRANTED if valid.claim_id == command.claim_id else ALREADY_CLAIMED, *valid)
 
-    def patience(self) -> float:
-        """Seconds that a request may take at most by the routes that stand: so late its claim may come."""
+    def longest_route_timeout(self) -> float:
+        """Seconds that a request may take at most by the present routes: so late its claim may come."""
         return max((ROUTE.decode(body).tmo_s for _, body in self.items.standing(ROUTES)), default=0.0)
 
-    def dump(self) -> bytes:
-        return bytes(msgpack.packb((self.items.snapshot(), self.claims.to_rows(), self._place())))
+    def snapshot(self) -> bytes:
+        """Everything, in msgpack."""
+        return bytes(msgpack.packb((self.items.snapshot(), self.claims.to_rows(), self._rotation())))
 
-    def dump_steps(self) -> Iterator[bytes]:
-        """The same as `dump` in pieces, as of this call: what is applied later is not in them."""
+    def snapshot_steps(self) -> Iterator[bytes]:
+        """The same as `snapshot` in pieces, as of this call: what is applied later is not in them."""
         if self.claims.count() <= STEP_ROWS:
-            return iter((self.dump(),))
-        return self._steps(self.items.snapshot(), self.claims.copy_generations(), self._place())
+            return iter((self.snapshot(),))
+        return self._encode_in_steps(self.items.snapshot(), self.claims.copy_generations(), self._rotation())
 
-    def _place(self) -> tuple[int, int]:
-        return self.rotated, self.passed_ms
+    def _rotation(self) -> tuple[int, int]:
+        return self.rotation_index, self.elapsed_ms
 
-    def _steps(
-        self, items: bytes, generations: list[dict[bytes, Claim]], place: tuple[int, int]
+    def _encode_in_steps(
+        self, items: bytes, generations: list[dict[bytes, Claim]], rotation: tuple[int, int]
     ) -> Iterator[bytes]:
         packer = msgpack.Packer()
         yield bytes(packer.pack_array_header(3)) + bytes(packer.pack(items))
         yield bytes(packer.pack_array_header(len(generations)))
-        for table in generations:
-            yield bytes(packer.pack_array_header(len(table)))
-            rows = iter(table.items())
+        for generation in generations:
+            yield bytes(packer.pack_array_header(len(generation)))
+            rows = iter(generation.items())
             while batch := list(islice(rows, STEP_ROWS)):
                 yield b"".join([packer.pack((key, *claim)) for key, claim in batch])
-        yield bytes(packer.pack(place))
+        yield bytes(packer.pack(rotation))
 
-    def load(self, snapshot: bytes) -> None:
+    def restore(self, snapshot: bytes) -> None:
+        """Become what `snapshot` has; an empty one changes nothing."""
         if not snapshot:
             return
-        items, claims, place = msgpack.unpackb(snapshot, use_list=False)
-        # A version that counted no time gives the rotation's index alone: what passed since isn't known.
-        self.rotated, self.passed_ms = (place, 0) if isinstance(place, int) else place
+        items, claims, rotation = msgpack.unpackb(snapshot, use_list=False)
+        # A version that recorded no time stored the rotation's index alone: the time since is not known.
+        self.rotation_index, self.elapsed_ms = (rotation, 0) if isinstance(rotation, int) else rotation
         self.items.restore(items)
         self.claims.load_rows(claims)
--- a/minthitch/mesh/control/status.py
+++ b/minthitch/mesh/control/status.py
@@ -12,17 +12,17 @@
 
 
 def status(server: ControlServer) -> dict[str, Any]:
-    """One table, as it is encoded."""
-    core, now = server.core, server.time()
+    """The body of the answer."""
+    raft, now = server.raft, server.time()
     return {
-        "control": core.name,
-        "role": core.role,
-        "term": core.term,
-        "leader": core.leader or "",
-        "voters": list(core.voters),
-        "knows_newest": server.knows_newest(now),
-        "log": {"last": core.last_index, "agreed": core.commit_index, "applied": core.last_applied},
-        "disk": {"bad": server.bad, "waits_s": round(server.disk_waits(), 3)},
+        "control": raft.name,
+        "role": raft.role.value,
+        "term": raft.term,
+        "leader": raft.leader or "",
+        "voters": list(raft.voters),
+        "knows_newest": server.is_up_to_date(now),
+        "log": {"last": raft.last_index, "agreed": raft.commit_index, "applied": raft.last_applied},
+        "disk": {"bad": not server.disk_healthy, "waits_s": round(server.pending_write_s(), 3)},
         "configuration": {"index": server.state.items.index},
         "keys": _keys(server),
         "slack": server.leases.lender.status(),
@@ -33,10 +33,10 @@
 
 def _keys(server: ControlServer) -> dict[str, Any]:
     claims = server.state.claims
-    newest, *older = (len(held) for held in claims.generations)
+    newest, *older = (len(generation) for generation in claims.generations)
     return {
         "claimed": claims.count(),
-        "rotated_at": server.state.rotated,
+        "rotated_at": server.state.rotation_index,
         "newest": newest,
         "older": sum(older),
         "most": MAX_CLAIMS,
--- a/minthitch/mesh/http/listener.py
+++ b/minthitch/mesh/http/listener.py
@@ -37,23 +37,23 @@
 Fields = Iterable[tuple[bytes, bytes]]
 
 
-class Desk(Protocol):
+class RequestHandler(Protocol):
     """Who answers clients."""
 
-    def take(self, client: ClientConnection, item: Incoming) -> None: ...
-    def gone(self, client: ClientConnection) -> None: ...
-    def wanted(self) -> bool: ...
-    def header_bytes(self) -> int: ...
-    def body_bytes(self) -> int: ...
-    def note(self, text: str) -> None: ...
+    def handle(self, client: ClientConnection, request: Incoming) -> None: ...
+    def on_client_lost(self, client: ClientConnection) -> None: ...
+    def accepts_requests(self) -> bool: ...
+    def max_header_bytes(self) -> int: ...
+    def max_body_bytes(self) -> int: ...
+    def log_client_error(self, text: str) -> None: ...
 
 
 class ClientConnection(Caller):
     """One client's connection."""
 
-    def __init__(self, table: Callers, desk: Desk) -> None:
+    def __init__(self, table: Callers, handler: RequestHandler) -> None:
         super().__init__(table)
-        self.desk = desk
+        self.handler = handler
         self.head_size = 0
         self.token = 0  # counts what it asked: an answer to an earlier request must not meet a later one
 
@@ -67,7 +67,7 @@
 
     def _count(self, size: int) -> None:
         self.head_size += size
-        if self.head_size > self.desk.header_bytes():
+        if self.head_size > self.handler.max_header_bytes():
             raise Rejected(431, "head too long")
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -87,12 +87,12 @@
         if b"host" not in item.fields and version == "1.1":
             raise Rejected(400, "no Host")
         length = item.fields.get(b"content-length")
-        if length is not None and int(length) > self.desk.body_bytes():
+        if length is not None and int(length) > self.handler.max_body_bytes():
             raise Rejected(413, "body too long")
 
     def on_body(self, part: bytes) -> None:
         super().on_body(part)
-        if self.size > self.desk.body_bytes():
+        if self.size > self.handler.max_body_bytes():
             raise Rejected(413, "body too long")
 
     def _begin(self, item: Incoming | Rejected) -> None:
@@ -102,11 +102,11 @@
         self.current = item
         self.token += 1
         try:
-            self.desk.take(self, item)
+            self.handler.handle(self, item)
         except Rejected as err:
             self._reject(err)
         except Exception as err:  # danger: a fault of ours must not leave the client unanswered
-            self.desk.note(f"{type(err).__name__}: {err}")
+            self.handler.log_client_error(f"{type(err).__name__}: {err}")
             self.respond(self.token, 500, (), b"")
 
     def reply(self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after: int = 0) -> None:
@@ -137,15 +137,15 @@
 class _Host:
     """What the node's connections ask, answered for the mesh."""
 
-    def __init__(self, desk: Desk) -> None:
-        self.desk = desk
+    def __init__(self, handler: RequestHandler) -> None:
+        self.handler = handler
 
     @property
     def wanted(self) -> bool:
-        return self.desk.wanted()
+        return self.handler.accepts_requests()
 
     def keeps_idle(self) -> bool:
-        return self.desk.wanted()
+        return self.handler.accepts_requests()
 
     def turned_away(self, fields: Mapping[bytes, bytes], err: Rejected) -> None:
         pass
@@ -158,7 +158,7 @@
 
     def left(self, caller: Caller) -> None:
         if isinstance(caller, ClientConnection):
-            self.desk.gone(caller)
+            self.handler.on_client_lost(caller)
 
     def ready(self) -> bool:
         return True
@@ -167,16 +167,16 @@
         return 0
 
     def log(self, text: str) -> None:
-        self.desk.note(text)
+        self.handler.log_client_error(text)
 
 
 class Listener:
     """A listening address and all who came to it, bounded in number and in bytes of bodies."""
 
-    def __init__(self, desk: Desk, most: int, memory: int) -> None:
-        self.desk = desk
+    def __init__(self, handler: RequestHandler, most: int, memory: int) -> None:
+        self.handler = handler
         room: Room[Caller] = Room(max(memory, LEAST_BODIES), max(2 * memory, LEAST_BODIES))
-        self.callers = Callers(_Host(desk), most, most + 24, room)
+        self.callers = Callers(_Host(handler), most, most + 24, room)
         self.listener: asyncio.Server | None = None
 
     async def open(self, address: str) -> None:
@@ -184,7 +184,7 @@
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
         self.listener = await loop.create_server(
-            lambda: ClientConnection(self.callers, self.desk), host, int(port), backlog=BACKLOG
+            lambda: ClientConnection(self.callers, self.handler), host, int(port), backlog=BACKLOG
         )
         self.listener.sockets[0].setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
 
--- a/minthitch/mesh/http/runtime.py
+++ b/minthitch/mesh/http/runtime.py
@@ -9,7 +9,7 @@
 import uvloop
 
 from minthitch.mesh.configuration.boot import BadSettings, Boot, load
-from minthitch.mesh.events.events import Event, open_log, say
+from minthitch.mesh.events.events import Event, log_event, open_log
 
 
 def seeds() -> tuple[str, ...]:
@@ -17,7 +17,7 @@
     try:
         return tuple(seed.rpartition(":")[0] for seed in load().net.seeds)
     except BadSettings as err:  # caught half written, or wrong: what is known stays
-        say(Event.SETTINGS, key=err.key, value=err.value, why=err.why)
+        log_event(Event.SETTINGS, key=err.key, value=err.value, why=err.why)
         return ()
 
 
@@ -32,7 +32,7 @@
             if not value:
                 raise BadSettings(key, "", "is missing")
     except BadSettings as err:
-        say(Event.SETTINGS, key=err.key, value=err.value, why=err.why)
+        log_event(Event.SETTINGS, key=err.key, value=err.value, why=err.why)
         return 2
     code = uvloop.run(serve(boot))
     os._exit(code)  # nothing is left to be written; the interpreter's own end takes its time
--- a/minthitch/mesh/sidecar/admission.py
+++ b/minthitch/mesh/sidecar/admission.py
@@ -16,7 +16,7 @@
 from minthitch.interface import Status
 from minthitch.mesh.configuration.calls import Beat, read_beat
 from minthitch.mesh.transport import ops
-from minthitch.mesh.events.events import Event, say
+from minthitch.mesh.events.events import Event, log_event
 from minthitch.mesh.http.upstream import NOT_RUN, RAN, UpstreamCall, Outcome, ServerPool, Upstream
 
 PAST = 16  # lives of servers that are over and remembered: their late beats mean nothing
@@ -112,7 +112,7 @@
         self.cold_until = self.loop.time() + beat.stat.cold_s
 
     def _be(self, state: str) -> None:
-        say(Event.SERVER, life=self.life, service=self.service, state=state)
+        log_event(Event.SERVER, life=self.life, service=self.service, state=state)
         self.state = state
         if state != "up":
             self._turn_away_queue(state)
--- a/minthitch/mesh/sidecar/copies.py
+++ b/minthitch/mesh/sidecar/copies.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 from minthitch.mesh.transport import ops
-from minthitch.mesh.events.events import Event, say
+from minthitch.mesh.events.events import Event, log_event
 from minthitch.mesh.sidecar.choice import Target
 from minthitch.mesh.sidecar.links import Peer
 from minthitch.mesh.sidecar.offers import OfferSender
@@ -172,7 +172,7 @@
         # By peer, not by address: the calls of a new link to the same address are not those of the old one.
         fallen = [attempt for attempt in self.attempts.values() if attempt.peer is peer]
         if fallen:
-            say(Event.PEER_DOWN, ip=peer.ip, open=len(fallen))
+            log_event(Event.PEER_DOWN, ip=peer.ip, open=len(fallen))
         for attempt in fallen:
             self.attempts.pop(attempt.ident, None)
             self.offers.forget(attempt.ident)
--- a/minthitch/mesh/sidecar/front.py
+++ b/minthitch/mesh/sidecar/front.py
@@ -17,7 +17,7 @@
 from minthitch.mesh.configuration.routes import Table
 from minthitch.mesh.transport import ops
 from minthitch.mesh.transport.connection import Connection
-from minthitch.mesh.events.events import Event, say
+from minthitch.mesh.events.events import Event, log_event
 from minthitch.mesh.http.upstream import ServerPool
 from minthitch.mesh.http.listener import ClientConnection
 from minthitch.mesh.sidecar.asks import Asks, say_on
@@ -105,12 +105,12 @@
     def changed(self, config: bool, records: bool) -> None:
         if config:
             self.table = Table(self.controls.replica)
-            say(Event.CONFIG, index=self.table.index, routes=len(self.table.routes))
+            log_event(Event.CONFIG, index=self.table.index, routes=len(self.table.routes))
         if records:
             self._list()
         if self.ready() and not self.said_ready:
             self.said_ready = True
-            say(Event.READY)
+            log_event(Event.READY)
 
     def _list(self) -> None:
         records = self.controls.views.merged
@@ -130,19 +130,19 @@
 
     # Clients --------------------------------------------------------------------------------------
 
-    def header_bytes(self) -> int:
+    def max_header_bytes(self) -> int:
         return self.table.limits.header_bytes if self.table is not None else 32 * 1024
 
-    def body_bytes(self) -> int:
+    def max_body_bytes(self) -> int:
         return self.table.limits.body_bytes if self.table is not None else 64 * 1024 * 1024
 
-    def wanted(self) -> bool:
+    def accepts_requests(self) -> bool:
         return not self.leaving
 
-    def note(self, text: str) -> None:
-        say(Event.VISITOR, text=text)
+    def log_client_error(self, text: str) -> None:
+        log_event(Event.CLIENT_ERROR, text=text)
 
-    def take(self, client: ClientConnection, item: Incoming) -> None:
+    def handle(self, client: ClientConnection, request: Incoming) -> None:
         """Raises Rejected where the request can't be taken."""
         now = self.loop.time()
         if self.table is None:
@@ -150,26 +150,26 @@
             raise Rejected(503, "no configuration", int(pause * 1e9))
         if now >= self.shut:  # danger: what is taken now could not be answered before the process ends
             raise Rejected(503, "leaving", int(BACK_WHEN_LEAVING * 1e9))
-        route = self.table.match(item.fields.get(b"host", b""), item.target)
+        route = self.table.match(request.fields.get(b"host", b""), request.target)
         if route is None:
             client.respond(client.token, 404, (), b"")
             return
-        if not item.fields.get(b"x-request-id"):
+        if not request.fields.get(b"x-request-id"):
             raise Rejected(400, "no X-Request-Id")
-        if route.kind == "keyed" and not item.fields.get(b"x-idempotency-key"):
+        if route.kind == "keyed" and not request.fields.get(b"x-idempotency-key"):
             raise Rejected(400, "no X-Idempotency-Key")
-        waited = (time.monotonic_ns() - item.heard) / 1e9 if item.heard else 0.0
-        left = _deadline(item.fields.get(b"x-deadline-ms"), route.timeout) - min(waited, 1.0)
+        waited = (time.monotonic_ns() - request.heard) / 1e9 if request.heard else 0.0
+        left = _deadline(request.fields.get(b"x-deadline-ms"), route.timeout) - min(waited, 1.0)
         service = route.choose(self.random.random())
         nested = self.nested_routes.note(route.name, self.admission.gate.running)
         # Servers' own calls carry no key.
         self.retry_budget.taken(service, route.kind != "keyed" and self.nested_routes.may_be(route.name))
-        trip = self.make_trip(self, client, item, route, service, now, left, nested)
+        trip = self.make_trip(self, client, request, route, service, now, left, nested)
         self.trips.add(trip)
         self.by_visitor[client] = trip
         trip.begin()
 
-    def gone(self, client: ClientConnection) -> None:
+    def on_client_lost(self, client: ClientConnection) -> None:
         trip = self.by_visitor.pop(client, None)
         if trip is not None and not trip.closed and trip.token == client.token:
             trip.abandoned()
@@ -195,11 +195,11 @@
     def _say_counts(self) -> None:
         counts, self.counts = self.counts, {}
         most = sorted(counts.items(), key=lambda item: -item[1])[:COUNTS_SAID]
-        say(Event.REFUSED, kinds=", ".join(f"{number} {name}" for name, number in most))
+        log_event(Event.REFUSED, kinds=", ".join(f"{number} {name}" for name, number in most))
 
     # Lines that others opened -----------------------------------------------------------------------
 
-    def heard(self, connection: Connection, message: ops.Message) -> None:
+    def on_message(self, connection: Connection, message: ops.Message) -> None:
         op = message[0]
         if op == ops.CALL:
             self.offers.arrived(connection, message)
@@ -212,7 +212,7 @@
         else:
             self.asks.heard(connection, message)
 
-    def fell(self, connection: Connection) -> None:
+    def on_connection_lost(self, connection: Connection) -> None:
         self.offers.fell(connection)
         self.admission.fell(connection)
 
--- a/minthitch/mesh/sidecar/handlers.py
+++ b/minthitch/mesh/sidecar/handlers.py
@@ -9,7 +9,7 @@
 from minthitch.net.callers import Incoming
 from minthitch.mesh.configuration.calls import find, methods
 from minthitch.mesh.configuration.errors import REPLIES, ErrorKind
-from minthitch.mesh.events.events import Event, say
+from minthitch.mesh.events.events import Event, log_event
 from minthitch.mesh.http.listener import ClientConnection
 from minthitch.mesh.idempotency.operations import MAX_ANSWER_BYTES, MAX_OPERATIONS
 from minthitch.mesh.sidecar.front import Front
@@ -28,25 +28,25 @@
         self.front = front
         self.tracer: Tracer | None = None  # from its first call on
 
-    def gone(self, client: ClientConnection) -> None:
+    def on_client_lost(self, client: ClientConnection) -> None:
         pass
 
-    def wanted(self) -> bool:
+    def accepts_requests(self) -> bool:
         return True
 
-    def header_bytes(self) -> int:
+    def max_header_bytes(self) -> int:
         return HEAD_BYTES
 
-    def body_bytes(self) -> int:
+    def max_body_bytes(self) -> int:
         return BODY_BYTES
 
-    def note(self, text: str) -> None:
-        say(Event.VISITOR, text=text)
+    def log_client_error(self, text: str) -> None:
+        log_event(Event.CLIENT_ERROR, text=text)
 
-    def take(self, client: ClientConnection, item: Incoming) -> None:
-        found = find(item.method, item.target)
+    def handle(self, client: ClientConnection, request: Incoming) -> None:
+        found = find(request.method, request.target)
         if found is None:
-            kind = ErrorKind.METHOD if methods(item.target) else ErrorKind.UNKNOWN_CALL
+            kind = ErrorKind.METHOD if methods(request.target) else ErrorKind.UNKNOWN_CALL
             client.respond(client.token, REPLIES[kind].status, (), b"")
             return
         call, ident = found
@@ -58,7 +58,7 @@
         if call.handler == "ready":
             status = 200 if self.front.ready() else 503
         elif call.handler == "beat":
-            status = self._beat(ident, item.body)
+            status = self._beat(ident, request.body)
         elif call.handler == "leave":
             self.front.admission.leave(ident)
             status = 200
@@ -108,6 +108,6 @@
         try:
             self.front.admission.beat(ident, body)
         except ValueError as err:
-            self.note(str(err))
+            self.log_client_error(str(err))
             return 400
         return 200
--- a/minthitch/mesh/sidecar/links.py
+++ b/minthitch/mesh/sidecar/links.py
@@ -17,7 +17,7 @@
 from minthitch.mesh.registry.merged_views import MergedViews
 from minthitch.mesh.registry.records import SidecarRecord, published_fields
 from minthitch.mesh.registry.registry import RegistryDelta
-from minthitch.mesh.events.events import Event, say
+from minthitch.mesh.events.events import Event, log_event
 
 REPORT_EVERY = 0.5  # seconds between two looks at what this sidecar would report
 SURELY = 2.0  # seconds after which it is reported unchanged, too: the line's beat says that it is alive
@@ -93,23 +93,23 @@
                 link.start()
 
     def _up(self, ip: str, link: Link) -> None:
-        say(Event.CONTROL_UP, ip=ip)
+        log_event(Event.CONTROL_UP, ip=ip)
         if link.connection is not None:
             self.by_line[link.connection] = ip
         self._report_to(ip)
 
-    def fell(self, connection: Connection) -> None:
+    def on_connection_lost(self, connection: Connection) -> None:
         ip = self.by_line.pop(connection, "")
         if not ip:
             return
-        say(Event.CONTROL_DOWN, ip=ip)
+        log_event(Event.CONTROL_DOWN, ip=ip)
         self.fresh.pop(ip, None)
         self.views.disconnect(ip)
         for claim in self.claims.values():
             if claim.to == ip:
                 claim.sent = 0.0
         if not any(link.up for link in self.links.values()):
-            say(Event.NO_CONTROL)
+            log_event(Event.NO_CONTROL)
         self.host.changed(False, True)
         self._send_claims()
 
@@ -118,7 +118,7 @@
 
     # What they tell -------------------------------------------------------------------------------
 
-    def heard(self, connection: Connection, message: ops.Message) -> None:
+    def on_message(self, connection: Connection, message: ops.Message) -> None:
         if message[0] == ops.STATE:
             self._state(self.by_line.get(connection, ""), message)
         elif message[0] == ops.LEASE_GRANT:
@@ -393,10 +393,10 @@
             link.timer.cancel()
             link.timer = None
 
-    def heard(self, connection: Connection, message: ops.Message) -> None:
+    def on_message(self, connection: Connection, message: ops.Message) -> None:
         self.host.answered(self, message)
 
-    def fell(self, connection: Connection) -> None:
+    def on_connection_lost(self, connection: Connection) -> None:
         pass  # `_down` follows
 
     def close(self) -> None:
--- a/minthitch/mesh/sidecar/program.py
+++ b/minthitch/mesh/sidecar/program.py
@@ -9,7 +9,7 @@
 
 from minthitch.mesh.configuration.boot import Boot
 from minthitch.mesh.transport.connection import Connection
-from minthitch.mesh.events.events import Event, say
+from minthitch.mesh.events.events import Event, log_event
 from minthitch.mesh.http.runtime import run, seeds
 from minthitch.mesh.http.listener import Listener
 from minthitch.mesh.sidecar.handlers import Counter
@@ -53,7 +53,7 @@
             try:
                 await listener.open(address)
             except OSError as err:
-                say(Event.BIND, address=address, why=err)
+                log_event(Event.BIND, address=address, why=err)
                 return 1
     inbound = WeakSet[Connection]()
 
@@ -70,17 +70,17 @@
     loop.add_signal_handler(signal.SIGTERM, ending.set)
     loop.add_signal_handler(signal.SIGINT, ending.set)
     loop.add_signal_handler(signal.SIGHUP, lambda: front.controls.know(seeds()))
-    say(Event.STARTED, program="sidecar", node=boot.own.node, zone=boot.own.az)
+    log_event(Event.STARTED, program="sidecar", node=boot.own.node, zone=boot.own.az)
     await ending.wait()
     began = loop.time()
-    say(Event.TERM, open=front.open())
+    log_event(Event.SIGTERM, open=front.open())
     grace = boot.terms.bounds.grace_s
     until = began + grace - LAST
     front.leave(began + max(SHUT_PART * grace, LINGER), until - ANSWERED)
     # Danger: an answer that is written may not have left yet, and ends with the process.
     while loop.time() < until and (loop.time() < began + LINGER or front.open() or unsent()):
         await asyncio.sleep(LOOK)
-    say(Event.ENDED, after=loop.time() - began, open=front.open())
+    log_event(Event.ENDED, after=loop.time() - began, open=front.open())
     lines.close()
     for _, listener in doors:
         listener.close()
--- a/minthitch/mesh/sidecar/tracing.py
+++ b/minthitch/mesh/sidecar/tracing.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any
 
 from minthitch.mesh.configuration.errors import ErrorKind
-from minthitch.mesh.events.events import Event, say
+from minthitch.mesh.events.events import Event, log_event
 from minthitch.mesh.idempotency.operations import Operation
 from minthitch.mesh.sidecar.choice import Target
 from minthitch.mesh.sidecar.course import (
@@ -178,14 +178,14 @@
         self.until = loop.time() + int(seconds)
         self.timer = loop.call_later(int(seconds), self._end)
         self.front.make_trip = partial(Traced, self.ring)
-        say(Event.TRACED, state=f"for {seconds} s")
+        log_event(Event.TRACED, state=f"for {seconds} s")
         return True
 
     def _end(self) -> None:
         self.until = 0.0
         self.front.make_trip = Trip
         self.timer = self.front.loop.call_later(KEPT, self._forget)
-        say(Event.TRACED, state=f"no longer; {len(self.ring.held)} can be asked for {KEPT:.0f} s")
+        log_event(Event.TRACED, state=f"no longer; {len(self.ring.held)} can be asked for {KEPT:.0f} s")
 
     def _forget(self) -> None:
         self.ring = Ring()
--- a/minthitch/mesh/transport/connection.py
+++ b/minthitch/mesh/transport/connection.py
@@ -32,8 +32,8 @@
 class Host(Protocol):
     """Receives the messages of a connection, and its end."""
 
-    def heard(self, connection: Connection, message: ops.Message) -> None: ...
-    def fell(self, connection: Connection) -> None: ...
+    def on_message(self, connection: Connection, message: ops.Message) -> None: ...
+    def on_connection_lost(self, connection: Connection) -> None: ...
 
 
 class Connection(asyncio.Protocol):
@@ -75,7 +75,7 @@
         if self.sweeper is not None:
             self.sweeper.cancel()
         self.transport = None
-        self.host.fell(self)
+        self.host.on_connection_lost(self)
 
     def send(self, message: ops.Message, rank: int = 1) -> OutgoingMessage:
         """Queues a message. Raises Broken where it is too long."""
@@ -179,7 +179,7 @@
                     if self._overtaken(message):
                         continue
                     self._track(message)
-                self.host.heard(self, message)
+                self.host.on_message(self, message)
         except (Broken, ValueError, msgpack.UnpackException):
             self.close()  # after bytes that are no frame the next frame can't be found
             return
--- a/minthitch/mesh/transport/link.py
+++ b/minthitch/mesh/transport/link.py
@@ -100,15 +100,15 @@
             return None
         return self.connection.send(message, rank)
 
-    def heard(self, connection: Connection, message: ops.Message) -> None:
+    def on_message(self, connection: Connection, message: ops.Message) -> None:
         """Nothing that an earlier connection brings is handed on: what was open there was told as lost."""
         if connection is self.connection:
-            self.host.heard(connection, message)
+            self.host.on_message(connection, message)
 
-    def fell(self, connection: Connection) -> None:
+    def on_connection_lost(self, connection: Connection) -> None:
         if connection is self.connection:
             self.connection = None
-            self.host.fell(connection)
+            self.host.on_connection_lost(connection)
             self._again()
 
     def close(self) -> None:
--- a/rigs/simulation/ctl.py
+++ b/rigs/simulation/ctl.py
@@ -147,7 +147,7 @@
 
 def _voters(site: Site) -> list[ControlNode]:
     """By the table of whoever led last."""
-    cores = [node.server.core for node in site.controls if node.server is not None]
+    cores = [node.server.raft for node in site.controls if node.server is not None]
     newest = max(cores, key=lambda core: (core.role == "leader", core.term, core.last_index), default=None)
     table = newest.voters if newest is not None else tuple(node.disk.voters for node in site.controls)[0]
     return [node for node in site.controls if f"{node.ip}#{node.disk.name}" in table]
--- a/rigs/simulation/mesh.py
+++ b/rigs/simulation/mesh.py
@@ -9,7 +9,7 @@
 from minthitch.mesh.storage.store import Store
 from minthitch.mesh.storage.writer import StorageWriter
 from minthitch.mesh.control.server import ControlServer
-from minthitch.mesh.control.state import State
+from minthitch.mesh.control.state_machine import StateMachine
 from minthitch.mesh.configuration.boot import Bind, Boot, Bounds, Infra, Net, SelfPart, Terms, Tolerate
 from minthitch.mesh.configuration.items import ROUTES
 from minthitch.mesh.transport.connection import Connection
@@ -100,9 +100,9 @@
         self.writer = SimWriter(self.loop, self.machine, self.disk, done, trouble, self._written)
         return cast(StorageWriter, self.writer)
 
-    def _watch_state(self, state: State) -> None:
+    def _watch_state(self, state: StateMachine) -> None:
         """Says when an image was taken in, and when claims grew old."""
-        load, rotate = state.load, state.claims.rotate
+        load, rotate = state.restore, state.claims.rotate
 
         def loaded(snapshot: bytes) -> None:
             load(snapshot)
@@ -113,7 +113,7 @@
             if self.leads:
                 self.site.say("rotated", self.ip)
 
-        state.load, state.claims.rotate = loaded, rotated  # type: ignore[method-assign]
+        state.restore, state.claims.rotate = loaded, rotated  # type: ignore[method-assign]
 
     def _written(self) -> None:
         for ear in list(self.site.writes):
@@ -122,7 +122,7 @@
     def _look(self, server: ControlServer) -> None:
         """As its program does: it ends where it has found a promise broken."""
         if server.finished.is_set():
-            self.site.say("fault", self.ip, why=f"ended by itself: {server.failed!r}")
+            self.site.say("fault", self.ip, why=f"ended by itself: {server.failure!r}")
             self.loop.after(0.0, self.loop.world, self.stop)
             self.loop.after(1.0, self.loop.world, self.start)
             return
@@ -135,14 +135,14 @@
 
     @property
     def leads(self) -> bool:
-        return self.server is not None and self.server.core.role == "leader"
+        return self.server is not None and self.server.raft.role == "leader"
 
     @property
     def state(self) -> str:
         """What a fault that strikes now strikes."""
         if self.server is None:
             return "down"
-        core = self.server.core
+        core = self.server.raft
         if core.role in ("leader", "learner"):
             return core.role
         if core.role == "candidate":
@@ -156,7 +156,7 @@
     @property
     def half_image(self) -> bool:
         """It has a part of a leader's image."""
-        return self.server is not None and self.server.core.follower.incoming_snapshot is not None
+        return self.server is not None and self.server.raft.follower.incoming_snapshot is not None
 
 
 class SidecarNode(Node):
@@ -285,17 +285,17 @@
         """
         core = next(
             (
-                f.server.core
+                f.server.raft
                 for f in self.controls
                 if f.server is not None
                 and f.leads
-                and f.server.core.has_lease(self.loop.now + f.machine.offset)
+                and f.server.raft.has_lease(self.loop.now + f.machine.offset)
             ),
             None,
         )
         if core is None:
             return False
-        named = {f.server.core.name: f for f in self.controls if f.server is not None}
+        named = {f.server.raft.name: f for f in self.controls if f.server is not None}
         return (
             len(core.voters) == len(CONTROLS)
             and set(core.voters) <= named.keys()
--- a/rigs/simulation/people.py
+++ b/rigs/simulation/people.py
@@ -130,7 +130,7 @@
     def _take(self, sidecar: SidecarNode, client: SimClientConnection, item: Incoming) -> None:
         assert sidecar.front is not None
         try:
-            sidecar.front.take(cast(ClientConnection, client), item)
+            sidecar.front.handle(cast(ClientConnection, client), item)
         except Rejected as err:
             client.respond(1, err.status, (), b"")
 
@@ -143,7 +143,7 @@
         client._end(-1, b"")
         front = sidecar.front
         if front is not None:
-            self.loop.after(0.0003, sidecar.machine, front.gone, client)
+            self.loop.after(0.0003, sidecar.machine, front.on_client_lost, client)
 
 
 def _incoming(kind: str, place: str, name: str, key: str, seconds: float, draw: Any) -> Incoming:
--- a/rigs/simulation/planted.py
+++ b/rigs/simulation/planted.py
@@ -15,12 +15,13 @@
 from minthitch.mesh.raft.node import RaftNode
 from minthitch.mesh.limits.budget import Budget, Charge
 from minthitch.mesh.limits.lease import Holder
-from minthitch.mesh.control import server as server_module
+from minthitch.mesh.control import consensus as consensus_module
 from minthitch.mesh.control.proposals import Proposals
 from minthitch.mesh.control.server import ControlServer
-from minthitch.mesh.control.state import CONFIG, ROTATE, State
+from minthitch.mesh.control.state_machine import CONFIG, ROTATE, StateMachine
 from minthitch.mesh.configuration.items import Items, Replica, _DELTA
 from minthitch.mesh.transport import ops
+from minthitch.mesh.transport.control_messages import ForwardedResult
 from minthitch.mesh.idempotency.operations import OperationTable
 from minthitch.mesh.sidecar.admission import Admission
 from minthitch.mesh.sidecar.copies import Copies
@@ -61,7 +62,7 @@
 
 
 def _hasty(server: ControlServer, kind: int, data: bytes, done: Any) -> None:
-    if kind == CONFIG and server.core.role == "leader":
+    if kind == CONFIG and server.raft.is_leader:
         _PROPOSE(server, kind, data, lambda result: None)
         done((200, "", True))
     else:
@@ -87,28 +88,28 @@
 _BEGIN = SimStore.initialize
 
 
-def _dump(state: State) -> bytes:
+def _dump(state: StateMachine) -> bytes:
     """Without the changes of the last entries."""
-    short = State()
-    short.load(_DUMP(state))
+    short = StateMachine()
+    short.restore(_DUMP(state))
     rows = short.items._rows
     for key in [key for key, row in rows.items() if row.index > state.items.index - 5]:
         del rows[key]
     return _DUMP(short)
 
 
-_DUMP = State.dump
+_DUMP = StateMachine.snapshot
 
 
-def _rotate(server: ControlServer, now: float) -> None:
+def _rotate(server: ControlServer) -> None:
     """Whoever leads lets claims grow old, though it doesn't know when that was done last."""
-    core = server.core
-    if core.has_committed_in_term and server.aging.reign.term != core.term:
+    raft = server.raft
+    if raft.has_committed_in_term and server.claim_expiry.clock.term != raft.term:
         server.propose(ROTATE, b"", lambda result: None)
-    _ROTATE(server, now)
+    _ROTATE(server)
 
 
-_ROTATE = ControlServer._rotate
+_ROTATE = ControlServer._expire_claims
 
 
 def _unclaimed(controls: ControlLinks, body: tuple[Any, ...], deadline: float, done: Any) -> None:
@@ -158,12 +159,14 @@
         mock.patch.object(ControlServer, "propose", _hasty)
     ],
     "agreed before it is synced": lambda: [mock.patch.object(SimWriter, "submit", _unsynced)],
-    "a commit counted before its sync": lambda: [mock.patch.object(server_module, "RaftNode", Counting)],
-    "an image without the last entries": lambda: [mock.patch.object(State, "dump", _dump)],
+    "a commit counted before its sync": lambda: [mock.patch.object(consensus_module, "RaftNode", Counting)],
+    "an image without the last entries": lambda: [mock.patch.object(StateMachine, "snapshot", _dump)],
     "a version that goes back": lambda: [mock.patch.object(Items, "_prevails", lambda *args: True)],
     "a wiped disk that keeps its vote": lambda: [mock.patch.object(SimStore, "initialize", _same_name)],
-    "a new leader that rotates too soon": lambda: [mock.patch.object(ControlServer, "_rotate", _rotate)],
-    "a vote forgotten": lambda: [mock.patch.object(server_module, "RaftNode", Forgetful)],
+    "a new leader that rotates too soon": lambda: [
+        mock.patch.object(ControlServer, "_expire_claims", _rotate)
+    ],
+    "a vote forgotten": lambda: [mock.patch.object(consensus_module, "RaftNode", Forgetful)],
     "a key freed that may have run": lambda: [
         mock.patch.object(OperationTable, "mark_unknown", OperationTable.mark_not_run)
     ],
@@ -171,7 +174,7 @@
     "keys not claimed": lambda: [mock.patch.object(ControlLinks, "claim", _unclaimed)],
     "claims forgotten too soon": lambda: [
         mock.patch.object(mesh, "ROTATE_SLACK", 1.0 - mesh.KEY_WINDOW),
-        mock.patch.object(State, "patience", lambda *_: -mesh.KEY_WINDOW),
+        mock.patch.object(StateMachine, "longest_route_timeout", lambda *_: -mesh.KEY_WINDOW),
     ],
     "a budget without bound": lambda: [
         mock.patch.object(Budget, "spend", lambda *args: Charge(0, True)),
@@ -267,13 +270,13 @@
     return front.table is not None and not front.leaving
 
 
-def _any_result(proposals: Proposals, message: ops.Message) -> None:
+def _any_result(proposals: Proposals, message: ForwardedResult) -> None:
     """Takes the answer for the oldest that waits."""
-    ident = next(iter(proposals.forwarded), message[1])
-    _HEARD(proposals, (message[0], ident, *message[2:]))
+    oldest = next(iter(proposals.forwarded), message.request_id)
+    _ON_RESULT(proposals, structs.replace(message, request_id=oldest))
 
 
-_HEARD = Proposals.heard
+_ON_RESULT = Proposals.on_forwarded_result
 
 
 def _refuses_equal(items: Items, row: Any) -> bool:
@@ -299,7 +302,7 @@
 
 
 def _core(make: type[RaftNode]) -> Callable[[], list[Patch]]:
-    return lambda: [mock.patch.object(server_module, "RaftNode", make)]
+    return lambda: [mock.patch.object(consensus_module, "RaftNode", make)]
 
 
 CUT_OFF, ONE_ORDER = "cut off for twenty seconds", "one number, one order"
@@ -317,7 +320,9 @@
     ONE_ORDER: {
         "both orders confirmed": lambda: [mock.patch.object(Items, "_clashes", lambda *args: False)],
         "a taken order refused": lambda: [mock.patch.object(Items, "_clashes", _refuses_equal)],
-        "a result without its number checked": lambda: [mock.patch.object(Proposals, "heard", _any_result)],
+        "a result without its number checked": lambda: [
+            mock.patch.object(Proposals, "on_forwarded_result", _any_result)
+        ],
     },
     SECOND_LOSS: {
         "a seat kept too long": _core(Clinging),
--- a/rigs/simulation/play.py
+++ b/rigs/simulation/play.py
@@ -12,6 +12,7 @@
 
 from minthitch.mesh.raft import leader as leader_module
 from minthitch.mesh.raft import log as log_module
+from minthitch.mesh.control import consensus as consensus_module
 from minthitch.mesh.control import server as server_module
 from minthitch.mesh.control.server import ControlServer
 from minthitch.mesh.events.events import LOG
@@ -78,8 +79,8 @@
 def _small(chance: random.Random) -> list[Any]:
     """Figures so small that images, and claims that grow old, come in every day."""
     return [
-        mock.patch.object(server_module, "SNAPSHOT_EVERY", chance.choice(IMAGES)),
-        mock.patch.object(server_module, "ROTATE_SLACK", mesh.ROTATE_SLACK),
+        mock.patch.object(consensus_module, "MAX_SNAPSHOT_ENTRIES", chance.choice(IMAGES)),
+        mock.patch.object(server_module, "CLAIM_MARGIN_S", mesh.ROTATE_SLACK),
         mock.patch.object(log_module, "RETAINED_ENTRIES", chance.choice(TAILS)),
         mock.patch.object(leader_module, "CHUNK_BYTES", chance.choice(PIECES)),
     ]
--- a/rigs/simulation/points.py
+++ b/rigs/simulation/points.py
@@ -388,7 +388,7 @@
 
 
 def _votes(control: ControlNode) -> bool:
-    return control.server is not None and control.server.core.name in control.server.core.voters
+    return control.server is not None and control.server.raft.name in control.server.raft.voters
 
 
 def _voting(site: Site, number: int) -> ControlNode:
@@ -481,7 +481,11 @@
 def _until_it_serves(site: Site, control: ControlNode, since: float) -> None:
     """Says once its own state holds the newest that was acknowledged, and it votes."""
     server = control.server
-    if server is not None and server.knows_newest(site.loop.now + control.machine.offset) and _votes(control):
+    if (
+        server is not None
+        and server.is_up_to_date(site.loop.now + control.machine.offset)
+        and _votes(control)
+    ):
         site.say("caught up", control.ip, took=site.loop.now - since)
         return
     site.loop.after(0.02, site.loop.world, _until_it_serves, site, control, since)
--- a/rigs/simulation/size.py
+++ b/rigs/simulation/size.py
@@ -150,11 +150,11 @@
 
     # What lines to other sidecars ask of their host
 
-    def heard(self, connection: Connection, message: ops.Message) -> None:
+    def on_message(self, connection: Connection, message: ops.Message) -> None:
         if message[0] == ops.PEER_FETCH:
             connection.send((ops.PEER_STATE, None, ()), 0)
 
-    def fell(self, connection: Connection) -> None:
+    def on_connection_lost(self, connection: Connection) -> None:
         pass
 
     def answered(self, peer: Peer, message: ops.Message) -> None:
--- a/tests/mesh/test_cli.py
+++ b/tests/mesh/test_cli.py
@@ -22,7 +22,7 @@
 from minthitch.mesh.storage.store import Store
 from minthitch.cli import shown
 from minthitch.cli.commands import main
-from minthitch.mesh.control.state import CLAIM, CONFIG, State, command
+from minthitch.mesh.control.state_machine import CLAIM, CONFIG, StateMachine, pack_command
 from minthitch.mesh.idempotency.claims import ClaimCommand
 from tests.mesh.test_configuration import SETTINGS, first, route, service
 from tests.mesh.test_configuration import call as config
@@ -35,11 +35,11 @@
 ENTRIES = (
     Entry(1, 0, MEMBERS, pack_members(VOTERS)),
     Entry(2, 1, NOOP, b""),
-    Entry(3, 1, DATA, command(CONFIG, first(route()))),
-    Entry(4, 1, DATA, command(CLAIM, MINE.pack())),
-    Entry(5, 2, DATA, command(CLAIM, OTHER.pack())),
-    Entry(6, 2, DATA, command(CONFIG, b"{")),
-    Entry(7, 2, DATA, command(CONFIG, config(drop={"Routes": [{"Name": "r-1", "Ver": "00000009"}]}))),
+    Entry(3, 1, DATA, pack_command(CONFIG, first(route()))),
+    Entry(4, 1, DATA, pack_command(CLAIM, MINE.pack())),
+    Entry(5, 2, DATA, pack_command(CLAIM, OTHER.pack())),
+    Entry(6, 2, DATA, pack_command(CONFIG, b"{")),
+    Entry(7, 2, DATA, pack_command(CONFIG, config(drop={"Routes": [{"Name": "r-1", "Ver": "00000009"}]}))),
 )
 
 
@@ -103,11 +103,11 @@
         self.assertEqual(said("log", self.path, "--from", "6")[1].splitlines(), lines[5:])
 
     def test_items_after_an_image(self) -> None:
-        state = State()
+        state = StateMachine()
         state.apply(3, ENTRIES[2].data)
         self.plant(
             Persist(1, 1, "", 0, ENTRIES[:3], None),
-            Persist(2, 1, "", 0, (), Snapshot(3, 1, VOTERS, state.dump())),
+            Persist(2, 1, "", 0, (), Snapshot(3, 1, VOTERS, state.snapshot())),
         )
         code, out, _ = self.kept("items")
         table = json.loads(out)
--- a/tests/mesh/test_control_beats.py
+++ b/tests/mesh/test_control_beats.py
@@ -7,7 +7,7 @@
 from types import SimpleNamespace
 from typing import Any, cast
 
-from minthitch.mesh.control.handlers import Desk
+from minthitch.mesh.control.handlers import ControlHandlers
 from minthitch.mesh.control.server import ControlServer
 from minthitch.mesh.events.events import LOG
 from minthitch.mesh.http.listener import ClientConnection
@@ -40,7 +40,7 @@
     def setUp(self) -> None:
         self.registry = Registry()
         server = SimpleNamespace(registry=self.registry)
-        self.desk = Desk(cast(ControlServer, server))
+        self.handlers = ControlHandlers(cast(ControlServer, server))
         self.seq = 0
 
     def says(self, life: str, state: str, ip: str = IP) -> None:
@@ -53,7 +53,7 @@
     def asked(self, path: str, body: bytes = b"") -> tuple[int, dict[bytes, bytes]]:
         item, client = Incoming(), Client()
         item.method, item.target, item.body = b"POST", path.encode(), body
-        self.desk.take(cast(ClientConnection, client), item)
+        self.handlers.handle(cast(ClientConnection, client), item)
         self.assertEqual(len(client.answers), 1)
         status, fields, _ = client.answers[0]
         return status, fields
--- a/tests/mesh/test_control_orders.py
+++ b/tests/mesh/test_control_orders.py
@@ -5,8 +5,13 @@
 from typing import Any
 from unittest import mock
 
-from minthitch.mesh.control import orders
-from minthitch.mesh.control.orders import DEADLINE, Order, Orders, patience
+from minthitch.mesh.control import configuration_calls
+from minthitch.mesh.control.configuration_calls import (
+    RESULT_TIMEOUT_S,
+    ConfigurationCalls,
+    PendingCall,
+    call_timeout,
+)
 from minthitch.mesh.raft.actions import Timing
 from tests.mesh.founded import FoundedSite
 from rigs.simulation.mesh import ControlNode, Site
@@ -64,15 +69,15 @@
                 self.assertEqual(len(answers), 2)
                 self.assertIsNone(answers[1][1])
                 slowest = max(slowest, answers[1][0])
-        self.assertGreaterEqual(slowest, DEADLINE, "some did wait")
+        self.assertGreaterEqual(slowest, RESULT_TIMEOUT_S, "some did wait")
         self.assertLess(slowest, CALLER_WAITS - 0.2)
-        self.assertLess(longest_clear, DEADLINE / 2, "a clear answer takes far less")
+        self.assertLess(longest_clear, RESULT_TIMEOUT_S / 2, "a clear answer takes far less")
 
     def test_the_old_patience_is_found(self) -> None:
         """Planted: the callers' second isn't looked at."""
         site = self.site(1)
         answers: list[Answer] = []
-        with mock.patch.object(orders, "DEADLINE", 3.0):
+        with mock.patch.object(configuration_calls, "RESULT_TIMEOUT_S", 3.0):
             follower = self.follower(site)
             self.cut(site, follower, site.leader(), back=False)
             self.ask(site, follower, order(1), answers)
@@ -114,11 +119,11 @@
         ):
             host = mock.Mock()
             host.loop.time.return_value = host.clock.return_value = 100.0
-            host.core.role, host.core.timing = role, Timing(election_timeout=0.25)
-            host.core.leader_state.elected_at = 99.9 if young else 90.0
-            host.core.in_contact_with_quorum.return_value = fresh
+            host.raft.is_leader, host.raft.timing = role == "leader", Timing(election_timeout=0.25)
+            host.raft.leader_state.elected_at = 99.9 if young else 90.0
+            host.raft.in_contact_with_quorum.return_value = fresh
             told: list[Any] = []
-            open_orders = Orders(host)
+            open_orders = ConfigurationCalls(host)
             open_orders.patch(b"{}", told.append)
             self.assertEqual(host.propose.call_count, asked, (role, young, fresh))
             if role == "follower":
@@ -144,11 +149,11 @@
         site = self.site(3)
         leader, answers = site.leader(), list[Answer]()
         assert leader.server is not None
-        last = leader.server.core.last_index
+        last = leader.server.raft.last_index
         for at in range(5):
             self.ask(site, leader, order(1), answers)
             site.loop.run_until(3.0 + at * 1e-6)
-        self.assertEqual(leader.server.core.last_index, last + 1)
+        self.assertEqual(leader.server.raft.last_index, last + 1)
         site.loop.run_until(3.5)
         self.assertEqual([result for _, result in answers], [(200, "", True)] * 5)
         self.ask(site, leader, order(1), answers)
@@ -159,9 +164,9 @@
     def test_one_answer(self) -> None:
         site = self.site(4)
         told: list[Any] = []
-        open_orders: set[Order] = set()
-        first = site.loop.on(site.loop.world, Order, site.loop, open_orders, 0.5, told.append)
-        second = site.loop.on(site.loop.world, Order, site.loop, open_orders, 0.5, told.append)
+        open_orders: set[PendingCall] = set()
+        first = site.loop.on(site.loop.world, PendingCall, site.loop, open_orders, 0.5, told.append)
+        second = site.loop.on(site.loop.world, PendingCall, site.loop, open_orders, 0.5, told.append)
         first((200, "", True))
         first(None)
         site.loop.run_until(4.0)
@@ -169,6 +174,6 @@
         self.assertEqual((told, open_orders), ([(200, "", True), None], set()))
 
     def test_long_bodies_have_longer(self) -> None:
-        self.assertEqual(patience(0), DEADLINE)
-        self.assertLess(patience(256 * 1024), CALLER_WAITS - 0.2)
-        self.assertGreater(patience(4 * 1024 * 1024), 1.5)
+        self.assertEqual(call_timeout(0), RESULT_TIMEOUT_S)
+        self.assertLess(call_timeout(256 * 1024), CALLER_WAITS - 0.2)
+        self.assertGreater(call_timeout(4 * 1024 * 1024), 1.5)
--- a/tests/mesh/test_control_retirement.py
+++ b/tests/mesh/test_control_retirement.py
@@ -6,8 +6,8 @@
 from types import SimpleNamespace
 from typing import Any, cast
 
-from minthitch.mesh.control.handlers import Desk
-from minthitch.mesh.control.retirement import MOST_S, Retirement
+from minthitch.mesh.control.handlers import ControlHandlers
+from minthitch.mesh.control.shutdown import SHUTDOWN_TIMEOUT_S, GracefulShutdown
 from minthitch.mesh.control.server import ControlServer
 from minthitch.mesh.http.listener import ClientConnection
 from minthitch.mesh.raft.actions import Action
@@ -38,39 +38,39 @@
 class Steps(unittest.TestCase):
     def test_a_leader_waits_for_its_successor(self) -> None:
         core = StubCore("leader", "a#0")
-        retirement = Retirement(core)
-        self.assertFalse(retirement.over(1.0, 0), "not begun")
-        retirement.begin(1.0)
-        retirement.begin(1.5)
+        shutdown = GracefulShutdown(core)
+        self.assertFalse(shutdown.is_finished(1.0, 0), "not begun")
+        shutdown.begin(1.0)
+        shutdown.begin(1.5)
         self.assertEqual(core.asked, [1.0])
-        self.assertFalse(retirement.over(1.1, 0))
+        self.assertFalse(shutdown.is_finished(1.1, 0))
         core.role, core.leader = "follower", None
-        self.assertFalse(retirement.over(1.2, 0), "nobody leads yet")
+        self.assertFalse(shutdown.is_finished(1.2, 0), "nobody leads yet")
         core.leader = "b#0"
-        self.assertFalse(retirement.over(1.3, 1), "a call is open")
+        self.assertFalse(shutdown.is_finished(1.3, 1), "a call is open")
         core.dispensable = False
-        self.assertFalse(retirement.over(1.3, 0), "it holds what a majority lacks")
+        self.assertFalse(shutdown.is_finished(1.3, 0), "it holds what a majority lacks")
         core.dispensable = True
-        self.assertTrue(retirement.over(1.3, 0))
+        self.assertTrue(shutdown.is_finished(1.3, 0))
 
     def test_it_does_not_wait_for_ever(self) -> None:
-        retirement = Retirement(StubCore("leader", "a#0"))
-        retirement.begin(1.0)
-        self.assertFalse(retirement.over(1.0 + MOST_S - 0.01, 3))
-        self.assertTrue(retirement.over(1.0 + MOST_S, 3))
+        shutdown = GracefulShutdown(StubCore("leader", "a#0"))
+        shutdown.begin(1.0)
+        self.assertFalse(shutdown.is_finished(1.0 + SHUTDOWN_TIMEOUT_S - 0.01, 3))
+        self.assertTrue(shutdown.is_finished(1.0 + SHUTDOWN_TIMEOUT_S, 3))
 
     def test_a_follower_may_go_at_once(self) -> None:
-        retirement = Retirement(StubCore("follower", "b#0"))
-        retirement.begin(1.0)
-        self.assertTrue(retirement.over(1.0, 0))
+        shutdown = GracefulShutdown(StubCore("follower", "b#0"))
+        shutdown.begin(1.0)
+        self.assertTrue(shutdown.is_finished(1.0, 0))
 
 
 class Refused(unittest.TestCase):
     def test_new_work_is_refused_and_it_is_not_ready(self) -> None:
-        server = SimpleNamespace(core=SimpleNamespace(in_contact_with_quorum=lambda now: True))
-        desk = Desk(cast(ControlServer, server))
-        desk.leaving = True
-        self.assertFalse(desk.wanted(), "which says Connection: close")
+        server = SimpleNamespace(raft=SimpleNamespace(in_contact_with_quorum=lambda now: True))
+        handlers = ControlHandlers(cast(ControlServer, server))
+        handlers.shutting_down = True
+        self.assertFalse(handlers.accepts_requests(), "which says Connection: close")
         for method, path in ((b"POST", b"/Config.Patch"), (b"GET", b"/Config.Fetch"), (b"GET", b"/ready")):
             answers: list[int] = []
             client = SimpleNamespace(
@@ -78,7 +78,7 @@
             )
             item = Incoming()
             item.method, item.target = method, path
-            desk.take(cast(ClientConnection, client), item)
+            handlers.handle(cast(ClientConnection, client), item)
             self.assertEqual(answers, [503], path)
 
 
@@ -90,7 +90,7 @@
             site.loop.run_until(site.loop.now + 0.005)
             for control in site.controls:
                 now = site.loop.now + control.machine.offset
-                if control is not old and control.server is not None and control.server.core.has_lease(now):
+                if control is not old and control.server is not None and control.server.raft.has_lease(now):
                     return site.loop.now - began
         raise AssertionError("nobody leads")
 
@@ -100,10 +100,10 @@
             site = self.site(seed)
             leader = site.leader()
             assert leader.server is not None
-            site.loop.on(leader.machine, leader.server.retire)
+            site.loop.on(leader.machine, leader.server.begin_shutdown)
             handed.append(self.until_led(site, leader))
-            site.loop.run_until(site.loop.now + MOST_S)
-            self.assertTrue(leader.server.retired.is_set())
+            site.loop.run_until(site.loop.now + SHUTDOWN_TIMEOUT_S)
+            self.assertTrue(leader.server.may_end.is_set())
             self.assertFalse(leader.leads)
             site = self.site(seed)
             leader = site.leader()
@@ -126,20 +126,20 @@
                     server: ControlServer = server,
                     answers: list[tuple[Any, bool]] = answers,
                 ) -> None:
-                    answers.append((result, server.retired.is_set()))
+                    answers.append((result, server.may_end.is_set()))
 
                 site.loop.after(0.0, node.machine, server.patch, items(range(3), 1), told)
-                site.loop.after(0.0005, node.machine, server.retire)
-                site.loop.run_until(3.0 + MOST_S)
+                site.loop.after(0.0005, node.machine, server.begin_shutdown)
+                site.loop.run_until(3.0 + SHUTDOWN_TIMEOUT_S)
                 self.assertEqual(answers, [((200, "", True), False)], (seed, to_leader))
-                self.assertTrue(server.retired.is_set())
+                self.assertTrue(server.may_end.is_set())
 
     def test_no_new_order_is_taken_by_the_retiring_leader(self) -> None:
         site = self.site(1)
         leader, answers = site.leader(), list[Any]()
         assert leader.server is not None
-        last = leader.server.core.last_index
-        site.loop.on(leader.machine, leader.server.retire)
+        last = leader.server.raft.last_index
+        site.loop.on(leader.machine, leader.server.begin_shutdown)
         site.loop.after(0.0, leader.machine, leader.server.patch, items(range(3), 1), answers.append)
         site.loop.run_until(3.001)
-        self.assertEqual((answers, leader.server.core.last_index), ([None], last))
+        self.assertEqual((answers, leader.server.raft.last_index), ([None], last))
--- a/tests/mesh/test_control_rotation.py
+++ b/tests/mesh/test_control_rotation.py
@@ -11,7 +11,7 @@
 import msgpack
 
 from minthitch.mesh.control import server
-from minthitch.mesh.control.state import CLAIM, GRANTED, ROTATE, TIME, State, command
+from minthitch.mesh.control.state_machine import CLAIM, GRANTED, ROTATE, TIME, StateMachine, pack_command
 from minthitch.mesh.events.events import LOG
 from minthitch.mesh.idempotency.claims import ClaimCommand
 from minthitch.mesh.idempotency.rotation import RECORD_INTERVAL_S, LeadershipClock
@@ -38,7 +38,7 @@
     def __init__(self, seed: int, make: Callable[[], LeadershipClock], reign_s: float = 30.0) -> None:
         self.random, self.reign_s = random.Random(seed), reign_s
         self.members = [Member(make, self.random.uniform(0.0, 1e5)) for _ in range(3)]
-        self.state, self.applied, self.term, self.now = State(), 0, 0, 0.0
+        self.state, self.applied, self.term, self.now = StateMachine(), 0, 0, 0.0
         self.flying: list[Entry] = []  # in the leader's log behind what is agreed
         self.held: dict[bytes, float] = {}  # keys, and when their claims were appended
         self.forgotten: list[float] = []  # ages
@@ -80,7 +80,7 @@
         while self.flying and self.flying[0][0] <= until:
             appended, kind, body = self.flying.pop(0)
             self.applied += 1
-            self.state.apply(self.applied, command(kind, body))
+            self.state.apply(self.applied, pack_command(kind, body))
             if kind == CLAIM:
                 self.held[msgpack.unpackb(body)[0]] = appended
             elif kind == ROTATE:
@@ -93,9 +93,9 @@
         """As the server does."""
         now, reign, state = self.now + member.offset, member.reign, self.state
         reign.on_leadership(now, self.term)
-        if reign.may_rotate(self.applied, state.passed_ms, NEEDED_MS):
+        if reign.may_rotate(self.applied, state.elapsed_ms, NEEDED_MS):
             reign.on_rotated(now, self.append(ROTATE, b""))
-        elif reign.is_due(now, state.passed_ms, NEEDED_MS):
+        elif reign.is_due(now, state.elapsed_ms, NEEDED_MS):
             self.append(TIME, bytes(msgpack.packb(reign.unrecorded_ms(now))))
             reign.on_recorded(now)
 
@@ -157,7 +157,7 @@
         window = KEY_WINDOW + ROTATE_SLACK
         with (
             mock.patch.object(LOG, "disabled", True),
-            mock.patch.object(server, "ROTATE_SLACK", ROTATE_SLACK),
+            mock.patch.object(server, "CLAIM_MARGIN_S", ROTATE_SLACK),
         ):
             for seed in range(3):
                 site = Site(seed)
@@ -171,7 +171,7 @@
                 while site.loop.now < 60.0:
                     leader = site.leader()
                     assert leader.server is not None
-                    core, claims = leader.server.core, leader.server.state.claims
+                    core, claims = leader.server.raft, leader.server.state.claims
                     if core.has_committed_in_term:
                         leaders.add((leader.ip, core.term))
                         for key in [key for key in granted if claims.find(key) is None]:
@@ -212,19 +212,21 @@
         self.assertEqual(reign.unrecorded_ms(103.0005), 0)
 
     def test_snapshots_and_logs_of_earlier_versions(self) -> None:
-        state = State()
-        state.apply(1, command(CLAIM, ClaimCommand(b"k", "o", b"c", b"", b"").pack()))
-        state.apply(2, command(TIME, msgpack.packb(1500)))
-        state.apply(3, command(TIME, msgpack.packb(500)))
-        self.assertEqual(state.passed_ms, 2000)
-        again = State()
-        again.load(state.dump())
-        self.assertEqual((again.passed_ms, again.rotated, again.dump()), (2000, 0, state.dump()))
+        state = StateMachine()
+        state.apply(1, pack_command(CLAIM, ClaimCommand(b"k", "o", b"c", b"", b"").pack()))
+        state.apply(2, pack_command(TIME, msgpack.packb(1500)))
+        state.apply(3, pack_command(TIME, msgpack.packb(500)))
+        self.assertEqual(state.elapsed_ms, 2000)
+        again = StateMachine()
+        again.restore(state.snapshot())
+        self.assertEqual(
+            (again.elapsed_ms, again.rotation_index, again.snapshot()), (2000, 0, state.snapshot())
+        )
         old = msgpack.packb((state.items.snapshot(), state.claims.to_rows(), 7))
-        again.load(old)
-        self.assertEqual((again.passed_ms, again.rotated, again.claims.count()), (0, 7, 1))
-        again.load(state.dump())
-        again.apply(9, command(ROTATE, b""))
-        self.assertEqual((again.passed_ms, again.rotated, again.claims.count()), (0, 9, 1))
-        again.apply(10, command(ROTATE, b""))
+        again.restore(old)
+        self.assertEqual((again.elapsed_ms, again.rotation_index, again.claims.count()), (0, 7, 1))
+        again.restore(state.snapshot())
+        again.apply(9, pack_command(ROTATE, b""))
+        self.assertEqual((again.elapsed_ms, again.rotation_index, again.claims.count()), (0, 9, 1))
+        again.apply(10, pack_command(ROTATE, b""))
         self.assertEqual(again.claims.count(), 0)
--- a/tests/mesh/test_control_snapshots.py
+++ b/tests/mesh/test_control_snapshots.py
@@ -14,9 +14,16 @@
 from typing import Any, cast
 from unittest import mock
 
-from minthitch.mesh.control import snapshots, state
-from minthitch.mesh.control.snapshots import LOG_BYTES, MAP_SHARE, STAGGER, Schedule, Snapshots, share_of
-from minthitch.mesh.control.state import CLAIM, CONFIG, State, command
+from minthitch.mesh.control import snapshots, state_machine
+from minthitch.mesh.control.snapshots import (
+    FILE_DIVISOR,
+    LOG_BYTES,
+    STAGGER,
+    SnapshotSchedule,
+    SnapshotTaker,
+    stagger_fraction,
+)
+from minthitch.mesh.control.state_machine import CLAIM, CONFIG, StateMachine, pack_command
 from minthitch.mesh.events.events import LOG
 from minthitch.mesh.idempotency.claims import Claim, ClaimCommand
 from minthitch.mesh.raft.actions import Action, Apply, Persist, Timing
@@ -50,12 +57,12 @@
     """One member with all that a server puts around it, each write done at once."""
 
     def __init__(self, store: Store) -> None:
-        self.store, self.state, self.turns = store, State(), Turns()
+        self.store, self.state, self.turns = store, StateMachine(), Turns()
         store.initialize("0")
         self.core = RaftNode("10.0.0.1#0", None, ("10.0.0.1#0",), Timing(), 1, 0.0)
-        schedule = Schedule("10.0.0.1", FILE, 0, 0)
+        schedule = SnapshotSchedule("10.0.0.1", FILE, 0, 0)
         loop = cast(asyncio.AbstractEventLoop, self.turns)
-        self.snapshots = Snapshots(loop, self.state, schedule, self._take)
+        self.snapshots = SnapshotTaker(loop, self.state, schedule, self._take)
         self.taken: list[int] = []
         self.in_memory = 0
         self.act(self.core.drain())
@@ -73,14 +80,14 @@
                 entry = action.entry
                 if entry.kind == DATA:
                     self.state.apply(entry.index, entry.data)
-                self.snapshots.applied(entry.index, len(entry.data), EVERY)
+                self.snapshots.on_applied(entry.index, len(entry.data), EVERY)
 
     def _take(self, index: int, data: bytes) -> None:
         self.taken.append(index)
         self.act(self.core.compact(index, data))
 
     def change(self, body: bytes) -> None:
-        assert self.core.propose(0.0, command(CONFIG, body)) is not None
+        assert self.core.propose(0.0, pack_command(CONFIG, body)) is not None
         self.act(self.core.drain())
         self.in_memory = max(self.in_memory, sum(len(e.data) for e in self.core.log.entries))
         self.turns.run()
@@ -124,32 +131,32 @@
 
     def test_by_entries_alone_is_found(self) -> None:
         """Planted: bytes don't count."""
-        with mock.patch.object(Schedule, "applied", lambda *_: None):
+        with mock.patch.object(SnapshotSchedule, "on_applied", lambda *_: None):
             lone, _ = self.run_changes(100, 196_000)
         self.assertGreater(lone.in_memory, LOG_BYTES * (1 + STAGGER) + MB)
 
 
 class When(unittest.TestCase):
     def test_a_large_state_is_written_less_often(self) -> None:
-        schedule = Schedule("a", FILE, 0, 20 * MB)
-        schedule.applied(19 * MB)
-        self.assertFalse(schedule.due(1, EVERY))
-        schedule.applied(12 * MB)
-        self.assertTrue(schedule.due(1, EVERY))
+        schedule = SnapshotSchedule("a", FILE, 0, 20 * MB)
+        schedule.on_applied(19 * MB)
+        self.assertFalse(schedule.is_due(1, EVERY))
+        schedule.on_applied(12 * MB)
+        self.assertTrue(schedule.is_due(1, EVERY))
 
     def test_a_small_file_is_not_filled_by_the_log(self) -> None:
         for size in (0, 2 * MB, 60 * MB):
-            schedule = Schedule("a", 11 * MB, 0, size)
-            schedule.applied(int(11 * MB / MAP_SHARE * (1 + STAGGER)) + 1)
-            self.assertTrue(schedule.due(1, EVERY))
+            schedule = SnapshotSchedule("a", 11 * MB, 0, size)
+            schedule.on_applied(int(11 * MB / FILE_DIVISOR * (1 + STAGGER)) + 1)
+            self.assertTrue(schedule.is_due(1, EVERY))
 
     def test_members_take_turns(self) -> None:
         names = [f"10.0.{zone}.1" for zone in range(5)]
-        self.assertEqual(len({round(share_of(name), 3) for name in names}), 5)
+        self.assertEqual(len({round(stagger_fraction(name), 3) for name in names}), 5)
         at = []
         for name in names:
-            schedule = Schedule(name, FILE, 0, 0)
-            at.append(next(n for n in range(EVERY, 3 * EVERY) if schedule.due(n, EVERY)))
+            schedule = SnapshotSchedule(name, FILE, 0, 0)
+            at.append(next(n for n in range(EVERY, 3 * EVERY) if schedule.is_due(n, EVERY)))
         self.assertEqual(len(set(at)), 5)
         self.assertTrue(EVERY <= min(at) <= max(at) <= EVERY * (1 + STAGGER) + 1)
 
@@ -168,7 +175,7 @@
             leader = site.leader()
             node = leader if seed % 2 else next(c for c in site.controls if not c.leads)
             assert leader.server is not None and node.server is not None and node.writer is not None
-            with mock.patch.object(snapshots, "WORTH_BYTES", 5_000):
+            with mock.patch.object(snapshots, "MIN_EARLY_BYTES", 5_000):
                 for version in range(1, 41):
                     if version == 20:
                         node.disk.full = True
@@ -182,47 +189,47 @@
             assert saved is not None
             self.assertGreater(offered.index, saved.snapshot.index)
             self.assertLessEqual(offered.index, saved.entries[-1].index)
-            again = State()
-            again.load(offered.data)
+            again = StateMachine()
+            again.restore(offered.data)
             self.assertGreater(again.items.index, 0)
 
     def test_a_short_log_is_not_worth_a_snapshot(self) -> None:
         turns = Turns()
         loop = cast(asyncio.AbstractEventLoop, turns)
-        taking = Snapshots(loop, State(), Schedule("a", FILE, 0, 3 * MB), lambda *_: None)
-        taking.applied(1, 2 * MB, EVERY)
-        taking.hurry(1)
-        self.assertIsNone(taking.step)
-        taking.applied(2, 2 * MB, EVERY)
-        taking.hurry(2)
-        self.assertIsNotNone(taking.step)
+        taking = SnapshotTaker(loop, StateMachine(), SnapshotSchedule("a", FILE, 0, 3 * MB), lambda *_: None)
+        taking.on_applied(1, 2 * MB, EVERY)
+        taking.take_early(1)
+        self.assertIsNone(taking.next_step)
+        taking.on_applied(2, 2 * MB, EVERY)
+        taking.take_early(2)
+        self.assertIsNotNone(taking.next_step)
 
 
 class Steps(Quiet):
-    def state(self, claims: int) -> State:
-        full = State()
+    def state(self, claims: int) -> StateMachine:
+        full = StateMachine()
         for n in range(claims):
             row = Claim("10.0.0.9/1", n.to_bytes(16, "big"), bytes(32))
             full.claims.generations[n % 2][n.to_bytes(8, "big")] = row
-        full.rotated = 7
+        full.rotation_index = 7
         return full
 
     def test_the_same_bytes_as_in_one_piece(self) -> None:
-        for claims in (0, 3, state.STEP_ROWS, state.STEP_ROWS + 1, 5_000):
+        for claims in (0, 3, state_machine.STEP_ROWS, state_machine.STEP_ROWS + 1, 5_000):
             full = self.state(claims)
-            self.assertEqual(b"".join(full.dump_steps()), full.dump())
+            self.assertEqual(b"".join(full.snapshot_steps()), full.snapshot())
 
     def test_what_is_applied_meanwhile_is_not_in_it(self) -> None:
         full = self.state(2_000)
-        whole, steps = full.dump(), full.dump_steps()
+        whole, steps = full.snapshot(), full.snapshot_steps()
         parts = [next(steps)]
-        full.apply(9, command(CLAIM, ClaimCommand(b"key", "o", b"c", b"d", b"").pack()))
-        full.apply(10, command(CONFIG, long_item(1, 10)))
+        full.apply(9, pack_command(CLAIM, ClaimCommand(b"key", "o", b"c", b"d", b"").pack()))
+        full.apply(10, pack_command(CONFIG, long_item(1, 10)))
         full.claims.rotate()
         self.assertEqual(b"".join([*parts, *steps]), whole)
 
     def test_no_step_of_the_largest_table_is_long(self) -> None:
-        steps = self.state(150_000).dump_steps()
+        steps = self.state(150_000).snapshot_steps()
         took: list[float] = []
         while True:
             began = time.thread_time()
@@ -234,18 +241,18 @@
 
     def test_one_at_a_time_and_none_after_a_leaders_snapshot(self) -> None:
         turns, done = Turns(), list[int]()
-        schedule = Schedule("a", FILE, 0, 0)
+        schedule = SnapshotSchedule("a", FILE, 0, 0)
         loop = cast(asyncio.AbstractEventLoop, turns)
-        taking = Snapshots(loop, self.state(2_000), schedule, lambda index, data: done.append(index))
+        taking = SnapshotTaker(loop, self.state(2_000), schedule, lambda index, data: done.append(index))
         with mock.patch.object(snapshots, "LOG_BYTES", 100):
-            taking.applied(1, 200, EVERY)
-            taking.applied(2, 200, EVERY)
+            taking.on_applied(1, 200, EVERY)
+            taking.on_applied(2, 200, EVERY)
             self.assertEqual(len(turns.due), 1)
-            step = taking.step
-            taking.restored(5, 10)
+            step = taking.next_step
+            taking.on_restored(5, 10)
             cast(mock.Mock, step).cancel.assert_called_once()
-            self.assertEqual((schedule.index, schedule.bytes, taking.step), (5, 0, None))
+            self.assertEqual((schedule.index, schedule.applied_bytes, taking.next_step), (5, 0, None))
             turns.due.clear()
-            taking.applied(6, 200, EVERY)
+            taking.on_applied(6, 200, EVERY)
             turns.run()
         self.assertEqual(done, [6])
--- a/tests/mesh/test_delivery_links.py
+++ b/tests/mesh/test_delivery_links.py
@@ -136,7 +136,7 @@
         self.walk, self.loop = walk, walk.loop
         self.jobs: set[tuple[Connection, int]] = set()
 
-    def heard(self, connection: Connection, message: ops.Message) -> None:
+    def on_message(self, connection: Connection, message: ops.Message) -> None:
         if message[0] == ops.CANCEL:
             self.jobs.discard((connection, message[1]))
         elif message[0] == ops.OFFER:
@@ -169,7 +169,7 @@
             self.jobs.discard((connection, ident))
             self.walk.reply(connection, answer)
 
-    def fell(self, connection: Connection) -> None:
+    def on_connection_lost(self, connection: Connection) -> None:
         self.jobs = {job for job in self.jobs if job[0] is not connection}
 
 
@@ -391,7 +391,7 @@
     def test_an_answer_of_an_older_connection_ends_no_call(self) -> None:
         asker, link = self.walk.machines[ASKER], self.walk.copies.peer(ANSWERERS[0]).link
         older = self.walk.loop.on(asker, self._connection, link)
-        self.walk.loop.on(asker, link.heard, older, self.answer)
+        self.walk.loop.on(asker, link.on_message, older, self.answer)
         self.assertEqual(self.call.end, "")
 
     def _connection(self, link: Link) -> Connection:
@@ -451,7 +451,7 @@
     def test_answers_of_an_older_connection_taken_for_new_calls(self) -> None:
         """They go out on the newest connection of their asker, where numbers are used again."""
         newest: dict[str, Connection] = {}
-        real = Answerer.heard
+        real = Answerer.on_message
 
         def heard(answerer: Answerer, connection: Connection, message: ops.Message) -> None:
             newest[connection.name] = connection
@@ -461,8 +461,8 @@
             say_on(newest[connection.name], message)
 
         with (
-            mock.patch.object(Answerer, "heard", heard),
-            mock.patch.object(Answerer, "fell", lambda answerer, connection: None),
+            mock.patch.object(Answerer, "on_message", heard),
+            mock.patch.object(Answerer, "on_connection_lost", lambda answerer, connection: None),
             mock.patch.object(Walk, "reply", staticmethod(reply)),
             mock.patch.object(Walk, "_cancel", lambda walk: None),  # it is found without these, too
             mock.patch.object(Copies, "number", lowest_free),
--- a/tests/mesh/test_events.py
+++ b/tests/mesh/test_events.py
@@ -36,7 +36,11 @@
         said: dict[str, set[str]] = {}
         for path in SOURCES.rglob("*.py"):
             for node in ast.walk(ast.parse(path.read_text())):
-                if isinstance(node, ast.Call) and isinstance(node.func, ast.Name) and node.func.id == "say":
+                if (
+                    isinstance(node, ast.Call)
+                    and isinstance(node.func, ast.Name)
+                    and node.func.id == "log_event"
+                ):
                     event = node.args[0]
                     assert isinstance(event, ast.Attribute)
                     values = {str(keyword.arg) for keyword in node.keywords}
--- a/tests/mesh/test_explain.py
+++ b/tests/mesh/test_explain.py
@@ -140,7 +140,7 @@
         client = SimpleNamespace(token=1, respond=lambda token, status, fields, body: said.append(status))
         item = Incoming()
         item.method, item.target = method, target
-        counter.take(cast(ClientConnection, client), item)
+        counter.handle(cast(ClientConnection, client), item)
         return said[0]
 
     def test_what_tracing_loads_is_nothing_of_peoples_commands(self) -> None:
--- a/tests/mesh/test_golden.py
+++ b/tests/mesh/test_golden.py
@@ -13,7 +13,7 @@
 
 from minthitch.mesh.configuration.boot import read
 from minthitch.mesh.configuration.items import Replica
-from minthitch.mesh.control.state import State
+from minthitch.mesh.control.state_machine import StateMachine
 from minthitch.mesh.events.events import Event
 from minthitch.mesh.raft.log import DATA, NOOP, Entry
 from minthitch.mesh.storage.store import Condition, Store
@@ -59,14 +59,14 @@
 
     def test_a_snapshot_of_the_state_is_restored_and_written_again_as_the_same_bytes(self) -> None:
         data = (GOLDEN / "state.snapshot").read_bytes()
-        state = State()
-        state.load(data)
+        state = StateMachine()
+        state.restore(data)
         self.assertEqual(state.items.fetch(), CONFIGURATION)
-        self.assertEqual((state.rotated, state.passed_ms), (5, 2000))
+        self.assertEqual((state.rotation_index, state.elapsed_ms), (5, 2000))
         newest, older = state.claims.generations
         self.assertEqual(tuple(newest[b"newer-key"]), ("10.1.0.9/8", b"claim-2", b"digest-2"))
         self.assertEqual(tuple(older[b"older-key"]), ("10.1.0.8/7", b"claim-1", b"digest-1"))
-        self.assertEqual(state.dump(), data)
+        self.assertEqual(state.snapshot(), data)
 
     def test_a_delta_of_the_configuration_is_merged_and_sent_as_the_same_bytes(self) -> None:
         data = (GOLDEN / "configuration.delta").read_bytes()
--- a/tests/mesh/test_hard.py
+++ b/tests/mesh/test_hard.py
@@ -135,7 +135,7 @@
             Fault(3.2, "wipe-control", 0, 0.5), Fault(second, "wipe-control", 1, 0.5), seconds=9.0
         )
         self.assertEqual(len(self.struck(played, "wipe-control")), 2)
-        names = {control.server.core.name for control in played.site.controls if control.server is not None}
+        names = {control.server.raft.name for control in played.site.controls if control.server is not None}
         self.assertEqual(sum(name.endswith("#0") for name in names), 1)
 
     def test_wiped_machine_is_back_before_its_removal_is_agreed(self) -> None:
--- a/tests/mesh/test_http.py
+++ b/tests/mesh/test_http.py
@@ -168,23 +168,23 @@
     def __init__(self) -> None:
         self.taken: list[Incoming] = []
 
-    def take(self, client: ClientConnection, item: Incoming) -> None:
-        self.taken.append(item)
-        client.respond(client.token, 200, (), item.body)
+    def handle(self, client: ClientConnection, request: Incoming) -> None:
+        self.taken.append(request)
+        client.respond(client.token, 200, (), request.body)
 
-    def gone(self, client: ClientConnection) -> None:
+    def on_client_lost(self, client: ClientConnection) -> None:
         pass
 
-    def wanted(self) -> bool:
+    def accepts_requests(self) -> bool:
         return True
 
-    def header_bytes(self) -> int:
+    def max_header_bytes(self) -> int:
         return 2_000
 
-    def body_bytes(self) -> int:
+    def max_body_bytes(self) -> int:
         return 100_000
 
-    def note(self, text: str) -> None:
+    def log_client_error(self, text: str) -> None:
         pass
 
 
@@ -204,10 +204,10 @@
 
     async def test_an_answer_of_a_request_that_is_over_is_written_to_no_other(self) -> None:
         class Late(Taker):
-            def take(self, client: ClientConnection, item: Incoming) -> None:
-                self.taken.append(item)
+            def handle(self, client: ClientConnection, request: Incoming) -> None:
+                self.taken.append(request)
                 client.respond(client.token - 1, 200, (), b"another's")
-                client.respond(client.token, 200, (), item.target)
+                client.respond(client.token, 200, (), request.target)
                 client.respond(client.token, 200, (), b"twice")
 
         listener = Listener(Late(), 16, 0)
--- a/tests/mesh/test_keys.py
+++ b/tests/mesh/test_keys.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from minthitch.mesh.control.state import CLAIM, State, command
+from minthitch.mesh.control.state_machine import CLAIM, StateMachine, pack_command
 from minthitch.mesh.configuration.errors import REPLIES, ErrorKind
 from minthitch.mesh.idempotency.operations import Operation
 from minthitch.mesh.idempotency.claims import ClaimCommand
@@ -28,8 +28,9 @@
 
         def apply() -> None:
             self.world.index += 1
-            data = command(CLAIM, ClaimCommand(key, owner, claim, digest, over).pack())
+            data = pack_command(CLAIM, ClaimCommand(key, owner, claim, digest, over).pack())
             result = self.world.state.apply(self.world.index, data)
+            assert result is not None
             lost = self.world.rng.random() < self.world.losses
             self.world.later(done, *(("no leader", "", b"", b"") if lost else result))
 
@@ -80,7 +81,7 @@
 
     def __init__(self, seed: int, losses: float = 0.1) -> None:
         self.rng, self.losses, self.index = random.Random(seed), losses, 0
-        self.state = State()
+        self.state = StateMachine()
         self.todo: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
         self.runs: dict[bytes, list[bytes]] = {}
         self.keys = {f"v{n}/1": self._keys(f"v{n}/1") for n in range(3)}
@@ -195,11 +196,11 @@
         self.assertEqual(second, (422, b""))
 
     def test_the_image_of_the_agreed_state_holds_claims_and_configuration(self) -> None:
-        state, copy = State(), State()
-        state.apply(1, command(CLAIM, ClaimCommand(b"k" * 16, "v", b"c", b"d", b"").pack()))
-        copy.load(state.dump())
+        state, copy = StateMachine(), StateMachine()
+        state.apply(1, pack_command(CLAIM, ClaimCommand(b"k" * 16, "v", b"c", b"d", b"").pack()))
+        copy.restore(state.snapshot())
         self.assertEqual(
-            copy.apply(2, command(CLAIM, ClaimCommand(b"k" * 16, "w", b"x", b"d", b"").pack())),
+            copy.apply(2, pack_command(CLAIM, ClaimCommand(b"k" * 16, "w", b"x", b"d", b"").pack())),
             ("held", "v", b"c", b"d"),
         )
 
--- a/tests/mesh/test_pages_beats.py
+++ b/tests/mesh/test_pages_beats.py
@@ -78,9 +78,9 @@
         client = Client()
         house = House(client)
         counter = Counter(cast(Any, SimpleNamespace(admission=house)))
-        counter.note = lambda text: None  # type: ignore[method-assign]
+        counter.log_client_error = lambda text: None  # type: ignore[method-assign]
         item = SimpleNamespace(method=b"POST", target=path, body=sent)
-        counter.take(cast(Any, client), cast(Any, item))
+        counter.handle(cast(Any, client), cast(Any, item))
         return client.answers, house.heard
 
     def test_each_call_of_a_server_is_acted_on_and_then_answered_at_once_and_in_short(self) -> None:
--- a/tests/mesh/test_pages_ends.py
+++ b/tests/mesh/test_pages_ends.py
@@ -11,31 +11,31 @@
 ANSWER = 8_000_000  # bytes: more than the sockets' buffers hold
 
 
-class Desk:
+class Handler:
     """Answers everything at once, and at length."""
 
-    def take(self, client: ClientConnection, item: Any) -> None:
+    def handle(self, client: ClientConnection, request: Any) -> None:
         client.respond(client.token, 200, (), b"x" * ANSWER)
 
-    def gone(self, client: ClientConnection) -> None:
+    def on_client_lost(self, client: ClientConnection) -> None:
         pass
 
-    def wanted(self) -> bool:
+    def accepts_requests(self) -> bool:
         return True
 
-    def header_bytes(self) -> int:
+    def max_header_bytes(self) -> int:
         return 16 * 1024
 
-    def body_bytes(self) -> int:
+    def max_body_bytes(self) -> int:
         return 1024 * 1024
 
-    def note(self, text: str) -> None:
+    def log_client_error(self, text: str) -> None:
         pass
 
 
 class Ends(unittest.IsolatedAsyncioTestCase):
     async def test_an_answer_counts_until_its_last_byte_has_left(self) -> None:
-        listener = Listener(Desk(), 10, 0)
+        listener = Listener(Handler(), 10, 0)
         await listener.open("127.0.0.1:0")
         assert listener.listener is not None
         address = listener.listener.sockets[0].getsockname()
--- a/tests/mesh/test_pages_seeds.py
+++ b/tests/mesh/test_pages_seeds.py
@@ -66,8 +66,8 @@
         for seed in range(3):
             with self.subTest(seed=seed), mock.patch.object(RaftNode, "__init__", hasty):
                 played = self.played(seed, replace)
-                voters = played.site.leader().server.core.voters  # type: ignore[union-attr]
-                self.assertIn(spares[-1].server.core.name, voters)  # type: ignore[union-attr]
+                voters = played.site.leader().server.raft.voters  # type: ignore[union-attr]
+                self.assertIn(spares[-1].server.raft.name, voters)  # type: ignore[union-attr]
 
     def played(self, seed: int, deed: Any) -> Played:
         return play(seed, [], CALM._replace(deeds=((3.0, deed),)))
--- a/tests/mesh/test_size.py
+++ b/tests/mesh/test_size.py
@@ -7,8 +7,8 @@
 from collections import Counter
 from unittest import mock
 
-from minthitch.mesh.control import pushes
-from minthitch.mesh.control.pushes import GATHER
+from minthitch.mesh.control import sidecar_updates
+from minthitch.mesh.control.sidecar_updates import BATCH_INTERVAL_S
 from minthitch.mesh.transport import compression, ops
 from minthitch.mesh.transport.connection import DEAD
 from minthitch.mesh.transport.link import STALE
@@ -109,7 +109,7 @@
         crowd = self.crowd()
         self.assertEqual(self.listed(crowd), {COUNT})
         gathered = crowd.spent().words_out
-        with mock.patch.object(pushes, "GATHER", 0.0):
+        with mock.patch.object(sidecar_updates, "BATCH_INTERVAL_S", 0.0):
             self.assertGreater(self.crowd().spent().words_out, 1.25 * gathered)
 
     def test_one_state_is_one_word_each_packed_once_and_at_once(self) -> None:
@@ -128,7 +128,7 @@
         crowd.drain()
         crowd.loop.run_until(crowd.loop.now + 1.0)
         self.assertEqual(len(crowd.heard), COUNT)
-        self.assertLess(crowd.delays()[-1], GATHER + WAYS)
+        self.assertLess(crowd.delays()[-1], BATCH_INTERVAL_S + WAYS)
 
     def test_who_says_nothing_new_stays_and_who_is_gone_goes(self) -> None:
         crowd = self.crowd()
