--- a/minthitch/record/sql.py
+++ b/minthitch/record/sql.py
@@ -12,13 +12,28 @@
 from typing import Any
 
 from minthitch.record.model import (
-    Attempted, Claim, Done, Fenced, Held, Look, Missing, Record, Result, Settle, State, Word, Write)
+    Attempted,
+    Claim,
+    Done,
+    Fenced,
+    Held,
+    Look,
+    Missing,
+    Record,
+    Result,
+    Settle,
+    State,
+    Word,
+    Write,
+)
 from minthitch.record.store import CommitUnknown, StoreError
 
 KEEP_TOKENS = 1_000  # batches whose tokens are kept: a lost answer is asked for at once
 PAGE = 500  # records read at a time by an export
-COLUMNS = ("identity, cls, digest, node, epoch, turn, state, server, attempts, made_at, ended_at, reason, "
-           "answer_digest, answer, content_type, word, why")
+COLUMNS = (
+    "identity, cls, digest, node, epoch, turn, state, server, attempts, made_at, ended_at, reason, "
+    "answer_digest, answer, content_type, word, why"
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,22 +51,25 @@
 def migrations(dialect: Dialect) -> tuple[tuple[str, ...], ...]:
     """The schema's versions, each the statements that lead to it from the one before."""
     blob, number = dialect.blob, dialect.number
-    return ((
-        f"CREATE TABLE epochs (epoch {dialect.serial}, node TEXT NOT NULL, started {number} NOT NULL, "
-        f"lease_until {number} NOT NULL, fenced {number} NOT NULL DEFAULT 0)",
-        f"CREATE TABLE records (identity TEXT NOT NULL PRIMARY KEY, cls TEXT NOT NULL, "
-        f"digest {blob} NOT NULL, node TEXT NOT NULL, epoch {number} NOT NULL, "
-        f"turn {number} NOT NULL, state TEXT NOT NULL, server TEXT NOT NULL, "
-        f"attempts {number} NOT NULL, made_at {number} NOT NULL, "
-        f"ended_at {number} NOT NULL, reason TEXT NOT NULL, answer_digest {blob} NOT NULL, answer {blob}, "
-        f"content_type {blob} NOT NULL, word TEXT, why TEXT NOT NULL)",
-        "CREATE INDEX records_open ON records (epoch) WHERE state = 'intent'",
-        "CREATE INDEX records_ended ON records (ended_at)",
-        f"CREATE TABLE conflicts (identity TEXT NOT NULL, epoch {number} NOT NULL, state TEXT NOT NULL, "
-        f"answer_digest {blob} NOT NULL, at {number} NOT NULL, kind TEXT NOT NULL)",
-        "CREATE INDEX conflicts_of ON conflicts (identity)",
-        f"CREATE TABLE batches (number {dialect.serial}, token TEXT NOT NULL UNIQUE)",
-    ),)
+    return (
+        (
+            f"CREATE TABLE epochs (epoch {dialect.serial}, node TEXT NOT NULL, started {number} NOT NULL, "
+            f"lease_until {number} NOT NULL, fenced {number} NOT NULL DEFAULT 0)",
+            f"CREATE TABLE records (identity TEXT NOT NULL PRIMARY KEY, cls TEXT NOT NULL, "
+            f"digest {blob} NOT NULL, node TEXT NOT NULL, epoch {number} NOT NULL, "
+            f"turn {number} NOT NULL, state TEXT NOT NULL, server TEXT NOT NULL, "
+            f"attempts {number} NOT NULL, made_at {number} NOT NULL, "
+            f"ended_at {number} NOT NULL, reason TEXT NOT NULL, answer_digest {blob} NOT NULL, "
+            f"answer {blob}, "
+            f"content_type {blob} NOT NULL, word TEXT, why TEXT NOT NULL)",
+            "CREATE INDEX records_open ON records (epoch) WHERE state = 'intent'",
+            "CREATE INDEX records_ended ON records (ended_at)",
+            f"CREATE TABLE conflicts (identity TEXT NOT NULL, epoch {number} NOT NULL, state TEXT NOT NULL, "
+            f"answer_digest {blob} NOT NULL, at {number} NOT NULL, kind TEXT NOT NULL)",
+            "CREATE INDEX conflicts_of ON conflicts (identity)",
+            f"CREATE TABLE batches (number {dialect.serial}, token TEXT NOT NULL UNIQUE)",
+        ),
+    )
 
 
 class SqlStore(ABC):
@@ -146,8 +164,11 @@
             older = self._run("SELECT epoch FROM epochs WHERE node = ? AND fenced = 0", node)
             for (epoch,) in older:
                 self._fence(epoch, "its node started anew")
-            rows = self._run("INSERT INTO epochs (node, started, lease_until) VALUES (?, NOW, NOW + ?) "
-                             "RETURNING epoch", node, lease)
+            rows = self._run(
+                "INSERT INTO epochs (node, started, lease_until) VALUES (?, NOW, NOW + ?) RETURNING epoch",
+                node,
+                lease,
+            )
         return int(rows[0][0])
 
     def take_over(self) -> list[Record]:
@@ -159,8 +180,12 @@
         """Danger: two that take over at once must not both count it; the condition lets one through."""
         if not self._changed("UPDATE epochs SET fenced = 1 WHERE epoch = ? AND fenced = 0", epoch):
             return []
-        rows = self._run(f"UPDATE records SET state = 'doubt', reason = ?, ended_at = NOW "
-                         f"WHERE epoch = ? AND state = 'intent' RETURNING {COLUMNS}", reason, epoch)
+        rows = self._run(
+            f"UPDATE records SET state = 'doubt', reason = ?, ended_at = NOW "
+            f"WHERE epoch = ? AND state = 'intent' RETURNING {COLUMNS}",
+            reason,
+            epoch,
+        )
         return [_record(row) for row in rows]
 
     # Writes -------------------------------------------------------------------------------------
@@ -200,9 +225,13 @@
         if isinstance(write, Claim):
             return self._claim(write)
         if isinstance(write, Attempted):
-            done = self._changed("UPDATE records SET server = ?, attempts = attempts + 1 "
-                                 "WHERE identity = ? AND epoch = ? AND state = 'intent'",
-                                 write.server, write.identity, write.epoch)
+            done = self._changed(
+                "UPDATE records SET server = ?, attempts = attempts + 1 "
+                "WHERE identity = ? AND epoch = ? AND state = 'intent'",
+                write.server,
+                write.identity,
+                write.epoch,
+            )
             return Done() if done else self._as_it_is(write.identity)
         if isinstance(write, Settle):
             return self._settle(write)
@@ -221,16 +250,31 @@
             "server = excluded.server, attempts = 1, made_at = excluded.made_at, ended_at = 0, reason = '', "
             "answer_digest = excluded.answer_digest, answer = NULL, content_type = excluded.content_type, "
             "word = NULL, why = '' WHERE records.state = 'never-ran' OR records.word = 'never-ran'",
-            write.identity, write.cls, write.digest, write.node, write.epoch, write.server, write.at, b"",
-            b"")
+            write.identity,
+            write.cls,
+            write.digest,
+            write.node,
+            write.epoch,
+            write.server,
+            write.at,
+            b"",
+            b"",
+        )
         return Done() if done else self._as_it_is(write.identity)
 
     def _settle(self, write: Settle) -> Result:
         done = self._changed(
             "UPDATE records SET state = ?, ended_at = ?, reason = ?, answer_digest = ?, answer = ?, "
             "content_type = ? WHERE identity = ? AND epoch = ? AND state = 'intent'",
-            write.state.value, write.at, write.reason, write.answer_digest, write.answer, write.content_type,
-            write.identity, write.epoch)
+            write.state.value,
+            write.at,
+            write.reason,
+            write.answer_digest,
+            write.answer,
+            write.content_type,
+            write.identity,
+            write.epoch,
+        )
         if done:
             return Done()
         found = self.show(write.identity)
@@ -243,9 +287,16 @@
         return Held(found)
 
     def _conflict(self, write: Settle, kind: str) -> None:
-        self._run("INSERT INTO conflicts (identity, epoch, state, answer_digest, at, kind) "
-                  "VALUES (?, ?, ?, ?, ?, ?)", write.identity, write.epoch, write.state.value,
-                  write.answer_digest, write.at, kind)
+        self._run(
+            "INSERT INTO conflicts (identity, epoch, state, answer_digest, at, kind) "
+            "VALUES (?, ?, ?, ?, ?, ?)",
+            write.identity,
+            write.epoch,
+            write.state.value,
+            write.answer_digest,
+            write.at,
+            kind,
+        )
 
     def landed(self, token: str) -> bool:
         return bool(self._run("SELECT 1 FROM batches WHERE token = ?", token))
@@ -257,15 +308,21 @@
         return _record(rows[0]) if rows else None
 
     def doubtful(self) -> list[Record]:
-        rows = self._run(f"SELECT {COLUMNS} FROM records WHERE state IN ('doubt', 'failed') AND word IS NULL "
-                         "ORDER BY made_at, identity")
+        rows = self._run(
+            f"SELECT {COLUMNS} FROM records WHERE state IN ('doubt', 'failed') AND word IS NULL "
+            "ORDER BY made_at, identity"
+        )
         return [_record(row) for row in rows]
 
     def resolve(self, identity: str, word: Word, why: str) -> Record:
         with self._transaction("a resolution"):
-            rows = self._run("UPDATE records SET word = ?, why = ? WHERE identity = ? AND word IS NULL "
-                             f"AND state IN ('doubt', 'failed') RETURNING {COLUMNS}",
-                             word.value, why, identity)
+            rows = self._run(
+                "UPDATE records SET word = ?, why = ? WHERE identity = ? AND word IS NULL "
+                f"AND state IN ('doubt', 'failed') RETURNING {COLUMNS}",
+                word.value,
+                why,
+                identity,
+            )
             found = _record(rows[0]) if rows else self.show(identity)
         if found is None:
             raise StoreError(f"no record of {identity!r}")
@@ -276,15 +333,17 @@
 
     def export(self) -> Iterator[Record]:
         after = ""
-        while rows := self._run(f"SELECT {COLUMNS} FROM records WHERE identity > ? ORDER BY identity LIMIT ?",
-                                after, PAGE):
+        while rows := self._run(
+            f"SELECT {COLUMNS} FROM records WHERE identity > ? ORDER BY identity LIMIT ?", after, PAGE
+        ):
             for row in rows:
                 yield _record(row)
             after = rows[-1][0]
 
     def conflicts(self, identity: str) -> list[str]:
-        rows = self._run("SELECT kind, state, epoch, at FROM conflicts WHERE identity = ? ORDER BY at, kind",
-                         identity)
+        rows = self._run(
+            "SELECT kind, state, epoch, at FROM conflicts WHERE identity = ? ORDER BY at, kind", identity
+        )
         return [f"{kind}: {state} by epoch {epoch} at {at}" for kind, state, epoch, at in rows]
 
     def prune(self, before: int, most: int) -> int:
@@ -296,14 +355,49 @@
             if total > most:
                 count += self._changed(
                     f"DELETE FROM records WHERE identity IN (SELECT identity FROM records WHERE {ended} "
-                    "ORDER BY ended_at LIMIT ?)", total - most)
+                    "ORDER BY ended_at LIMIT ?)",
+                    total - most,
+                )
             self._run("DELETE FROM conflicts WHERE identity NOT IN (SELECT identity FROM records)")
         return count
 
 
 def _record(row: tuple[Any, ...]) -> Record:
-    (identity, cls, digest, node, epoch, turn, state, server, attempts, made_at, ended_at, reason,
-     answer_digest, answer, content_type, word, why) = row
-    return Record(identity, cls, bytes(digest), node, epoch, turn, State(state), server, attempts, made_at,
-                  ended_at, reason, bytes(answer_digest), None if answer is None else bytes(answer),
-                  bytes(content_type), None if word is None else Word(word), why)
+    (
+        identity,
+        cls,
+        digest,
+        node,
+        epoch,
+        turn,
+        state,
+        server,
+        attempts,
+        made_at,
+        ended_at,
+        reason,
+        answer_digest,
+        answer,
+        content_type,
+        word,
+        why,
+    ) = row
+    return Record(
+        identity,
+        cls,
+        bytes(digest),
+        node,
+        epoch,
+        turn,
+        State(state),
+        server,
+        attempts,
+        made_at,
+        ended_at,
+        reason,
+        bytes(answer_digest),
+        None if answer is None else bytes(answer),
+        bytes(content_type),
+        None if word is None else Word(word),
+        why,
+    )
--- a/minthitch/record/sqlite.py
+++ b/minthitch/record/sqlite.py
@@ -13,8 +13,13 @@
 NOT_DONE = (sqlite3.SQLITE_BUSY, sqlite3.SQLITE_FULL, sqlite3.SQLITE_READONLY, sqlite3.SQLITE_CONSTRAINT)
 BUSY_FOR = 2_000  # ms that a lock of another process is waited for
 DIALECT = Dialect(
-    mark="?", now="CAST((julianday('now') - 2440587.5) * 86400000 AS INTEGER)", blob="BLOB", number="INTEGER",
-    serial="INTEGER PRIMARY KEY AUTOINCREMENT", share="")
+    mark="?",
+    now="CAST((julianday('now') - 2440587.5) * 86400000 AS INTEGER)",
+    blob="BLOB",
+    number="INTEGER",
+    serial="INTEGER PRIMARY KEY AUTOINCREMENT",
+    share="",
+)
 
 
 class SqliteStore(SqlStore):
--- a/minthitch/record/writer.py
+++ b/minthitch/record/writer.py
@@ -25,9 +25,14 @@
 class Writer:
     """One store, one thread. `deliver` and `back` are called on that thread."""
 
-    def __init__(self, make: Callable[[], Store], deliver: Callable[[Results], object],
-                 back: Callable[[], object], log: Callable[[str], None] = lambda text: None,
-                 chore: Callable[[Store], None] = lambda store: None) -> None:
+    def __init__(
+        self,
+        make: Callable[[], Store],
+        deliver: Callable[[Results], object],
+        back: Callable[[], object],
+        log: Callable[[str], None] = lambda text: None,
+        chore: Callable[[Store], None] = lambda store: None,
+    ) -> None:
         """`chore` is done on the writer's thread every CHORE_EVERY s, between batches."""
         self.make, self.deliver, self.back, self.log, self.chore = make, deliver, back, log, chore
         self.lock = threading.Condition()
@@ -127,8 +132,9 @@
     def _tell(self, batch: list[tuple[int, Write]], results: list[Result]) -> None:
         self.deliver([(ticket, result) for (ticket, _), result in zip(batch, results, strict=True)])
 
-    def _gone(self, why: str, unknown: list[tuple[int, Write]],
-              token: tuple[str, list[Result]] | None) -> None:
+    def _gone(
+        self, why: str, unknown: list[tuple[int, Write]], token: tuple[str, list[Result]] | None
+    ) -> None:
         """Until the store is back: what comes is told at once; what is unknown waits to be read back."""
         self.away = why
         self.log(f"the store of record is away: {why}")
--- a/minthitch/recovery/asker.py
+++ b/minthitch/recovery/asker.py
@@ -35,6 +35,7 @@
 
 async def ask_all(peers: Sequence[tuple[str, int]], within: float) -> list[Word]:
     """The words of those who answer within so many seconds. Never raises for what a peer does."""
+
     async def one(host: str, port: int) -> Word | None:
         try:
             async with asyncio.timeout(within):
--- a/minthitch/recovery/attach.py
+++ b/minthitch/recovery/attach.py
@@ -52,8 +52,14 @@
     `heard` gives when discovery was last heard, in the clock's ns; 0 for never.
     """
 
-    def __init__(self, engine: Engine, config: RecoveryConfig, node: str, log: Callable[[str], None],
-                 heard: Callable[[], int]) -> None:
+    def __init__(
+        self,
+        engine: Engine,
+        config: RecoveryConfig,
+        node: str,
+        log: Callable[[str], None],
+        heard: Callable[[], int],
+    ) -> None:
         """Reads what is there and takes what is trusted of it. Raises ConfigError."""
         self.engine, self.config, self.node, self.log, self.heard = engine, config, node, log, heard
         self.boot, self.trusted = boot_id(), Trusted()
@@ -108,8 +114,10 @@
         if self.trusted.hosts is not None:
             # Danger: what stopped this node may have stopped them too, and cold ones would be pushed over.
             born = self.engine.clock.wall() // MILLISECOND
-            hosts = tuple(Host(row.name, row.address, row.port, row.zone, row.kind, row.cell, "up",
-                               row.weight, born) for row in self.trusted.hosts)
+            hosts = tuple(
+                Host(row.name, row.address, row.port, row.zone, row.kind, row.cell, "up", row.weight, born)
+                for row in self.trusted.hosts
+            )
             self.engine.listed(Listing(self.trusted.seq, True, hosts), ListKind.CACHED)
 
     # While it runs ------------------------------------------------------------------------------
@@ -135,8 +143,9 @@
         servers = engine.balancer.servers.values()
         warm = sum(server.warmth(now, engine.balancer.settings) >= 1.0 for server in servers)
         reached, self.reached = self.reached, False  # danger: what was reached once may be gone
-        step = self.phases.look(Seen(now, len(servers), warm, counts.sends, sum(counts.served),
-                                     sum(counts.refused), reached))
+        step = self.phases.look(
+            Seen(now, len(servers), warm, counts.sends, sum(counts.served), sum(counts.refused), reached)
+        )
         if step is not None:
             self.log(f"recovery: {step.phase}: {step.why}")
             if step.phase is Phase.LISTED:
@@ -185,8 +194,9 @@
         chosen = engine.random.sample(config.peers, min(len(config.peers), MOST_ASKED))
         words = await ask_all(chosen, config.ask_within / SECOND)
         own = (self.trusted.rate, self.trusted.age or 0) if self.trusted.rate else None
-        heard = believe(words, own, len(chosen), len(config.peers), engine.settings, config.cluster,
-                        self.terms)
+        heard = believe(
+            words, own, len(chosen), len(config.peers), engine.settings, config.cluster, self.terms
+        )
         if self.heard_of is None or heard.rate != self.heard_of.rate:
             self._say_verdicts(heard.verdicts)
         self.heard_of, now = heard, engine.clock.now()
@@ -203,8 +213,14 @@
         elif self.trusted.rate:
             rate_now = self.trusted.rate
             age = (self.trusted.age or 0) + engine.clock.now() - self.started
-        return Word(self.config.cluster, self.node, cold_digest(engine.settings), engine.settings.siblings,
-                    rate_now, age)
+        return Word(
+            self.config.cluster,
+            self.node,
+            cold_digest(engine.settings),
+            engine.settings.siblings,
+            rate_now,
+            age,
+        )
 
     async def _write(self, action: Write) -> None:
         said: Say | None
@@ -222,22 +238,47 @@
         """What is known now."""
         engine, now, up = self.engine, self.engine.clock.now(), time.monotonic_ns()
         wall, fleet, heard = engine.clock.wall(), engine.fleet, self.heard()
-        empty = Snapshot(self.config.cluster, self.node, generation, self.boot, wall, up,
-                         engine.settings.siblings, cold_digest(engine.settings), {}, {})
+        empty = Snapshot(
+            self.config.cluster,
+            self.node,
+            generation,
+            self.boot,
+            wall,
+            up,
+            engine.settings.siblings,
+            cold_digest(engine.settings),
+            {},
+            {},
+        )
         kinds = {number: name for name, number in fleet.kinds.items()}
         if isinstance(engine.balancer, Balancer):
-            empty = change(empty, classes=class_times(engine.balancer, engine.settings),
-                           kinds=kind_times(engine.balancer, kinds), rate=rate(engine.balancer, now))
+            empty = change(
+                empty,
+                classes=class_times(engine.balancer, engine.settings),
+                kinds=kind_times(engine.balancer, kinds),
+                rate=rate(engine.balancer, now),
+            )
         if not heard:
             return empty
         zones = {number: name for name, number in fleet.zones.items()}
         rows = tuple(
-            HostRow(s.name, s.host, s.port, zones.get(s.entry.zone, ""), kinds.get(s.entry.kind, ""),
-                    s.entry.cell, s.entry.weight, s.born_ms)
-            for s in list(fleet.servers.values())[:MOST_ROWS] if s.usable)
+            HostRow(
+                s.name,
+                s.host,
+                s.port,
+                zones.get(s.entry.zone, ""),
+                kinds.get(s.entry.kind, ""),
+                s.entry.cell,
+                s.entry.weight,
+                s.born_ms,
+            )
+            for s in list(fleet.servers.values())[:MOST_ROWS]
+            if s.usable
+        )
         ago = max(now - heard, 0)
-        return change(empty, listed_wall=max(wall - ago, 1), listed_up=max(up - ago, 1), seq=fleet.seq,
-                      hosts=rows)
+        return change(
+            empty, listed_wall=max(wall - ago, 1), listed_up=max(up - ago, 1), seq=fleet.seq, hosts=rows
+        )
 
     async def page(self, rest: str) -> tuple[int, object]:
         """For operators: what was trusted at the start and why, and how writing goes. For peers: `known`."""
@@ -246,14 +287,22 @@
         now = self.engine.clock.now()
         written = self.cycle.written_at
         return 200, {
-            "node": self.node, "cluster": self.config.cluster, "up_s": (now - self.started) / SECOND,
-            "phase": self.phases.phase, "phase_why": self.phases.why,
+            "node": self.node,
+            "cluster": self.config.cluster,
+            "up_s": (now - self.started) / SECOND,
+            "phase": self.phases.phase,
+            "phase_why": self.phases.why,
             "phase_s": (now - self.phases.since) / SECOND,
             "age_s": None if self.trusted.age is None else self.trusted.age / SECOND,
-            "verdicts": [{"part": v.part, "taken": v.taken, "why": v.why} for v in (
-                *self.trusted.verdicts, *(self.heard_of.verdicts if self.heard_of else ()))],
-            "said": self.lines, "generation": self.cycle.generation, "failures": self.cycle.failures,
-            "written_s_ago": None if written is None else (now - written) / SECOND}
+            "verdicts": [
+                {"part": v.part, "taken": v.taken, "why": v.why}
+                for v in (*self.trusted.verdicts, *(self.heard_of.verdicts if self.heard_of else ()))
+            ],
+            "said": self.lines,
+            "generation": self.cycle.generation,
+            "failures": self.cycle.failures,
+            "written_s_ago": None if written is None else (now - written) / SECOND,
+        }
 
     async def close(self) -> None:
         """Writes the last snapshot, behind one that is on its way: two at once would write into one file."""
--- a/minthitch/recovery/frame.py
+++ b/minthitch/recovery/frame.py
@@ -56,14 +56,14 @@
     """Raises FrameError for any bytes that `encode` did not make."""
     if not data.strip(b"\0"):  # a file system may leave a file's length and none of its bytes
         raise FrameError(Fault.EMPTY)
-    if not data.startswith(MAGIC[:len(data)]):
+    if not data.startswith(MAGIC[: len(data)]):
         raise FrameError(Fault.FOREIGN)
     if len(data) < HEAD.size:
         raise FrameError(Fault.TORN)
     _, version, length, checksum = HEAD.unpack_from(data)
     if version > VERSION:
         raise FrameError(Fault.NEWER, f"{version} over {VERSION}")
-    body = data[HEAD.size:]
+    body = data[HEAD.size :]
     if len(body) < length:
         raise FrameError(Fault.TORN)
     if len(body) > length:
--- a/minthitch/recovery/hearsay.py
+++ b/minthitch/recovery/hearsay.py
@@ -42,22 +42,37 @@
     verdicts: tuple[Verdict, ...]
 
 
-def believe(words: Sequence[Word], own: tuple[float, int] | None, asked: int, peers: int, settings: Settings,
-            cluster: str, terms: Terms) -> Heard:
+def believe(
+    words: Sequence[Word],
+    own: tuple[float, int] | None,
+    asked: int,
+    peers: int,
+    settings: Settings,
+    cluster: str,
+    terms: Terms,
+) -> Heard:
     """Of `words` from `asked` of all `peers`; `own` is this node's kept rate and its age. Total."""
     verdicts = list[Verdict]()
     named = {word.node: word for word in words if word.cluster == cluster}  # one word a node
     if strangers := len(words) - len(named):
         verdicts.append(Verdict("peers", False, f"{strangers} words of other clusters, or said twice"))
-    told = [(word.rate * min(1.0, word.siblings / settings.siblings), word.age) for word in named.values()
-            if word.rate > 0 and word.cold == cold_digest(settings) and word.age <= terms.keep_for]
+    told = [
+        (word.rate * min(1.0, word.siblings / settings.siblings), word.age)
+        for word in named.values()
+        if word.rate > 0 and word.cold == cold_digest(settings) and word.age <= terms.keep_for
+    ]
     if own is not None and own[0] > 0:
         told.append(own)
     rate = 0.0
     if len(told) >= LEAST_WORDS or (own is not None and own[0] > 0):
         rate = _median([(value, math.pow(TIMES_LEAST, age / terms.keep_for)) for value, age in told])
-    verdicts.append(Verdict("peers' rate", rate > 0, f"{rate:.2f} calls a second, by {len(told)} of "
-                            f"{len(named) + 1} nodes, {asked} of {peers} asked"))
+    verdicts.append(
+        Verdict(
+            "peers' rate",
+            rate > 0,
+            f"{rate:.2f} calls a second, by {len(told)} of {len(named) + 1} nodes, {asked} of {peers} asked",
+        )
+    )
     return Heard(rate, _siblings(len(named), asked, peers, settings.siblings), tuple(verdicts))
 
 
--- a/minthitch/recovery/learned.py
+++ b/minthitch/recovery/learned.py
@@ -18,13 +18,19 @@
 
 
 def class_times(balancer: Balancer, settings: Settings) -> dict[str, tuple[str, Times]]:
-    return {spec.name: (class_digest(spec), _times(evidence))
-            for spec, evidence in zip(settings.classes, balancer.classes, strict=True) if evidence.trials}
+    return {
+        spec.name: (class_digest(spec), _times(evidence))
+        for spec, evidence in zip(settings.classes, balancer.classes, strict=True)
+        if evidence.trials
+    }
 
 
 def kind_times(balancer: Balancer, names: Mapping[int, str]) -> dict[str, Times]:
-    found = {names[number]: _times(evidence) for number, evidence in balancer.kinds.items()
-             if number in names and evidence.trials}
+    found = {
+        names[number]: _times(evidence)
+        for number, evidence in balancer.kinds.items()
+        if number in names and evidence.trials
+    }
     return dict(list(found.items())[:MOST_ROWS])
 
 
--- a/minthitch/recovery/phases.py
+++ b/minthitch/recovery/phases.py
@@ -22,8 +22,12 @@
 # How long a step is waited for before it is said on call; a node that waits longer goes on as it is, as no
 # step can be made up. `WORTH` ends with this time also where some are still refused: that is load then.
 MOST = {Phase.DARK: 10 * SECOND, Phase.LISTED: 10 * SECOND, Phase.FIRST: 5 * SECOND, Phase.WORTH: 60 * SECOND}
-WAITS_FOR = {Phase.DARK: "a list with a server", Phase.LISTED: "a first call, or a server that is reached",
-             Phase.FIRST: "a server's answer", Phase.WORTH: "warm servers and a second without a refusal"}
+WAITS_FOR = {
+    Phase.DARK: "a list with a server",
+    Phase.LISTED: "a first call, or a server that is reached",
+    Phase.FIRST: "a server's answer",
+    Phase.WORTH: "warm servers and a second without a refusal",
+}
 
 
 @dataclass(frozen=True, slots=True)
--- a/minthitch/recovery/plot.py
+++ b/minthitch/recovery/plot.py
@@ -11,8 +11,13 @@
 
 WIDTH, HEIGHT, ROW, LEFT = 900, 160, 18, 150  # pixels
 MOST_SECONDS = 600  # drawn; what comes behind is left out, and said
-COLOURS = {Phase.DARK: "#333", Phase.LISTED: "#b55", Phase.FIRST: "#d93", Phase.WORTH: "#cc5",
-           Phase.WHOLE: "#5a5"}
+COLOURS = {
+    Phase.DARK: "#333",
+    Phase.LISTED: "#b55",
+    Phase.FIRST: "#d93",
+    Phase.WORTH: "#cc5",
+    Phase.WHOLE: "#5a5",
+}
 STYLE = "body{font:14px sans-serif;margin:2em}text{font:11px sans-serif}svg{display:block}"
 
 
@@ -20,16 +25,20 @@
     """HTML without anything from elsewhere. `by_start` puts the nodes' starts together and not their clocks,
     which need not agree."""
     first = min((line.at - 1_000 for lines in logs.values() for line in lines), default=0)
-    placed = {name: [(max(line.up if by_start else line.at - first, 0) // 1_000, line) for line in lines]
-              for name, lines in sorted(logs.items())}
+    placed = {
+        name: [(max(line.up if by_start else line.at - first, 0) // 1_000, line) for line in lines]
+        for name, lines in sorted(logs.items())
+    }
     seconds = max((second + 1 for rows in placed.values() for second, _ in rows), default=0)
     shown = min(seconds, MOST_SECONDS)
     classes = sorted({cls for rows in placed.values() for _, line in rows for cls in line.classes})
     parts = [_phases(placed, shown), *(_class(cls, placed, shown) for cls in classes)]
     note = f"<p>{seconds - shown} seconds more are not drawn.</p>" if seconds > shown else ""
     clock = "seconds since each node's start" if by_start else "seconds by the nodes' clocks"
-    return (f"<!doctype html><meta charset=utf-8><title>Recovery</title><style>{STYLE}</style>"
-            f"<h1>Recovery of {len(placed)} nodes</h1><p>{clock}</p>{note}{''.join(parts)}")
+    return (
+        f"<!doctype html><meta charset=utf-8><title>Recovery</title><style>{STYLE}</style>"
+        f"<h1>Recovery of {len(placed)} nodes</h1><p>{clock}</p>{note}{''.join(parts)}"
+    )
 
 
 def _phases(placed: Mapping[str, Sequence[tuple[int, Line]]], seconds: int) -> str:
@@ -39,13 +48,17 @@
         drawn.append(f"<text x=0 y={row * ROW + 13}>{html.escape(name)}</text>")
         for second, line in lines:
             if second < seconds and line.phase in COLOURS:
-                drawn.append(f"<rect x={LEFT + second * step:.1f} y={row * ROW} width={step:.1f} "
-                             f"height={ROW - 3} fill={COLOURS[Phase(line.phase)]}>"
-                             f"<title>{line.phase}</title></rect>")
+                drawn.append(
+                    f"<rect x={LEFT + second * step:.1f} y={row * ROW} width={step:.1f} "
+                    f"height={ROW - 3} fill={COLOURS[Phase(line.phase)]}>"
+                    f"<title>{line.phase}</title></rect>"
+                )
     key = " ".join(f"<tspan fill={colour}>&#9632;</tspan> {phase}" for phase, colour in COLOURS.items())
     high = ROW * (len(placed) + 1)
-    return (f"<h2>Phases</h2><svg width={WIDTH} height={high}>{''.join(drawn)}"
-            f"<text x=0 y={high - 4}>{key}</text></svg>")
+    return (
+        f"<h2>Phases</h2><svg width={WIDTH} height={high}>{''.join(drawn)}"
+        f"<text x=0 y={high - 4}>{key}</text></svg>"
+    )
 
 
 def _class(cls: str, placed: Mapping[str, Sequence[tuple[int, Line]]], seconds: int) -> str:
@@ -65,11 +78,15 @@
                 continue
             high = sums[kind][second] * scale
             floor -= high
-            drawn.append(f"<rect x={LEFT + second * step:.1f} y={floor:.1f} width={step * 0.9:.1f} "
-                         f"height={high:.1f} fill={colour}/>")
+            drawn.append(
+                f"<rect x={LEFT + second * step:.1f} y={floor:.1f} width={step * 0.9:.1f} "
+                f"height={high:.1f} fill={colour}/>"
+            )
     total = [sum(kind.values()) for kind in sums]
-    return (f"<h2>{html.escape(cls)}</h2><p>offered {sum(total)}: served {total[0]}, refused {total[1]}, "
-            f"failed {total[2]}; at most {most} in a second</p>"
-            f"<svg width={WIDTH} height={HEIGHT}>{''.join(drawn)}"
-            f"<text x={LEFT} y={HEIGHT - 4}>0</text>"
-            f"<text x={WIDTH - 30} y={HEIGHT - 4}>{seconds} s</text></svg>")
+    return (
+        f"<h2>{html.escape(cls)}</h2><p>offered {sum(total)}: served {total[0]}, refused {total[1]}, "
+        f"failed {total[2]}; at most {most} in a second</p>"
+        f"<svg width={WIDTH} height={HEIGHT}>{''.join(drawn)}"
+        f"<text x={LEFT} y={HEIGHT - 4}>0</text>"
+        f"<text x={WIDTH - 30} y={HEIGHT - 4}>{seconds} s</text></svg>"
+    )
--- a/minthitch/recovery/seconds.py
+++ b/minthitch/recovery/seconds.py
@@ -43,8 +43,10 @@
         if self.left < 0 or self.told >= MOST_TOLD:
             return None
         self.told += 1
-        rows = {name: (new[0] - old[0], new[1] - old[1], new[2] - old[2])
-                for name, new, old in zip(self.names, self.before, gone, strict=True)}
+        rows = {
+            name: (new[0] - old[0], new[1] - old[1], new[2] - old[2])
+            for name, new, old in zip(self.names, self.before, gone, strict=True)
+        }
         line = Line(wall // 1_000_000, (now - self.started) // 1_000_000, phase, rows)
         return MARK + msgspec.json.encode(line).decode()
 
--- a/minthitch/recovery/trust.py
+++ b/minthitch/recovery/trust.py
@@ -77,8 +77,9 @@
     """At most KEPT_WEIGHT answers' worth, less by `part`."""
     least = max(times.trials, times.ends, 1.0)
     scale = part * min(1.0, KEPT_WEIGHT / least)
-    return Times(times.trials * scale, min(times.hits, times.trials) * scale, times.ends * scale,
-                 times.time * scale)
+    return Times(
+        times.trials * scale, min(times.hits, times.trials) * scale, times.ends * scale, times.time * scale
+    )
 
 
 def judge(snapshot: Snapshot, now: Now, settings: Settings, terms: Terms) -> Trusted:
@@ -106,8 +107,12 @@
         if known.get(name) == digest:
             found.classes[name] = _lighter(times, part)
     left = sorted(set(snapshot.classes) - set(found.classes))
-    found.say("classes", bool(found.classes), f"{len(found.classes)} of {len(snapshot.classes)}"
-              + (f"; not {left[0][:60]!r}: it is another class now" if left else ""))
+    found.say(
+        "classes",
+        bool(found.classes),
+        f"{len(found.classes)} of {len(snapshot.classes)}"
+        + (f"; not {left[0][:60]!r}: it is another class now" if left else ""),
+    )
     if snapshot.cold != cold_digest(settings):
         found.say("rate", False, "the cold rules have changed since")
         return
--- a/minthitch/settings.py
+++ b/minthitch/settings.py
@@ -9,13 +9,23 @@
 
 EFFECT = {"repeatable": api.Effect.SAFE, "by_key": api.Effect.KEYED, "once": api.Effect.UNSAFE}
 OBJECTIVE = (
-    ("whole", "whole", 0.0), ("worst_window", "worstWindow", 0.0), ("worst_class", "worstClass", 0.0),
-    ("worst_tenant", "worstTenant", 0.0), ("tail", "tail", 0.0), ("tail_miss", "tailMiss", 0.01),
-    ("nines", "nines", 0.0), ("top_nines", "topNines", 3.0),
+    ("whole", "whole", 0.0),
+    ("worst_window", "worstWindow", 0.0),
+    ("worst_class", "worstClass", 0.0),
+    ("worst_tenant", "worstTenant", 0.0),
+    ("tail", "tail", 0.0),
+    ("tail_miss", "tailMiss", 0.01),
+    ("nines", "nines", 0.0),
+    ("top_nines", "topNines", 3.0),
 )
 PRICES = (
-    ("cross_zone", "crossZone"), ("waste", "waste"), ("late_fail", "lateFail"), ("probe", "probe"),
-    ("peer", "peer"), ("handshake", "handshake"), ("connection", "connection"),
+    ("cross_zone", "crossZone"),
+    ("waste", "waste"),
+    ("late_fail", "lateFail"),
+    ("probe", "probe"),
+    ("peer", "peer"),
+    ("handshake", "handshake"),
+    ("connection", "connection"),
     ("discovery", "registryMode"),
 )
 
@@ -96,15 +106,22 @@
             raise SettingsError(f"settings: {where}effect {effect!r} is unknown")
         if group not in ("all", "zone", "cell"):
             raise SettingsError(f"settings: {where}group {group!r} is unknown")
-        classes.append(api.RequestClass(
-            name=str(row.get("name", i)), effect=EFFECT[effect], group=api.Group(group),
-            aim=int(_number(row, "objectiveNs", None, where)),
-            deadline=int(_number(row, "deadlineNs", None, where)),
-            window=int(_number(row, "windowNs", 0, where)), worth=_number(row, "worth", 1.0, where),
-            late_worth=_number(row, "lateValue", 0.0, where), stream=_flag(row, "stream", False),
-            zones=_places(row, "confinedTo", where), kinds=_places(row, "flavorsAllowed", where),
-            aim_stretch=_number(row, "aimStretch", 0.0, where),
-        ))
+        classes.append(
+            api.RequestClass(
+                name=str(row.get("name", i)),
+                effect=EFFECT[effect],
+                group=api.Group(group),
+                aim=int(_number(row, "objectiveNs", None, where)),
+                deadline=int(_number(row, "deadlineNs", None, where)),
+                window=int(_number(row, "windowNs", 0, where)),
+                worth=_number(row, "worth", 1.0, where),
+                late_worth=_number(row, "lateValue", 0.0, where),
+                stream=_flag(row, "stream", False),
+                zones=_places(row, "confinedTo", where),
+                kinds=_places(row, "flavorsAllowed", where),
+                aim_stretch=_number(row, "aimStretch", 0.0, where),
+            )
+        )
     tenants = tuple(
         api.Tenant(str(row.get("name", i)), _number(row, "allowancePerS", 0.0, f"customers[{i}]."))
         for i, row in enumerate(_rows(top, "customers"))
@@ -118,9 +135,12 @@
     share = rules.get("budgetShare")
     try:
         return api.Settings(
-            classes=tuple(classes), tenants=tenants,
-            tier=int(_number(top, "tier", 0, "")), zone=int(_number(top, "zone", 0, "")),
-            node=int(_number(top, "me", 0, "")), siblings=int(_number(top, "siblings", 1, "")),
+            classes=tuple(classes),
+            tenants=tenants,
+            tier=int(_number(top, "tier", 0, "")),
+            zone=int(_number(top, "zone", 0, "")),
+            node=int(_number(top, "me", 0, "")),
+            siblings=int(_number(top, "siblings", 1, "")),
             tick=int(_number(top, "periodNs", api.MILLISECOND, "")),
             ask_for_list=top.get("registryMode", "push") == "ask",
             ask_within=int(_number(rules, "mustAskInNs", 10 * api.SECOND, "rules.")),
@@ -135,7 +155,8 @@
             budget_window=int(_number(rules, "resendSpanNs", 5 * api.SECOND, "rules.")),
             may_cancel=_flag(limits, "mayCancel", True),
             may_duplicate=_flag(limits, "mayDuplicate", True),
-            may_probe=_flag(limits, "mayProbe", False), may_tell=_flag(limits, "peerMessages", False),
+            may_probe=_flag(limits, "mayProbe", False),
+            may_tell=_flag(limits, "peerMessages", False),
             max_attempts=int(_number(limits, "sendCap", 1, "policyLimits.")),
             retry_after=_flag(limits, "retryAfter", False),
             connect_timeout=int(_number(limits, "connectTimeoutNs", 0, "policyLimits.")),
@@ -143,16 +164,17 @@
             streams=int(_number(limits, "streamsPerConn", 1, "policyLimits.")),
             passes_deadline=_flag(info, "passesDeadline", True),
             weights=str(top.get("weights", "off")),
-            objective=api.Objective(**{
-                field: _number(mix, name, default, "objectiveMix.") for field, name, default in OBJECTIVE}),
-            prices=api.Prices(**{
-                field: _number(prices, name, 0.0, "deductions.") for field, name in PRICES}),
+            objective=api.Objective(
+                **{field: _number(mix, name, default, "objectiveMix.") for field, name, default in OBJECTIVE}
+            ),
+            prices=api.Prices(**{field: _number(prices, name, 0.0, "deductions.") for field, name in PRICES}),
             max_retry_after=int(_number(limits, "maxRetryAfterNs", 0, "policyLimits.")),
             over_share_worth=_number(top, "overShareWorth", 1.0, ""),
             worth_by_work=top.get("worthBy", "request") == "work",
             report_columns=tuple(map(str, columns)) if report.get("via", "off") != "off" else (),
             reports_in_answers=report.get("via") == "inline",
-            zones=_names(top, "areas"), kinds=_names(top, "flavors"),
+            zones=_names(top, "areas"),
+            kinds=_names(top, "flavors"),
             max_open=int(_number(limits, "maxOpen", 0, "policyLimits.")),
         )
     except ValueError as err:
--- a/rigs/asgi_host.py
+++ b/rigs/asgi_host.py
@@ -28,8 +28,11 @@
 
     async def _run(self, app: App) -> None:
         try:
-            await app({"type": "lifespan", "asgi": {"version": "3.0"}, "state": {}}, self.inbound.get,
-                      self.outbound.put)
+            await app(
+                {"type": "lifespan", "asgi": {"version": "3.0"}, "state": {}},
+                self.inbound.get,
+                self.outbound.put,
+            )
         finally:
             await self.outbound.put({"type": "ended"})
 
@@ -67,10 +70,18 @@
     def on_headers_complete(self) -> None:
         path, _, query = self.url.partition(b"?")
         scope = {
-            "type": "http", "asgi": {"version": "3.0"}, "http_version": "1.1", "scheme": "http",
-            "method": self.parser.get_method().decode(), "raw_path": path,
-            "path": unquote(path.decode("ascii")), "query_string": query, "root_path": "",
-            "headers": self.headers, "state": {}}
+            "type": "http",
+            "asgi": {"version": "3.0"},
+            "http_version": "1.1",
+            "scheme": "http",
+            "method": self.parser.get_method().decode(),
+            "raw_path": path,
+            "path": unquote(path.decode("ascii")),
+            "query_string": query,
+            "root_path": "",
+            "headers": self.headers,
+            "state": {},
+        }
         self.url, self.headers, self.inbound = b"", [], asyncio.Queue()
         self.tasks.append(asyncio.ensure_future(self._serve(scope, self.inbound)))
 
@@ -100,7 +111,8 @@
         body = message.get("body", b"")
         if self.chunked:
             body = (b"%x\r\n%s\r\n" % (len(body), body) if body else b"") + (
-                b"" if message.get("more_body") else b"0\r\n\r\n")
+                b"" if message.get("more_body") else b"0\r\n\r\n"
+            )
         self.writer.write(body)
         await self.writer.drain()
 
--- a/rigs/caller.py
+++ b/rigs/caller.py
@@ -30,10 +30,13 @@
 NUMBERS = iter(range(1, 1 << 30))
 
 
-def call(cls: str = "safe", body: bytes = b"", extra: str = "", left: str = "6000m",
-         target: str = "/api") -> bytes:
+def call(
+    cls: str = "safe", body: bytes = b"", extra: str = "", left: str = "6000m", target: str = "/api"
+) -> bytes:
     method = "GET" if cls == "safe" else "POST"
     key = "Idempotency-Key: k1\r\n" if cls == "keyed" else ""
     length = f"Content-Length: {len(body)}\r\n" if method == "POST" else ""
-    return (f"{method} {target} HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: {next(NUMBERS):x}\r\n"
-            f"X-Service-Class: {cls}\r\nX-Time-Left: {left}\r\n{key}{length}{extra}\r\n").encode() + body
+    return (
+        f"{method} {target} HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: {next(NUMBERS):x}\r\n"
+        f"X-Service-Class: {cls}\r\nX-Time-Left: {left}\r\n{key}{length}{extra}\r\n"
+    ).encode() + body
--- a/rigs/cluster/checks.py
+++ b/rigs/cluster/checks.py
@@ -14,8 +14,11 @@
 
 def breaches(history: Sequence[Event], deadlines: Mapping[str, float], unsafe: frozenset[str]) -> list[str]:
     """Each rule that the history shows broken, for classes with these deadlines in seconds."""
-    return [*_answers(history, deadlines, excused(history, deadlines)), *_effects(history, unsafe),
-            *_pushed(history)]
+    return [
+        *_answers(history, deadlines, excused(history, deadlines)),
+        *_effects(history, unsafe),
+        *_pushed(history),
+    ]
 
 
 def excused(history: Sequence[Event], deadlines: Mapping[str, float]) -> frozenset[str]:
@@ -31,8 +34,11 @@
     for (who, _), of_one in spans.items():
         by_node[who] += of_one
     return frozenset(
-        e.call for e in history if e.what == "asked"
-        and any(e.at <= until and since <= e.at + deadlines[e.cls] for since, until in by_node[e.who]))
+        e.call
+        for e in history
+        if e.what == "asked"
+        and any(e.at <= until and since <= e.at + deadlines[e.cls] for since, until in by_node[e.who])
+    )
 
 
 def _answers(history: Sequence[Event], deadlines: Mapping[str, float], dead: frozenset[str]) -> Iterable[str]:
--- a/rigs/cluster/cluster.py
+++ b/rigs/cluster/cluster.py
@@ -75,23 +75,41 @@
     With `keeps` nodes write snapshots, and with `talks` they ask each other for what they know.
     """
 
-    def __init__(self, nodes: int, servers: int, table: dict[str, Any], make: Make,
-                 command: tuple[str, ...] = (sys.executable, "-m", "minthitch"),
-                 keeps: bool = False, talks: bool = True) -> None:
+    def __init__(
+        self,
+        nodes: int,
+        servers: int,
+        table: dict[str, Any],
+        make: Make,
+        command: tuple[str, ...] = (sys.executable, "-m", "minthitch"),
+        keeps: bool = False,
+        talks: bool = True,
+    ) -> None:
         self.folder = tempfile.TemporaryDirectory()
         self.place = Path(self.folder.name)
         if keeps:  # each writes snapshots; all into one folder, under their names
             (self.place / "kept").mkdir()
-            table = {**table, "recovery": {
-                "folder": str(self.place / "kept"), "cluster": "rig", "every": "300ms"}}
+            table = {
+                **table,
+                "recovery": {"folder": str(self.place / "kept"), "cluster": "rig", "every": "300ms"},
+            }
         self.lock = asyncio.Lock()  # what starts and ends processes, one at a time
         self.tasks = set[asyncio.Task[None]]()
         self.events: list[Event] = []  # of the nodes, as the cluster made them
         self.table, self.command = table, command
-        self.servers = [Server(replace(make, name=f"s{i}", book=str(self.place / f"s{i}.book")),
-                               [Link(f"n{n}-s{i}") for n in range(nodes)]) for i in range(servers)]
-        self.nodes = [Node(f"n{n}", Link(f"client-n{n}"), Link(f"n{n}-discovery"), Discovery(),
-                           self.place / f"n{n}.toml") for n in range(nodes)]
+        self.servers = [
+            Server(
+                replace(make, name=f"s{i}", book=str(self.place / f"s{i}.book")),
+                [Link(f"n{n}-s{i}") for n in range(nodes)],
+            )
+            for i in range(servers)
+        ]
+        self.nodes = [
+            Node(
+                f"n{n}", Link(f"client-n{n}"), Link(f"n{n}-discovery"), Discovery(), self.place / f"n{n}.toml"
+            )
+            for n in range(nodes)
+        ]
         self.talks = keeps and talks
         self.forgetful = range(0)  # nodes whose snapshots go with the power
         if self.talks:
@@ -143,8 +161,13 @@
             return
         born, server.born_ms = (time.monotonic(), time.time_ns() // 1_000_000) if cold else (0.0, 0)
         server.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "rigs.cluster.machine", replace(server.make, born=born).text(),
-            cwd=ROOT, stdout=asyncio.subprocess.PIPE)
+            sys.executable,
+            "-m",
+            "rigs.cluster.machine",
+            replace(server.make, born=born).text(),
+            cwd=ROOT,
+            stdout=asyncio.subprocess.PIPE,
+        )
         assert server.process.stdout is not None
         async with asyncio.timeout(PATIENCE):
             port = int(await server.process.stdout.readline())
@@ -155,9 +178,13 @@
     def list_servers(self) -> None:
         """Discovery tells each node of all that are up, by the addresses of its own links."""
         for n, node in enumerate(self.nodes):
-            node.discovery.replace(*(
-                entry(s.make.name, s.links[n].address, "up", s.born_ms, i % 2)
-                for i, s in enumerate(self.servers) if s.up))
+            node.discovery.replace(
+                *(
+                    entry(s.make.name, s.links[n].address, "up", s.born_ms, i % 2)
+                    for i, s in enumerate(self.servers)
+                    if s.up
+                )
+            )
 
     async def kill_server(self, number: int) -> None:
         server = self.servers[number]
@@ -192,15 +219,21 @@
         if node.up:
             return
         node.port = node.port or free_port()
-        table = {"name": node.name, "listen": f"127.0.0.1:{node.port}", "discovery": node.lookup.address,
-                 "seed": f"{number + 1:x}", **self.table}
+        table = {
+            "name": node.name,
+            "listen": f"127.0.0.1:{node.port}",
+            "discovery": node.lookup.address,
+            "seed": f"{number + 1:x}",
+            **self.table,
+        }
         if self.talks:
             table["operators"] = {"listen": f"127.0.0.1:{node.desk}"}
             table["recovery"] = {**table["recovery"], "peers": [link.address for link in node.peers]}
         node.path.write_text(tomli_w.dumps(table))
         with open(self.place / f"{node.name}.log", "ab") as log:
             node.process = await asyncio.create_subprocess_exec(
-                *self.command, "serve", str(node.path), cwd=ROOT, stderr=log)
+                *self.command, "serve", str(node.path), cwd=ROOT, stderr=log
+            )
         node.front.target = node.port
         await node.front.open()
         for link in self.to_desk(node):
@@ -273,6 +306,7 @@
 
     async def power_back(self) -> None:
         """All start at once; discovery knows of each server as it is there."""
+
         async def servers() -> None:
             await asyncio.gather(*(self.start_server(i, cold=True) for i in range(len(self.servers))))
             self.list_servers()
--- a/rigs/cluster/crowd.py
+++ b/rigs/cluster/crowd.py
@@ -37,15 +37,22 @@
     Who is refused comes back up to `returns` times; `heedless` of them at once, whatever Retry-After says.
     """
 
-    def __init__(self, links: Sequence[Link], wants: Mapping[Want, float], seed: int, returns: int = 0,
-                 heedless: float = 0.0) -> None:
+    def __init__(
+        self,
+        links: Sequence[Link],
+        wants: Mapping[Want, float],
+        seed: int,
+        returns: int = 0,
+        heedless: float = 0.0,
+    ) -> None:
         self.returns, self.heedless = returns, heedless
         self.links, self.wants, self.random = list(links), list(wants), random.Random(seed)
         self.weights = list(wants.values())
         self.events: list[Event] = []
         self.node: dict[str, int] = {}  # of each want
         self.idle: list[deque[tuple[asyncio.StreamReader, asyncio.StreamWriter]]] = [
-            deque() for _ in self.links]
+            deque() for _ in self.links
+        ]
         self.tasks = set[asyncio.Task[None]]()
         self.number = 0
 
@@ -97,14 +104,19 @@
         kept = self.idle[node]
         while kept and (kept[-1][1].is_closing() or kept[-1][0].at_eof()):
             kept.pop()
-        reader, writer = kept.pop() if kept else await asyncio.open_connection(
-            "127.0.0.1", self.links[node].port)
+        reader, writer = (
+            kept.pop() if kept else await asyncio.open_connection("127.0.0.1", self.links[node].port)
+        )
         try:
             key = f"Idempotency-Key: {call}\r\n" if want.key else ""
             length = "" if want.method == "GET" else "Content-Length: 0\r\n"
-            writer.write((f"{want.method} /api HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: {call}\r\n"
-                          f"X-Service-Class: {want.cls}\r\nX-Time-Left: {want.deadline * 1000:.0f}m\r\n"
-                          f"{key}{length}\r\n").encode())
+            writer.write(
+                (
+                    f"{want.method} /api HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: {call}\r\n"
+                    f"X-Service-Class: {want.cls}\r\nX-Time-Left: {want.deadline * 1000:.0f}m\r\n"
+                    f"{key}{length}\r\n"
+                ).encode()
+            )
             head, _ = await read_message(reader)
         except BaseException:
             writer.transport.abort()
@@ -115,4 +127,5 @@
             kept.append((reader, writer))
         after = RETRY_AFTER.search(head)
         return {200: "served", 503: "refused"}.get(int(head.split()[1]), "failed"), (
-            float(after[1]) if after else 0.0)
+            float(after[1]) if after else 0.0
+        )
--- a/rigs/cluster/play.py
+++ b/rigs/cluster/play.py
@@ -18,8 +18,11 @@
 
 def _link(cluster: Cluster, fault: Fault) -> Link:
     node = cluster.nodes[fault.node]
-    return {"client": node.front, "discovery": node.lookup,
-            "server": cluster.servers[fault.server].links[fault.node]}[fault.end]
+    return {
+        "client": node.front,
+        "discovery": node.lookup,
+        "server": cluster.servers[fault.server].links[fault.node],
+    }[fault.end]
 
 
 async def strike(cluster: Cluster, fault: Fault) -> None:
@@ -83,16 +86,27 @@
     link, node = _link(cluster, fault), cluster.nodes[fault.node]
     link.delay, link.left = 0.0, None
     link.set_cut(frozenset())
-    there = {"client": node.up, "discovery": node.listener is not None,
-             "server": cluster.servers[fault.server].up}[fault.end]
+    there = {
+        "client": node.up,
+        "discovery": node.listener is not None,
+        "server": cluster.servers[fault.server].up,
+    }[fault.end]
     if there:  # where nobody listens, connects go on to fail
         await link.open()
     if fault.end == "client":
         cluster.note(node, "back", "unlinked")
 
 
-async def play(cluster: Cluster, wants: Mapping[Want, float], rate: float, seconds: float,
-               faults: Iterable[Fault], seed: int, returns: int = 0, heedless: float = 0.0) -> list[Event]:
+async def play(
+    cluster: Cluster,
+    wants: Mapping[Want, float],
+    rate: float,
+    seconds: float,
+    faults: Iterable[Fault],
+    seed: int,
+    returns: int = 0,
+    heedless: float = 0.0,
+) -> list[Event]:
     """`rate` wants a second for so long, faults at their times; all that were struck are whole at the end."""
     crowd = Crowd([node.front for node in cluster.nodes], wants, seed, returns, heedless)
 
--- a/rigs/cluster/relay.py
+++ b/rigs/cluster/relay.py
@@ -35,7 +35,8 @@
         loop = asyncio.get_running_loop()
         try:
             _, other = await loop.create_connection(
-                lambda: _Side(self.link, BACK), "127.0.0.1", self.link.target)
+                lambda: _Side(self.link, BACK), "127.0.0.1", self.link.target
+            )
         except OSError:
             self.abort()
             return
@@ -68,7 +69,7 @@
         if other is None or other.transport is None or other.transport.is_closing():
             return
         if link.left is not None and self.way == TO:
-            data, link.left = data[:link.left], max(link.left - len(data), 0)
+            data, link.left = data[: link.left], max(link.left - len(data), 0)
         other.transport.write(data)
         if link.left == 0 and self.way == TO:
             other.transport.close()  # what was passed arrives; the rest never does
--- a/rigs/cluster/schedule.py
+++ b/rigs/cluster/schedule.py
@@ -7,8 +7,20 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-WHAT = ("kill-node", "stop-node", "kill-server", "power", "discovery",
-        "cut", "cut-to", "cut-back", "delay", "reset", "mid-message", "refuse")  # these of a link
+WHAT = (
+    "kill-node",
+    "stop-node",
+    "kill-server",
+    "power",
+    "discovery",
+    "cut",
+    "cut-to",
+    "cut-back",
+    "delay",
+    "reset",
+    "mid-message",
+    "refuse",
+)  # these of a link
 MOST_FAULTS, MOST_LAST = 100, 60.0
 
 
@@ -44,21 +56,34 @@
 
 
 def _check(fault: Fault, where: str, nodes: int, servers: int) -> None:
-    for name, good in (("what", fault.what in WHAT), ("at", 0 <= fault.at < 600),
-                       ("last", 0 <= fault.last <= MOST_LAST), ("node", 0 <= fault.node < nodes),
-                       ("server", 0 <= fault.server < servers),
-                       ("end", fault.end in ("client", "discovery", "server"))):
+    for name, good in (
+        ("what", fault.what in WHAT),
+        ("at", 0 <= fault.at < 600),
+        ("last", 0 <= fault.last <= MOST_LAST),
+        ("node", 0 <= fault.node < nodes),
+        ("server", 0 <= fault.server < servers),
+        ("end", fault.end in ("client", "discovery", "server")),
+    ):
         if not good:
             raise ScheduleError(f"{where}.{name} = {getattr(fault, name)!r} can't be played")
 
 
-def draw(seed: int, nodes: int, servers: int, seconds: float, count: int,
-         what: Sequence[str] = WHAT) -> tuple[Fault, ...]:
+def draw(
+    seed: int, nodes: int, servers: int, seconds: float, count: int, what: Sequence[str] = WHAT
+) -> tuple[Fault, ...]:
     """`count` faults over the first part of so many seconds, so that what they do is seen to its end."""
     rng = random.Random(seed)
-    faults = [Fault(round(rng.uniform(0, 0.6 * seconds), 2), rng.choice(list(what)), rng.randrange(nodes),
-                    rng.randrange(servers), rng.choice(("client", "discovery", "server", "server")),
-                    round(rng.uniform(0.2, 0.2 * seconds), 2)) for _ in range(count)]
+    faults = [
+        Fault(
+            round(rng.uniform(0, 0.6 * seconds), 2),
+            rng.choice(list(what)),
+            rng.randrange(nodes),
+            rng.randrange(servers),
+            rng.choice(("client", "discovery", "server", "server")),
+            round(rng.uniform(0.2, 0.2 * seconds), 2),
+        )
+        for _ in range(count)
+    ]
     return tuple(sorted(faults, key=lambda fault: fault.at))
 
 
@@ -67,7 +92,7 @@
     kept, parts = list(faults), 2
     while len(kept) >= 2:
         size = -(-len(kept) // parts)
-        chunks = [kept[i:i + size] for i in range(0, len(kept), size)]
+        chunks = [kept[i : i + size] for i in range(0, len(kept), size)]
         for i in range(len(chunks)):
             rest = [fault for j, chunk in enumerate(chunks) if j != i for fault in chunk]
             if rest and fails(tuple(rest)):
--- a/rigs/cluster/search.py
+++ b/rigs/cluster/search.py
@@ -27,8 +27,16 @@
 ACTS = ("", "crash 0", "crash 1", "crash 2", "lose 0", "lose 1", "split")
 SPEC = api.RequestClass("c", SECOND, 3 * SECOND, api.Effect.SAFE)
 SETTINGS = api.Settings(
-    (SPEC,), siblings=NODES, max_attempts=4, drain_grace=SECOND, cold_share=0.25, cold_time=9 * SECOND,
-    cold_multiple=2.0, idle_close=30 * SECOND, answer_slack=20 * MILLISECOND)
+    (SPEC,),
+    siblings=NODES,
+    max_attempts=4,
+    drain_grace=SECOND,
+    cold_share=0.25,
+    cold_time=9 * SECOND,
+    cold_multiple=2.0,
+    idle_close=30 * SECOND,
+    answer_slack=20 * MILLISECOND,
+)
 
 
 class Decider(Protocol):
@@ -65,8 +73,10 @@
         return self.make(SETTINGS, self.seed * 1_000 + self.starts)
 
     def _tell(self, node: int, kind: api.ListKind) -> None:
-        self._feed(node, api.ListUpdate(kind, tuple(
-            api.ServerEntry(s, started=self.started[s]) for s in range(SERVERS))))
+        self._feed(
+            node,
+            api.ListUpdate(kind, tuple(api.ServerEntry(s, started=self.started[s]) for s in range(SERVERS))),
+        )
 
     def act(self, act: str) -> None:
         what, _, number = act.partition(" ")
@@ -94,8 +104,9 @@
             if life == self.lives[node]:
                 if isinstance(event, api.AttemptEnded):
                     gone = sent < self.started[event.server]
-                    event = replace(event, latency=self.now - sent,
-                                    status=api.Status.RESET if gone else api.Status.OK)
+                    event = replace(
+                        event, latency=self.now - sent, status=api.Status.RESET if gone else api.Status.OK
+                    )
                 self._feed(node, event)
         self.now = until
 
@@ -121,8 +132,12 @@
         window = [at for at in self.sent[server] if at > self.now - SETTINGS.cold_window]
         bears = SETTINGS.cold_multiple * RATE * warmth * SETTINGS.cold_window / SECOND
         self.pushed = self.pushed or warmth < 1.0 and len(window) > bears
-        self._later(self.free[server], node, api.AttemptEnded(
-            action.request, attempt, server, api.Status.OK, 0), self.now)
+        self._later(
+            self.free[server],
+            node,
+            api.AttemptEnded(action.request, attempt, server, api.Status.OK, 0),
+            self.now,
+        )
 
     def _warmth(self, server: int) -> float:
         age = (self.now - self.started[server]) / SETTINGS.cold_time
@@ -144,8 +159,9 @@
     return f"node {dark[0]} stays dark" if dark else ""
 
 
-def search(make: Make, depth: int, seed: int = 1,
-           first: Sequence[str] = ACTS) -> Iterator[tuple[tuple[str, ...], str]]:
+def search(
+    make: Make, depth: int, seed: int = 1, first: Sequence[str] = ACTS
+) -> Iterator[tuple[tuple[str, ...], str]]:
     """Each course of this depth, and what it broke."""
     for course in product(first, *[ACTS] * (depth - 1)):
         yield course, play(make, course, seed)
--- a/rigs/cluster/without.py
+++ b/rigs/cluster/without.py
@@ -34,8 +34,8 @@
     """What waits goes as it comes, and all classes are refused alike."""
     admits: Any = Balancer._admits_cold
     setattr(Balancer, "_place_held", lambda self, now, cls=-1: None)  # noqa: B010
-    setattr(Balancer, "_admits_cold", lambda self, now, cls, worth: admits(  # noqa: B010
-        self, now, cls, 0.0))
+    without = lambda self, now, cls, worth: admits(self, now, cls, 0.0)  # noqa: E731
+    setattr(Balancer, "_admits_cold", without)  # noqa: B010
 
 
 def _no_cold_budget() -> None:
@@ -48,8 +48,10 @@
 
 
 PARTS: dict[str, Callable[[], None]] = {
-    "first calls": _nothing_from_time, "the order": _no_order,
-    "the cold budget": _no_cold_budget}
+    "first calls": _nothing_from_time,
+    "the order": _no_order,
+    "the cold budget": _no_cold_budget,
+}
 
 
 def main() -> int:
--- a/rigs/discovery.py
+++ b/rigs/discovery.py
@@ -11,8 +11,16 @@
 
 
 def entry(name: str, dial: str, health: str = "up", born_ms: int = 0, block: int = 0) -> dict[str, Any]:
-    return {"host": name, "dial": dial, "site": "z", "class": "k", "block": block, "health": health,
-            "share": 1.0, "born_ms": born_ms}
+    return {
+        "host": name,
+        "dial": dial,
+        "site": "z",
+        "class": "k",
+        "block": block,
+        "health": health,
+        "share": 1.0,
+        "born_ms": born_ms,
+    }
 
 
 class Discovery:
--- a/rigs/doomed.py
+++ b/rigs/doomed.py
@@ -24,8 +24,16 @@
 from minthitch.record.model import Claim, Record, Settle, State, Write
 from minthitch.record.sql import SqlStore
 
-POINTS = ("before-intent", "after-intent", "before-send", "after-send", "after-answer", "before-outcome",
-          "after-outcome", "after-tell")
+POINTS = (
+    "before-intent",
+    "after-intent",
+    "before-send",
+    "after-send",
+    "after-answer",
+    "before-outcome",
+    "after-outcome",
+    "after-tell",
+)
 CONTROL_WITHIN = 10.0  # seconds
 
 
@@ -48,8 +56,9 @@
             control.recv(1)  # blocks on purpose: the fault is in force exactly here
 
 
-def _around(owner: type, name: str, before: Callable[..., None] | None,
-            after: Callable[..., None] | None) -> None:
+def _around(
+    owner: type, name: str, before: Callable[..., None] | None, after: Callable[..., None] | None
+) -> None:
     inner = getattr(owner, name)
 
     def outer(self: Any, *args: Any, **more: Any) -> Any:
@@ -74,6 +83,7 @@
                     fate.at(f"{when}-intent")
                 elif isinstance(write, Settle):
                     fate.at(f"{when}-outcome")
+
         return look
 
     _around(SqlStore, "apply", batch("before"), batch("after"))
--- a/rigs/fronts.py
+++ b/rigs/fronts.py
@@ -34,8 +34,13 @@
 
 def _table(tier: ScriptedTier, settings: dict[str, Any]) -> dict[str, Any]:
     """The platform's configuration, without `listen`."""
-    return {"name": "front", "discovery": tier.where, "seed": "5eed",
-            "limits": {"sockets": 1024}, "settings": settings}
+    return {
+        "name": "front",
+        "discovery": tier.where,
+        "seed": "5eed",
+        "limits": {"sockets": 1024},
+        "settings": settings,
+    }
 
 
 class Embedded:
@@ -57,9 +62,16 @@
 
     async def call(self, step: Step) -> Outcome:
         kind = step.kind
-        call = asyncio.ensure_future(self.client.call(
-            kind.cls, "/api", body=step.body, key=step.key or None, identity=step.identity,
-            timeout=6.0 if kind.outcome == LEFT else kind.timeout))
+        call = asyncio.ensure_future(
+            self.client.call(
+                kind.cls,
+                "/api",
+                body=step.body,
+                key=step.key or None,
+                identity=step.identity,
+                timeout=6.0 if kind.outcome == LEFT else kind.timeout,
+            )
+        )
         if kind.outcome == LEFT:
             await asyncio.sleep(kind.timeout)
             call.cancel()
@@ -94,9 +106,10 @@
         key = f"Idempotency-Key: {step.key}\r\n" if step.key else ""
         method = "GET" if kind.cls == "safe" else "POST"
         length = "" if kind.cls == "safe" else f"Content-Length: {len(step.body)}\r\n"
-        data = (f"{method} /api HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: {step.identity}\r\n"
-                f"X-Service-Class: {kind.cls}\r\nX-Time-Left: {left * 1000:.0f}m\r\n{key}{length}\r\n"
-                ).encode() + step.body
+        data = (
+            f"{method} /api HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: {step.identity}\r\n"
+            f"X-Service-Class: {kind.cls}\r\nX-Time-Left: {left * 1000:.0f}m\r\n{key}{length}\r\n"
+        ).encode() + step.body
         if kind.outcome == LEFT:
             caller = await self.node.connect()
             caller.writer.write(data)
@@ -123,13 +136,24 @@
         server = Postgres(path)
         resources.callback(server.close)
         store = server.url
-    return front(resources, record={"store": store, "identity": "X-Correlation-Id",
-                                    "required": ["unsafe"], "best_effort": ["keyed"],
-                                    "intent_within": "2s", "answer_within": "2s"})
+    return front(
+        resources,
+        record={
+            "store": store,
+            "identity": "X-Correlation-Id",
+            "required": ["unsafe"],
+            "best_effort": ["keyed"],
+            "intent_within": "2s",
+            "answer_within": "2s",
+        },
+    )
 
 
 FRONTS: dict[str, Callable[[], Front]] = {
-    "daemon": Daemon, "embedded": Embedded, "daemon with a record": lambda: _recorded(Daemon),
+    "daemon": Daemon,
+    "embedded": Embedded,
+    "daemon with a record": lambda: _recorded(Daemon),
     "embedded with a record": lambda: _recorded(Embedded),
     "daemon with PostgreSQL": lambda: _recorded(Daemon, postgres=True),
-    "embedded with PostgreSQL": lambda: _recorded(Embedded, postgres=True)}
+    "embedded with PostgreSQL": lambda: _recorded(Embedded, postgres=True),
+}
--- a/rigs/modelstore.py
+++ b/rigs/modelstore.py
@@ -6,7 +6,21 @@
 from dataclasses import replace
 
 from minthitch.record.model import (
-    Attempted, Claim, Done, Fenced, Held, Look, Missing, Record, Renew, Result, Settle, State, Word, Write)
+    Attempted,
+    Claim,
+    Done,
+    Fenced,
+    Held,
+    Look,
+    Missing,
+    Record,
+    Renew,
+    Result,
+    Settle,
+    State,
+    Word,
+    Write,
+)
 
 
 class ModelStore:
@@ -34,8 +48,11 @@
     def _fence(self, epoch: int, reason: str) -> list[Record]:
         if self.epochs.pop(epoch, None) is None:
             return []
-        found = [replace(r, state=State.DOUBT, reason=reason, ended_at=self.now)
-                 for r in self.records.values() if r.epoch == epoch and r.state is State.INTENT]
+        found = [
+            replace(r, state=State.DOUBT, reason=reason, ended_at=self.now)
+            for r in self.records.values()
+            if r.epoch == epoch and r.state is State.INTENT
+        ]
         self.records |= {record.identity: record for record in found}
         return found
 
@@ -65,8 +82,14 @@
             return Done()
         if mine:
             self.records[write.identity] = replace(
-                found, state=write.state, ended_at=write.at, reason=write.reason, answer=write.answer,
-                answer_digest=write.answer_digest, content_type=write.content_type)
+                found,
+                state=write.state,
+                ended_at=write.at,
+                reason=write.reason,
+                answer=write.answer,
+                answer_digest=write.answer_digest,
+                content_type=write.content_type,
+            )
             return Done()
         outcome = (write.epoch, write.state, write.answer_digest)
         if (found.epoch, found.state, found.answer_digest) == outcome:
@@ -82,8 +105,17 @@
         if found is not None and not found.may_begin:
             return Held(found)
         self.records[write.identity] = Record(
-            write.identity, write.cls, write.digest, write.node, write.epoch, found.turn + 1 if found else 1,
-            State.INTENT, write.server, 1, write.at)
+            write.identity,
+            write.cls,
+            write.digest,
+            write.node,
+            write.epoch,
+            found.turn + 1 if found else 1,
+            State.INTENT,
+            write.server,
+            1,
+            write.at,
+        )
         return Done()
 
     def resolve(self, identity: str, word: Word, why: str) -> bool:
--- a/rigs/play.py
+++ b/rigs/play.py
@@ -18,8 +18,14 @@
 LISTED = 5  # servers at first
 SETTINGS = settings_with(
     policyLimits={"maxOpen": 400},
-    rules={"drainGraceNs": int(GRACE * 1000) * MS, "coldFrom": COLD_SHARE, "coldNs": 9000 * MS,
-           "overloadFactor": COLD_MULTIPLE, "overloadForNs": int(COLD_WINDOW) * 1000 * MS})
+    rules={
+        "drainGraceNs": int(GRACE * 1000) * MS,
+        "coldFrom": COLD_SHARE,
+        "coldNs": 9000 * MS,
+        "overloadFactor": COLD_MULTIPLE,
+        "overloadForNs": int(COLD_WINDOW) * 1000 * MS,
+    },
+)
 
 
 def cold_most(rate: float = 1 / PACE) -> float:
--- a/rigs/postgres.py
+++ b/rigs/postgres.py
@@ -30,7 +30,9 @@
 WORDS = (  # what differs from SQLite's SQL
     ("CAST(EXTRACT(EPOCH FROM clock_timestamp()) * 1000 AS BIGINT)", NOW),
     ("BIGINT GENERATED ALWAYS AS IDENTITY PRIMARY KEY", "INTEGER PRIMARY KEY AUTOINCREMENT"),
-    ("BYTEA", "BLOB"), (" FOR SHARE", ""))
+    ("BYTEA", "BLOB"),
+    (" FOR SHARE", ""),
+)
 STATES = ((sqlite3.IntegrityError, "23505"), (sqlite3.OperationalError, "42601"))
 
 
@@ -174,13 +176,18 @@
             self._error("28P01", "password authentication failed")
             return False
         self.database = sqlite3.connect(  # a cancel interrupts it from another thread
-            self.server.path, timeout=5, isolation_level=None, check_same_thread=False)
+            self.server.path, timeout=5, isolation_level=None, check_same_thread=False
+        )
         self.database.execute("PRAGMA journal_mode = WAL")
         self.database.create_function("pg_advisory_xact_lock", 1, lambda number: None)
         self.server.sessions[self.key] = self
         self._send(b"R", struct.pack(">I", 0))
-        for name, value in (("server_version", "16.0"), ("client_encoding", "UTF8"),
-                            ("standard_conforming_strings", "on"), ("integer_datetimes", "on")):
+        for name, value in (
+            ("server_version", "16.0"),
+            ("client_encoding", "UTF8"),
+            ("standard_conforming_strings", "on"),
+            ("integer_datetimes", "on"),
+        ):
             self._send(b"S", f"{name}\0{value}\0".encode())
         self._send(b"K", struct.pack(">II", *self.key))
         self._ready()
@@ -268,7 +275,10 @@
         elif kind == b"P":
             _, statement, rest = body.split(b"\0", 2)
             (count,) = struct.unpack(">H", rest[:2])
-            self.statement, self.oids = statement.decode(), struct.unpack(f">{count}I", rest[2:2 + 4 * count])
+            self.statement, self.oids = (
+                statement.decode(),
+                struct.unpack(f">{count}I", rest[2 : 2 + 4 * count]),
+            )
             self._send(b"1")
         elif kind == b"B":
             self._bind(body)
@@ -299,7 +309,7 @@
         for i in range(values):
             (size,) = struct.unpack_from(">i", body, at)
             at += 4
-            raw = None if size < 0 else body[at:at + size]
+            raw = None if size < 0 else body[at : at + size]
             at += max(size, 0)
             binary = bool(formats and formats[i if len(formats) > 1 else 0])
             self.parameters.append(_value(raw, self.oids[i] if i < len(self.oids) else 0, binary))
--- a/rigs/process.py
+++ b/rigs/process.py
@@ -52,8 +52,13 @@
         operated = {"record", "operators"} & set(self.table)  # which the plain start does not know
         words = ["serve", str(path)] if operated else []
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "minthitch", *words, cwd=ROOT,
-            env={**os.environ, "BALANCER_CONFIG": str(path)})
+            sys.executable,
+            "-m",
+            "minthitch",
+            *words,
+            cwd=ROOT,
+            env={**os.environ, "BALANCER_CONFIG": str(path)},
+        )
         async with asyncio.timeout(PATIENCE):
             while not await is_ready(self.port):
                 if self.process.returncode is not None:
--- a/rigs/quick.py
+++ b/rigs/quick.py
@@ -41,7 +41,7 @@
             length = int(match[1]) if (match := LENGTH.search(head)) else 0
             if len(self.data) < end + 4 + length:
                 return
-            self.data = self.data[end + 4 + length:]
+            self.data = self.data[end + 4 + length :]
             self._answer(head)
 
     def _answer(self, head: bytes) -> None:
@@ -69,8 +69,13 @@
 @contextmanager
 def quick_servers(count: int) -> Iterator[list[str]]:
     """Their addresses."""
-    process = subprocess.Popen([sys.executable, "-m", "rigs.quick", str(count)], cwd=ROOT, text=True,
-                               stdin=subprocess.PIPE, stdout=subprocess.PIPE)
+    process = subprocess.Popen(
+        [sys.executable, "-m", "rigs.quick", str(count)],
+        cwd=ROOT,
+        text=True,
+        stdin=subprocess.PIPE,
+        stdout=subprocess.PIPE,
+    )
     assert process.stdin is not None and process.stdout is not None
     try:
         yield json.loads(process.stdout.readline())
--- a/rigs/settings.py
+++ b/rigs/settings.py
@@ -7,15 +7,34 @@
 MS = 1_000_000
 
 SETTINGS: dict[str, Any] = {
-    "areas": ["z"], "flavors": ["k"], "registryMode": "push", "siblings": 1, "tier": 1, "periodNs": 5 * MS,
+    "areas": ["z"],
+    "flavors": ["k"],
+    "registryMode": "push",
+    "siblings": 1,
+    "tier": 1,
+    "periodNs": 5 * MS,
     "classes": [
         {"name": "safe", "effect": "repeatable", "objectiveNs": 4000 * MS, "deadlineNs": 8000 * MS},
-        {"name": "keyed", "effect": "by_key", "group": "cell", "windowNs": 10000 * MS,
-         "objectiveNs": 4000 * MS, "deadlineNs": 8000 * MS},
-        {"name": "unsafe", "effect": "once", "objectiveNs": 4000 * MS, "deadlineNs": 8000 * MS}],
-    "policyLimits": {"connectTimeoutNs": 2000 * MS, "idleCloseNs": 600_000 * MS, "maxOpen": 100, "sendCap": 4,
-                     "maxRetryAfterNs": 2000 * MS, "mayCancel": True, "mayDuplicate": True,
-                     "retryAfter": True},
+        {
+            "name": "keyed",
+            "effect": "by_key",
+            "group": "cell",
+            "windowNs": 10000 * MS,
+            "objectiveNs": 4000 * MS,
+            "deadlineNs": 8000 * MS,
+        },
+        {"name": "unsafe", "effect": "once", "objectiveNs": 4000 * MS, "deadlineNs": 8000 * MS},
+    ],
+    "policyLimits": {
+        "connectTimeoutNs": 2000 * MS,
+        "idleCloseNs": 600_000 * MS,
+        "maxOpen": 100,
+        "sendCap": 4,
+        "maxRetryAfterNs": 2000 * MS,
+        "mayCancel": True,
+        "mayDuplicate": True,
+        "retryAfter": True,
+    },
     "rules": {"drainGraceNs": 500 * MS, "graceToAnswerNs": 20 * MS},
 }
 
--- a/rigs/tier.py
+++ b/rigs/tier.py
@@ -63,8 +63,9 @@
         self.discovery = Discovery()
         self.lookup = await asyncio.start_server(self.discovery, "127.0.0.1", 0)
         self.where = address_of(self.lookup)
-        self.hosts = [entry(f"s{i}", address_of(listener), block=i % 2)
-                      for i, listener in enumerate(self.listeners)]
+        self.hosts = [
+            entry(f"s{i}", address_of(listener), block=i % 2) for i, listener in enumerate(self.listeners)
+        ]
         self.discovery.hosts = self.hosts[:listed]
 
     async def stop(self) -> None:
@@ -74,6 +75,7 @@
     def _script_of(self, number: int) -> Any:
         async def script(seen: Seen) -> bytes | None:
             return await self._serve(number, seen)
+
         return script
 
     async def _serve(self, number: int, seen: Seen) -> bytes | None:
@@ -117,8 +119,9 @@
         self.started[number] = time.monotonic()
 
 
-def violations(tier: ScriptedTier, outcomes: dict[str, Outcome], grace: float,
-               cold_most: float, cold_window: float) -> list[str]:
+def violations(
+    tier: ScriptedTier, outcomes: dict[str, Outcome], grace: float, cold_most: float, cold_window: float
+) -> list[str]:
     """Each rule that the servers' ledger and the outcomes break, as a line."""
     by_call: dict[str, list[Entry]] = defaultdict(list)
     for seen in tier.ledger:
@@ -152,7 +155,7 @@
         yield f"{name}: sent again after it may have run"
     if ran and step.kind.cls == "keyed":
         cell = seen[ran[0]].server % 2
-        if any(e.server % 2 != cell for e in seen[ran[0]:]):
+        if any(e.server % 2 != cell for e in seen[ran[0] :]):
             yield f"{name}: sent to servers that do not drop its repeat"
     if any(e.key != step.key for e in seen):
         yield f"{name}: its key was changed"
--- a/rigs/trace.py
+++ b/rigs/trace.py
@@ -103,6 +103,11 @@
     for kind in KINDS:  # early enough that none is put off beyond the end
         rest.insert(rng.randrange(len(rest) // 2), kind)
     return tuple(
-        Step(f"{seed:x}-{i:x}", kind, i * pace,
-             b"" if kind.cls == "safe" else rng.randbytes(rng.randrange(1, 2_000)))
-        for i, kind in enumerate(_spaced(kinds + rest)))
+        Step(
+            f"{seed:x}-{i:x}",
+            kind,
+            i * pace,
+            b"" if kind.cls == "safe" else rng.randbytes(rng.randrange(1, 2_000)),
+        )
+        for i, kind in enumerate(_spaced(kinds + rest))
+    )
--- a/tests/conformance/test_conformance.py
+++ b/tests/conformance/test_conformance.py
@@ -45,9 +45,16 @@
     def test_each_call_has_the_outcome_that_its_script_owes_it(self, front: str) -> None:
         tier, outcomes = played(front, self.seed)
         wrong = {
-            identity: (step.kind.cls, step.kind.script, outcomes[identity].word, outcomes[identity].at,
-                       [e for e in tier.ledger if e.identity == identity])
-            for identity, step in tier.steps.items() if outcomes[identity].word != step.kind.outcome}
+            identity: (
+                step.kind.cls,
+                step.kind.script,
+                outcomes[identity].word,
+                outcomes[identity].at,
+                [e for e in tier.ledger if e.identity == identity],
+            )
+            for identity, step in tier.steps.items()
+            if outcomes[identity].word != step.kind.outcome
+        }
         assert not wrong
 
     def test_served_refused_and_failed_match_on_every_front(self) -> None:
@@ -89,28 +96,53 @@
 GOOD = Outcome("served", b"made for a: x", 1.0)
 
 
-@pytest.mark.parametrize(("kind", "entries", "outcome", "more", "words"), [
-    (UNSAFE, [_seen(0, "ok")], GOOD, {}, ""),
-    (UNSAFE, [_seen(0, "unprocessed"), _seen(1, "ok")], GOOD, {}, ""),
-    (UNSAFE, [_seen(0, "ok")], Outcome(""), {}, "no outcome"),
-    (UNSAFE, [_seen(0, "ok")], Outcome("served", b"made for b: x", 1.0), {}, "no server made"),
-    (UNSAFE, [], GOOD, {}, "no server did"),
-    (UNSAFE, [_seen(0, "ok")], Outcome("lost", at=1.0), {}, "is no outcome"),
-    (UNSAFE, [_seen(0, "500"), _seen(1, "ok")], GOOD, {}, "sent again after it may have run"),
-    (UNSAFE, [_seen(0, "500")], Outcome("refused", at=1.0), {}, "refused, but it may have run"),
-    (UNSAFE, [_seen(0, "ok", 9.0)], GOOD, {}, "sent after its outcome"),
-    (KEYED, [_seen(0, "500", key="key-a"), _seen(2, "ok", key="key-a")], GOOD, {}, ""),
-    (KEYED, [_seen(0, "500", key="key-a"), _seen(3, "ok", key="key-a")], GOOD, {}, "do not drop its repeat"),
-    (KEYED, [_seen(0, "ok", key="other")], GOOD, {}, "key was changed"),
-    (UNSAFE, [_seen(3, "ok", 9.0)], Outcome("served", b"made for a: x", 9.0), {"told": {3: 1.0}},
-     "told to drain"),
-    (UNSAFE, [_seen(3, "ok", 9.0)], Outcome("served", b"made for a: x", 9.0),
-     {"told": {3: 1.0}, "back": {3: 5.0}}, ""),
-    (UNSAFE, [_seen(3, "unprocessed", 1.1), _seen(3, "unprocessed", 1.2), _seen(3, "ok", 1.3)],
-     Outcome("served", b"made for a: x", 1.3), {"started": {3: 1.0}}, "cold start"),
-    (UNSAFE, [_seen(0, "ok")], GOOD, {"unknown": 1}, "nobody made"),
-])
-def test_the_referee_sees_each_breach(kind: Kind, entries: list[Entry], outcome: Outcome,
-                                      more: dict[str, object], words: str) -> None:
+@pytest.mark.parametrize(
+    ("kind", "entries", "outcome", "more", "words"),
+    [
+        (UNSAFE, [_seen(0, "ok")], GOOD, {}, ""),
+        (UNSAFE, [_seen(0, "unprocessed"), _seen(1, "ok")], GOOD, {}, ""),
+        (UNSAFE, [_seen(0, "ok")], Outcome(""), {}, "no outcome"),
+        (UNSAFE, [_seen(0, "ok")], Outcome("served", b"made for b: x", 1.0), {}, "no server made"),
+        (UNSAFE, [], GOOD, {}, "no server did"),
+        (UNSAFE, [_seen(0, "ok")], Outcome("lost", at=1.0), {}, "is no outcome"),
+        (UNSAFE, [_seen(0, "500"), _seen(1, "ok")], GOOD, {}, "sent again after it may have run"),
+        (UNSAFE, [_seen(0, "500")], Outcome("refused", at=1.0), {}, "refused, but it may have run"),
+        (UNSAFE, [_seen(0, "ok", 9.0)], GOOD, {}, "sent after its outcome"),
+        (KEYED, [_seen(0, "500", key="key-a"), _seen(2, "ok", key="key-a")], GOOD, {}, ""),
+        (
+            KEYED,
+            [_seen(0, "500", key="key-a"), _seen(3, "ok", key="key-a")],
+            GOOD,
+            {},
+            "do not drop its repeat",
+        ),
+        (KEYED, [_seen(0, "ok", key="other")], GOOD, {}, "key was changed"),
+        (
+            UNSAFE,
+            [_seen(3, "ok", 9.0)],
+            Outcome("served", b"made for a: x", 9.0),
+            {"told": {3: 1.0}},
+            "told to drain",
+        ),
+        (
+            UNSAFE,
+            [_seen(3, "ok", 9.0)],
+            Outcome("served", b"made for a: x", 9.0),
+            {"told": {3: 1.0}, "back": {3: 5.0}},
+            "",
+        ),
+        (
+            UNSAFE,
+            [_seen(3, "unprocessed", 1.1), _seen(3, "unprocessed", 1.2), _seen(3, "ok", 1.3)],
+            Outcome("served", b"made for a: x", 1.3),
+            {"started": {3: 1.0}},
+            "cold start",
+        ),
+        (UNSAFE, [_seen(0, "ok")], GOOD, {"unknown": 1}, "nobody made"),
+    ],
+)
+def test_the_referee_sees_each_breach(
+    kind: Kind, entries: list[Entry], outcome: Outcome, more: dict[str, object], words: str
+) -> None:
     found = _judge(kind, entries, outcome, **more)
     assert len(found) == (1 if words else 0) and words in "".join(found)
--- a/tests/embedded.py
+++ b/tests/embedded.py
@@ -32,8 +32,15 @@
 
     def config(self, watch: bool = False, **parts: Any) -> Config:
         known = NO_SERVERS if watch else static_listing(self.addresses)
-        return Config("test", ("127.0.0.1", 0), self.where if watch else "", 1, 256, known,
-                      from_object(settings_with(**parts)))
+        return Config(
+            "test",
+            ("127.0.0.1", 0),
+            self.where if watch else "",
+            1,
+            256,
+            known,
+            from_object(settings_with(**parts)),
+        )
 
 
 @asynccontextmanager
@@ -57,8 +64,9 @@
 
 
 @asynccontextmanager
-async def library(*scripts: Script, watch: bool = False, close_within: float = 3.4,
-                  **parts: Any) -> AsyncIterator[Library]:
+async def library(
+    *scripts: Script, watch: bool = False, close_within: float = 3.4, **parts: Any
+) -> AsyncIterator[Library]:
     async with tier(*scripts) as servers:
         config = servers.config(watch, **parts)
         async with Client(config, close_within=close_within) as client:
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -8,7 +8,17 @@
 from dataclasses import dataclass, field
 
 from minthitch.interface import (
-    SECOND, Cancel, ListKind, ListUpdate, Refuse, RequestClass, Send, ServerEntry, Settings, State, Status,
+    SECOND,
+    Cancel,
+    ListKind,
+    ListUpdate,
+    Refuse,
+    RequestClass,
+    Send,
+    ServerEntry,
+    Settings,
+    State,
+    Status,
 )
 from tests.rules import MS, SAFE, Node
 
@@ -83,11 +93,14 @@
         """All nodes hear in one instant that servers go, and that others have just started."""
         for number, before in zip(new, old, strict=True):
             self.machines[number] = Machine(self.machines[before].rate, self.now)
-        self.tell(ListKind.CHANGES, (
-            *(ServerEntry(s, State.GONE) for s in old), *(ServerEntry(s, started=self.now) for s in new)))
-
-    def run(self, span: int, rate: float, classes: tuple[RequestClass, ...] = (SAFE,),
-            among: int | None = None) -> None:
+        self.tell(
+            ListKind.CHANGES,
+            (*(ServerEntry(s, State.GONE) for s in old), *(ServerEntry(s, started=self.now) for s in new)),
+        )
+
+    def run(
+        self, span: int, rate: float, classes: tuple[RequestClass, ...] = (SAFE,), among: int | None = None
+    ) -> None:
         """`rate` requests a second for `span` ns, classes by turns, at all nodes or the first `among`."""
         until, at = self.now + span, self.now
         while (at := at + int(self.random.expovariate(rate) * SECOND)) < until:
@@ -95,7 +108,8 @@
             i = self.random.randrange(among or len(self.nodes))
             self.requests += 1
             self.refused += Refuse(self.requests) in self.nodes[i].request(
-                self.requests, classes[self.requests % len(classes)])
+                self.requests, classes[self.requests % len(classes)]
+            )
             self._carry_out(i)
         self._serve(until)
 
--- a/tests/net.py
+++ b/tests/net.py
@@ -17,8 +17,24 @@
 from rigs.servers import OK, PATIENCE, Script, Seen, Server, address_of, reply, reset, serve_ok
 from rigs.settings import MS, SETTINGS, settings_with
 
-__all__ = ["MS", "OK", "PATIENCE", "SETTINGS", "Caller", "Discovery", "Seen", "Server", "address_of", "call",
-           "entry", "reply", "reset", "rig", "serve_ok", "settings_with"]
+__all__ = [
+    "MS",
+    "OK",
+    "PATIENCE",
+    "SETTINGS",
+    "Caller",
+    "Discovery",
+    "Seen",
+    "Server",
+    "address_of",
+    "call",
+    "entry",
+    "reply",
+    "reset",
+    "rig",
+    "serve_ok",
+    "settings_with",
+]
 
 
 @dataclass
@@ -50,8 +66,9 @@
 
 
 @asynccontextmanager
-async def rig(*scripts: Script, known: bool = True, sockets: int = 1024, watch: bool = True,
-              **parts: Any) -> AsyncIterator[Rig]:
+async def rig(
+    *scripts: Script, known: bool = True, sockets: int = 1024, watch: bool = True, **parts: Any
+) -> AsyncIterator[Rig]:
     """A node with scripted servers `s0`, `s1` ..., each in a cell of its own from `s1` on, and discovery."""
     servers = [Server(script) for script in scripts]
     found = Discovery()
--- a/tests/rules.py
+++ b/tests/rules.py
@@ -6,9 +6,34 @@
 from dataclasses import dataclass, field
 
 from minthitch.interface import (
-    MILLISECOND, SECOND, Action, AttemptEnded, Cancel, Effect, Event, Fail, Group, HangUp, ListKind,
-    ListUpdate, Log, Probe, Refresh, Refuse, RequestArrived, RequestClass, RequestGone, Send, ServerEntry,
-    SetTimer, Settings, State, Status, Subscribe, Tell, TimerFired,
+    MILLISECOND,
+    SECOND,
+    Action,
+    AttemptEnded,
+    Cancel,
+    Effect,
+    Event,
+    Fail,
+    Group,
+    HangUp,
+    ListKind,
+    ListUpdate,
+    Log,
+    Probe,
+    Refresh,
+    Refuse,
+    RequestArrived,
+    RequestClass,
+    RequestGone,
+    Send,
+    ServerEntry,
+    SetTimer,
+    Settings,
+    State,
+    Status,
+    Subscribe,
+    Tell,
+    TimerFired,
 )
 from minthitch.policy import Balancer
 
@@ -27,15 +52,23 @@
 
 def settings(**changes: object) -> Settings:
     base: dict[str, object] = {
-        "classes": CLASSES, "max_attempts": 4, "tick": MS, "answer_slack": 20 * MS,
-        "drain_grace": 500 * MS, "cold_share": 0.3, "cold_time": 10 * SECOND, "cold_multiple": 3.0,
-        "cold_window": 2 * SECOND}
+        "classes": CLASSES,
+        "max_attempts": 4,
+        "tick": MS,
+        "answer_slack": 20 * MS,
+        "drain_grace": 500 * MS,
+        "cold_share": 0.3,
+        "cold_time": 10 * SECOND,
+        "cold_multiple": 3.0,
+        "cold_window": 2 * SECOND,
+    }
     return Settings(**{**base, **changes})  # type: ignore[arg-type]
 
 
 def entries(count: int, started: int = 0, kinds: int = 1) -> tuple[ServerEntry, ...]:
-    return tuple(ServerEntry(i + 1, zone=i % 2, cell=i % 4, kind=i % kinds, started=started)
-                 for i in range(count))
+    return tuple(
+        ServerEntry(i + 1, zone=i % 2, cell=i % 4, kind=i % kinds, started=started) for i in range(count)
+    )
 
 
 @dataclass
@@ -120,8 +153,11 @@
             if isinstance(action, Refuse):
                 spec = self.setup.classes[book.arrived.cls]
                 ran = [s for s in book.sent if s[2] is None or not s[2].never_ran]
-                assert not ran or spec.effect is Effect.SAFE or (
-                    spec.effect is Effect.KEYED and spec.group is Group.ALL), "refused what may have run"
+                assert (
+                    not ran
+                    or spec.effect is Effect.SAFE
+                    or (spec.effect is Effect.KEYED and spec.group is Group.ALL)
+                ), "refused what may have run"
         elif isinstance(action, Subscribe):
             assert self.setup.ask_for_list
             self.asked = self.now
@@ -168,8 +204,9 @@
         if self.setup.budget_share is None:
             return
         since = self.now - self.setup.budget_window
-        made = sum(when >= since and book.sent[index][2] is not Status.MOOT
-                   for when, book, index in self.further)
+        made = sum(
+            when >= since and book.sent[index][2] is not Status.MOOT for when, book, index in self.further
+        )
         taken = sum(book.taken_at > since for book in self.books.values())
         allowed = self.setup.budget_free + self.setup.budget_share * taken
         assert made <= allowed, f"{made} further attempts where {allowed} are allowed"
@@ -184,8 +221,9 @@
 
     def end(self, number: int, attempt: int, status: Status, closed: bool = False) -> list[Action]:
         server, when, _ = self.books[number].sent[attempt]
-        return self.feed(AttemptEnded(number, attempt, server, status, self.now - when,
-                                      closed or status is Status.OK))
+        return self.feed(
+            AttemptEnded(number, attempt, server, status, self.now - when, closed or status is Status.OK)
+        )
 
     def wait(self, span: int) -> None:
         """Let time pass; timers fire as they come due."""
@@ -198,19 +236,28 @@
         self.now = until
 
     def unanswered(self) -> list[int]:
-        return [n for n, b in self.books.items()
-                if not b.answers and self.now > b.due + self.setup.answer_slack]
-
-    def train(self, rounds: int, latency: int = 100 * MS, slow: dict[int, int] | None = None,
-              cls: RequestClass = SAFE) -> None:
+        return [
+            n for n, b in self.books.items() if not b.answers and self.now > b.due + self.setup.answer_slack
+        ]
+
+    def train(
+        self,
+        rounds: int,
+        latency: int = 100 * MS,
+        slow: dict[int, int] | None = None,
+        cls: RequestClass = SAFE,
+    ) -> None:
         """Serve `rounds` requests one by one; each server answers in `latency`, or in its own time."""
         for _ in range(rounds):
             number = 1_000_000 + len(self.books)
             self.request(number, cls)
             while not self.books[number].answers:
                 book = self.books[number]
-                ends = [(when + (slow or {}).get(server, latency), i)
-                        for i, (server, when, status) in enumerate(book.sent) if status is None]
+                ends = [
+                    (when + (slow or {}).get(server, latency), i)
+                    for i, (server, when, status) in enumerate(book.sent)
+                    if status is None
+                ]
                 if not ends or min(ends)[0] > book.arrived.deadline:
                     self.wait(max(book.arrived.deadline - self.now, 0))
                     break
@@ -286,10 +333,22 @@
             kind = rng.choice([ListKind.FULL, ListKind.CHANGES, ListKind.CHANGES, ListKind.FAILED])
             named = [] if kind is ListKind.FAILED else rng.sample(range(1, 12), rng.randint(0, 8))
             states = list(State) if kind is ListKind.CHANGES else [State.READY, State.READY, State.DRAINING]
-            node.feed(ListUpdate(kind, tuple(
-                ServerEntry(s, rng.choice(states), (s - 1) % 2, (s - 1) % 4, (s - 1) % 3,
-                            rng.choice([0, 0, node.now]))
-                for s in named)))
+            node.feed(
+                ListUpdate(
+                    kind,
+                    tuple(
+                        ServerEntry(
+                            s,
+                            rng.choice(states),
+                            (s - 1) % 2,
+                            (s - 1) % 4,
+                            (s - 1) % 3,
+                            rng.choice([0, 0, node.now]),
+                        )
+                        for s in named
+                    ),
+                )
+            )
         else:
             node.wait(rng.choice([0, 1, 20, 300]) * MS)
         assert not node.unanswered(), f"seed {seed}, step {step}"
--- a/tests/run.sh
+++ b/tests/run.sh
@@ -8,7 +8,7 @@
     cat requirements.txt requirements-demo.txt requirements-mesh.txt requirements-dev.txt > .venv/installed-dev.txt
 fi
 .venv/bin/ruff check .
-.venv/bin/ruff format --check minthitch/mesh rigs/simulation rigs/mesh_demo tests/mesh bench/mesh.py bench/meshsize.py
+.venv/bin/ruff format --check .
 .venv/bin/mypy
 .venv/bin/lint-imports --no-cache > /dev/null || .venv/bin/lint-imports --no-cache
 .venv/bin/python -m nose2 -s tests/mesh -t .
--- a/tests/test_asgi.py
+++ b/tests/test_asgi.py
@@ -28,8 +28,13 @@
 from tests.test_node import run
 
 ROOT = Path(__file__).parent.parent
-ROUTES = [Route("/search", "safe"), Route("/trips", "keyed"), Route("/trips", "safe"),
-          Route("/tickets", "unsafe"), Route("/search/old", "safe", to="/api/v1")]
+ROUTES = [
+    Route("/search", "safe"),
+    Route("/trips", "keyed"),
+    Route("/trips", "safe"),
+    Route("/tickets", "unsafe"),
+    Route("/search/old", "safe", to="/api/v1"),
+]
 
 
 async def plain(scope: Scope, receive: Receive, send: Send) -> None:
@@ -56,8 +61,9 @@
 
 
 @asynccontextmanager
-async def web(*scripts: Script, app: App = plain, close_within: float = 3.4,
-              **parts: Any) -> AsyncIterator[Web]:
+async def web(
+    *scripts: Script, app: App = plain, close_within: float = 3.4, **parts: Any
+) -> AsyncIterator[Web]:
     async with tier(*scripts) as servers:
         client = Client(servers.config(**parts), close_within=close_within)
         async with hosted(BalancedRoutes(app, client=client, routes=ROUTES)) as host:
@@ -306,8 +312,11 @@
 
     async with tier(serve_ok) as servers:
         client = Client(servers.config())
-        app = Starlette(routes=[StarletteRoute("/home", home)], lifespan=lifespan, middleware=[
-            Middleware(BalancedRoutes, client=client, routes=ROUTES)])
+        app = Starlette(
+            routes=[StarletteRoute("/home", home)],
+            lifespan=lifespan,
+            middleware=[Middleware(BalancedRoutes, client=client, routes=ROUTES)],
+        )
         async with hosted(app) as host:
             w = Web(host, servers, client)
             assert (await w.ask("GET", "/search")).content == b"done"
@@ -366,10 +375,13 @@
     run(_readme, tmp_path)
 
 
-@pytest.mark.parametrize(("route", "words"), [
-    (Route("search", "safe"), "does not begin with /"),
-    (Route("/search", "none"), "class 'none' is unknown; known are safe, keyed, unsafe"),
-])
+@pytest.mark.parametrize(
+    ("route", "words"),
+    [
+        (Route("search", "safe"), "does not begin with /"),
+        (Route("/search", "none"), "class 'none' is unknown; known are safe, keyed, unsafe"),
+    ],
+)
 def test_a_route_that_cannot_work_is_one_clear_error(route: Route, words: str) -> None:
     async def bad() -> None:
         async with tier(serve_ok) as servers:
@@ -382,8 +394,9 @@
 async def _two_tiers() -> None:
     async with tier(serve_ok) as one, tier(serve_ok) as two:
         first, second = Client(one.config()), Client(two.config())
-        app = BalancedRoutes(plain, client=first, routes=[
-            Route("/a", "safe"), Route("/b", "safe", client=second)])
+        app = BalancedRoutes(
+            plain, client=first, routes=[Route("/a", "safe"), Route("/b", "safe", client=second)]
+        )
         async with hosted(app) as host:
             w = Web(host, one, first)
             assert (await w.ask("GET", "/a")).status_code == (await w.ask("GET", "/b")).status_code == 200
@@ -402,6 +415,7 @@
         seen.append(scope["type"])
 
     async with tier(serve_ok) as servers:
+
         async def receive() -> Message:
             return {"type": "websocket.connect"}
 
@@ -440,8 +454,9 @@
             assert (await web_client.post("/sale", content=b"fail")).status_code == 502
             busy = await web_client.post("/sale", content=b"busy", timeout=0.5)
             assert busy.status_code == 503 and int(busy.headers["retry-after"]) >= 1
-            keyed = await web_client.post("/trip", content=b"x", headers={"Idempotency-Key": "k"},
-                                          extensions={"service_class": "keyed"})
+            keyed = await web_client.post(
+                "/trip", content=b"x", headers={"Idempotency-Key": "k"}, extensions={"service_class": "keyed"}
+            )
             assert keyed.status_code == 200
             with pytest.raises(httpx.LocalProtocolError, match="unknown X-Service-Class"):
                 await web_client.get("/", extensions={"service_class": "none"})
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -37,8 +37,14 @@
 
 def command(*words: str, timeout: float = 60.0) -> subprocess.CompletedProcess[str]:
     environ = {name: value for name, value in os.environ.items() if not name.startswith("BALANCER_")}
-    return subprocess.run([sys.executable, "-m", "minthitch", *words], cwd=ROOT, capture_output=True,
-                          text=True, timeout=timeout, env=environ)
+    return subprocess.run(
+        [sys.executable, "-m", "minthitch", *words],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=timeout,
+        env=environ,
+    )
 
 
 def test_check_says_what_a_good_configuration_comes_to(tmp_path: Path) -> None:
@@ -48,17 +54,25 @@
     assert told["classes"] == {"route-search": "safe", "save-trip": "keyed", "buy-ticket": "unsafe"}
     assert told["servers"] == ["127.0.0.1:9001", "127.0.0.1:9002"]
     path = tmp_path / "platform.json"
-    path.write_text(json.dumps({"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2",
-                                "settings": SETTINGS}))
+    path.write_text(
+        json.dumps({"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": SETTINGS})
+    )
     assert command("check", str(path)).returncode == 0
 
 
-@pytest.mark.parametrize(("name", "text", "words"), [
-    ("a.toml", 'servers = ["127.0.0.1:1"]' + CLASSES.replace('"2s"', '"soon"'), "classes[0].aim = 'soon'"),
-    ("a.toml", 'server = ["127.0.0.1:1"]' + CLASSES, "server = ['127.0.0.1:1'] is unknown"),
-    ("a.json", "{", "a.json"),
-    ("a.json", '{"name": "n"}', "discovery is missing"),
-])
+@pytest.mark.parametrize(
+    ("name", "text", "words"),
+    [
+        (
+            "a.toml",
+            'servers = ["127.0.0.1:1"]' + CLASSES.replace('"2s"', '"soon"'),
+            "classes[0].aim = 'soon'",
+        ),
+        ("a.toml", 'server = ["127.0.0.1:1"]' + CLASSES, "server = ['127.0.0.1:1'] is unknown"),
+        ("a.json", "{", "a.json"),
+        ("a.json", '{"name": "n"}', "discovery is missing"),
+    ],
+)
 def test_check_names_key_and_value_and_exits_with_2(tmp_path: Path, name: str, text: str, words: str) -> None:
     path = tmp_path / name
     path.write_text(text)
@@ -67,17 +81,23 @@
     assert words in done.stderr and len(done.stderr.splitlines()) == 1
 
 
-@pytest.mark.parametrize(("words", "text"), [
-    (("serve",), "serve needs a configuration"),
-    (("serve", "deploy/none.toml", "--listen", "127.0.0.1:1"), "none.toml"),
-    (("serve", "deploy/minthitch.toml", "--listen", "here"), "bad address 'here'"),
-    (("serve", "deploy/minthitch.toml", "--server", "box:1"), "bad address 'box:1'"),
-    (("serve", "deploy/minthitch.toml", "--server", "127.0.0.1:1", "--discovery", "127.0.0.1:2"), "either"),
-    (("serve", "deploy/minthitch.toml", "--sockets", "9"), "--sockets 9"),
-    (("demo", "--seconds", "0"), "--seconds 0.0"),
-    (("frobnicate",), "invalid choice"),
-    (("check",), "config"),
-])
+@pytest.mark.parametrize(
+    ("words", "text"),
+    [
+        (("serve",), "serve needs a configuration"),
+        (("serve", "deploy/none.toml", "--listen", "127.0.0.1:1"), "none.toml"),
+        (("serve", "deploy/minthitch.toml", "--listen", "here"), "bad address 'here'"),
+        (("serve", "deploy/minthitch.toml", "--server", "box:1"), "bad address 'box:1'"),
+        (
+            ("serve", "deploy/minthitch.toml", "--server", "127.0.0.1:1", "--discovery", "127.0.0.1:2"),
+            "either",
+        ),
+        (("serve", "deploy/minthitch.toml", "--sockets", "9"), "--sockets 9"),
+        (("demo", "--seconds", "0"), "--seconds 0.0"),
+        (("frobnicate",), "invalid choice"),
+        (("check",), "config"),
+    ],
+)
 def test_bad_arguments_are_one_clear_error_and_exit_code_2(words: tuple[str, ...], text: str) -> None:
     done = command(*words)
     assert done.returncode == 2 and text in done.stderr.splitlines()[-1]
@@ -94,8 +114,16 @@
 async def serving(*words: str) -> AsyncIterator[tuple[asyncio.subprocess.Process, int]]:
     port = free_port()
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "minthitch", "serve", *words, "--listen", f"127.0.0.1:{port}", cwd=ROOT,
-        stderr=asyncio.subprocess.PIPE)
+        sys.executable,
+        "-m",
+        "minthitch",
+        "serve",
+        *words,
+        "--listen",
+        f"127.0.0.1:{port}",
+        cwd=ROOT,
+        stderr=asyncio.subprocess.PIPE,
+    )
     try:
         async with asyncio.timeout(PATIENCE):
             while await ready(port) != 200:
@@ -138,8 +166,11 @@
     async with tier(serve_ok) as servers:
         async with serving("deploy/minthitch.toml", "--server", servers.addresses[0]) as (_, port):
             caller = Caller(*await asyncio.open_connection("127.0.0.1", port))
-            assert (await caller.ask(b"GET /api HTTP/1.1\r\nX-Correlation-Id: 1\r\n"
-                                     b"X-Service-Class: route-search\r\n\r\n"))[0] == 200
+            assert (
+                await caller.ask(
+                    b"GET /api HTTP/1.1\r\nX-Correlation-Id: 1\r\nX-Service-Class: route-search\r\n\r\n"
+                )
+            )[0] == 200
         flags = ("--discovery", servers.where, "--name", "n9")
         async with serving("deploy/minthitch.toml", *flags):
             await servers.discovery.watches(1)
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -15,19 +15,25 @@
     since: float
 
 
-@pytest.mark.parametrize(("never", "once", "often", "goes"), [
-    ([], [], [], None),
-    ([FRESH + 0.1, 0.0], [9.0], [9.0], "never0"),  # silent for long: whatever else there is
-    ([FRESH - 0.1, 0.0], [STAYED + 0.1, 0.0], [9.0], "once0"),  # a new client's request is on its way
-    ([FRESH - 0.1, 0.0], [STAYED - 0.1, 0.0], [9.0], "never0"),  # and so may the next of one in use be
-    ([FRESH - 0.1, 0.0], [], [9.0], "never0"),  # rather than the usual clients
-    ([], [], [0.2, 0.1], "often0"),
-])
+@pytest.mark.parametrize(
+    ("never", "once", "often", "goes"),
+    [
+        ([], [], [], None),
+        ([FRESH + 0.1, 0.0], [9.0], [9.0], "never0"),  # silent for long: whatever else there is
+        ([FRESH - 0.1, 0.0], [STAYED + 0.1, 0.0], [9.0], "once0"),  # a new client's request is on its way
+        ([FRESH - 0.1, 0.0], [STAYED - 0.1, 0.0], [9.0], "never0"),  # and so may the next of one in use be
+        ([FRESH - 0.1, 0.0], [], [9.0], "never0"),  # rather than the usual clients
+        ([], [], [0.2, 0.1], "often0"),
+    ],
+)
 def test_who_goes_by_what_it_asked_and_for_how_long_it_has_been_idle(
-        never: list[float], once: list[float], often: list[float], goes: str | None) -> None:
+    never: list[float], once: list[float], often: list[float], goes: str | None
+) -> None:
     now = 100.0
-    groups = {name: [Idle(f"{name}{i}", now - idle) for i, idle in enumerate(ages)]
-              for name, ages in (("never", never), ("once", once), ("often", often))}
+    groups = {
+        name: [Idle(f"{name}{i}", now - idle) for i, idle in enumerate(ages)]
+        for name, ages in (("never", never), ("once", once), ("often", often))
+    }
     chosen = victim(groups["never"], groups["once"], groups["often"], now)
     assert (chosen and chosen.name) == goes
 
--- a/tests/test_curve.py
+++ b/tests/test_curve.py
@@ -53,15 +53,22 @@
 
 def test_the_papers_set_example() -> None:
     """S4 and S5 pass 0.96 within 9 s at a price of 20, half of S1's (so do S2 and S4, a tie)."""
+
     def chance(mean: float, limit: float, share: float) -> float:
         shape = fit_shape(limit / mean, share, 256)
         assert shape is not None
         return float(gammainc(shape, shape * 9 / mean))
+
     second, fourth = chance(8, 10, 0.92), chance(7.2, 8, 0.70)
     assert second == pytest.approx(0.78, abs=0.01)
     assert fourth == pytest.approx(0.86, abs=0.01)
-    candidates: list[Any] = [(10, fourth, "S4"), (10, fourth, "S5"), (10, second, "S2"),
-                             (20, second, "S3"), (40, 0.96, "S1")]
+    candidates: list[Any] = [
+        (10, fourth, "S4"),
+        (10, fourth, "S5"),
+        (10, second, "S2"),
+        (20, second, "S3"),
+        (40, 0.96, "S1"),
+    ]
     chosen: list[Any] = cheapest_set(candidates, 0.96, 3)
     assert [c[2] for c in chosen] == ["S4", "S5"]
 
@@ -101,8 +108,12 @@
 
 
 def brute_force(candidates: list[Any], target: float, most: int) -> float | None:
-    prices = [sum(c[0] for c in group) for size in range(1, most + 1)
-              for group in combinations(candidates, size) if 1 - prod(1 - c[1] for c in group) >= target]
+    prices = [
+        sum(c[0] for c in group)
+        for size in range(1, most + 1)
+        for group in combinations(candidates, size)
+        if 1 - prod(1 - c[1] for c in group) >= target
+    ]
     return min(prices, default=None)
 
 
--- a/tests/test_decisions_split.py
+++ b/tests/test_decisions_split.py
@@ -21,12 +21,25 @@
 SECOND = api.SECOND
 SETUPS = {
     "free": settings(classes=ALL_CLASSES, retry_after=True, max_retry_after=SECOND, ask_for_list=True),
-    "crowded": settings(classes=ALL_CLASSES, siblings=3, worth_by_work=True, tenants=(
-        api.Tenant("a", 9.0), api.Tenant("b", 0.0)), over_share_worth=0.2),
-    "below": settings(classes=ALL_CLASSES, tier=1, siblings=40, idle_close=4 * SECOND, budget_share=0.1,
-                      budget_free=2.0, prices=api.Prices(cross_zone=0.04)),
-    "cold": settings(classes=ALL_CLASSES, siblings=2, cold_time=25 * SECOND, cold_share=0.2,
-                     idle_close=10 * SECOND),
+    "crowded": settings(
+        classes=ALL_CLASSES,
+        siblings=3,
+        worth_by_work=True,
+        tenants=(api.Tenant("a", 9.0), api.Tenant("b", 0.0)),
+        over_share_worth=0.2,
+    ),
+    "below": settings(
+        classes=ALL_CLASSES,
+        tier=1,
+        siblings=40,
+        idle_close=4 * SECOND,
+        budget_share=0.1,
+        budget_free=2.0,
+        prices=api.Prices(cross_zone=0.04),
+    ),
+    "cold": settings(
+        classes=ALL_CLASSES, siblings=2, cold_time=25 * SECOND, cold_share=0.2, idle_close=10 * SECOND
+    ),
     "alone": settings(classes=ALL_CLASSES, may_duplicate=False, may_cancel=False, max_attempts=2),
 }
 DIGESTS = {
@@ -36,15 +49,26 @@
     "cold": "a741c455816b9d920c563f0f1cb669ca",
     "alone": "18b0b4b720c7929855bba3808b30f659",
 }
-ODD = (api.Status.ERROR, api.Status.FULL, api.Status.CONNECT_FAILED, api.Status.RESET,
-       api.Status.TIMEOUT, api.Status.MOOT)
+ODD = (
+    api.Status.ERROR,
+    api.Status.FULL,
+    api.Status.CONNECT_FAILED,
+    api.Status.RESET,
+    api.Status.TIMEOUT,
+    api.Status.MOOT,
+)
 
 
 class Day:
     """Hostile servers and clients around one balancer: its actions lead to events, in one seeded order."""
 
-    def __init__(self, setup: api.Settings, seed: int, cold: bool,
-                 make: Callable[[api.Settings, int], Balancer] = Balancer) -> None:
+    def __init__(
+        self,
+        setup: api.Settings,
+        seed: int,
+        cold: bool,
+        make: Callable[[api.Settings, int], Balancer] = Balancer,
+    ) -> None:
         self.setup, self.random, self.cold = setup, random.Random(seed), cold
         self.balancer = make(setup, seed)
         self.now, self.number, self.calls = 30 * SECOND, 0, 0
@@ -82,9 +106,16 @@
         patience = self.random.choice((400 * MS, SECOND, 3 * SECOND, 3 * SECOND))
         if self.random.random() < 0.04:
             self._later(delay + self.random.randrange(SECOND), api.RequestGone(self.calls))
-        self._later(delay, api.RequestArrived(
-            self.calls, self.random.randrange(len(self.setup.classes)), self.now + delay + patience,
-            self.random.randrange(2), repeat=self.random.random() < 0.1))
+        self._later(
+            delay,
+            api.RequestArrived(
+                self.calls,
+                self.random.randrange(len(self.setup.classes)),
+                self.now + delay + patience,
+                self.random.randrange(2),
+                repeat=self.random.random() < 0.1,
+            ),
+        )
 
     def _lands(self, event: api.AttemptEnded) -> bool:
         return self.out.pop((event.request, event.attempt), None) is not None
@@ -133,8 +164,9 @@
 
     def _ends(self, delay: int, request: int, attempt: int, status: api.Status, latency: int) -> None:
         closed = status is api.Status.OK or self.random.random() < 0.1
-        self._later(delay, api.AttemptEnded(request, attempt, self.out[request, attempt], status,
-                                            latency, closed))
+        self._later(
+            delay, api.AttemptEnded(request, attempt, self.out[request, attempt], status, latency, closed)
+        )
 
 
 def digest(name: str, make: Callable[[api.Settings, int], Balancer] = Balancer) -> tuple[str, int]:
--- a/tests/test_embedded.py
+++ b/tests/test_embedded.py
@@ -18,8 +18,18 @@
 import uvloop
 
 from minthitch import (
-    BadCall, BlockingClient, Client, ClientClosed, ConfigError, Failed, Refused, RequestClass, Served,
-    Settings, configure)
+    BadCall,
+    BlockingClient,
+    Client,
+    ClientClosed,
+    ConfigError,
+    Failed,
+    Refused,
+    RequestClass,
+    Served,
+    Settings,
+    configure,
+)
 from minthitch.embedded import handover
 from minthitch.embedded.tickets import Ticket
 from minthitch.interface import SECOND, Effect
@@ -55,14 +65,30 @@
         return reply(200, b"\x00" + seen.body, "Content-Type: a/b\r\nX-More: 1\r\n")
 
     async with library(script) as lib:
-        served = await lib.client.call("unsafe", "/sale?x=%20", body=b"ticket", tenant="acme", session="s1",
-                                       cost=0.05, repeat=True, headers={"X-Trace": "t"})
+        served = await lib.client.call(
+            "unsafe",
+            "/sale?x=%20",
+            body=b"ticket",
+            tenant="acme",
+            session="s1",
+            cost=0.05,
+            repeat=True,
+            headers={"X-Trace": "t"},
+        )
         assert isinstance(served, Served) and served.body == b"\x00ticket"
         assert served.content_type == b"a/b" and (b"x-more", b"1") in served.fields
         seen = lib.tier.sends[0]
         assert seen.head.startswith(b"POST /sale?x=%20 HTTP/1.1\r\n")
-        wanted = {"X-Account": "acme", "X-Session-Key": "s1", "X-Repeat": "1", "X-Trace": "t", "Host": "test",
-                  "X-Weight-Hint": "50000.000", "X-Service-Class": "unsafe", "Content-Length": "6"}
+        wanted = {
+            "X-Account": "acme",
+            "X-Session-Key": "s1",
+            "X-Repeat": "1",
+            "X-Trace": "t",
+            "Host": "test",
+            "X-Weight-Hint": "50000.000",
+            "X-Service-Class": "unsafe",
+            "Content-Length": "6",
+        }
         assert {name: seen.field(name) for name in wanted} == wanted
         assert isinstance(await lib.client.call("unsafe", body=b"fail"), Failed)
         assert len(lib.tier.sends) == 2  # it may have run, and did not go out again
@@ -85,23 +111,26 @@
     run(_keyed)
 
 
-@pytest.mark.parametrize(("arguments", "words"), [
-    ({"service_class": "none"}, "unknown class 'none'"),
-    ({"service_class": "keyed"}, "Idempotency-Key"),
-    ({"service_class": "unsafe", "key": "k"}, "Idempotency-Key"),
-    ({"service_class": "unsafe", "body": b"x" * 65_537}, "65537 bytes"),
-    ({"service_class": "safe", "target": "no"}, "bad target"),
-    ({"service_class": "safe", "target": "/a b"}, "bad target"),
-    ({"service_class": "safe", "target": "/a\r\nX: 1"}, "bad target"),
-    ({"service_class": "safe", "headers": {"X-A": "1\r\nX-B: 2"}}, "X-A"),
-    ({"service_class": "safe", "headers": {"X A": "1"}}, "X A"),
-    ({"service_class": "safe", "headers": {"X-A": "€"}}, "headers"),
-    ({"service_class": "safe", "headers": {"X-A": "x" * 33_000}}, "too long"),
-    ({"service_class": "safe", "headers": {"X-Correlation-Id": "2"}}, "given twice"),
-    ({"service_class": "safe", "timeout": 0.0}, "timeout 0.0"),
-    ({"service_class": "safe", "timeout": float("nan")}, "timeout nan"),
-    ({"service_class": "safe", "cost": -1.0}, "cost -1.0"),
-])
+@pytest.mark.parametrize(
+    ("arguments", "words"),
+    [
+        ({"service_class": "none"}, "unknown class 'none'"),
+        ({"service_class": "keyed"}, "Idempotency-Key"),
+        ({"service_class": "unsafe", "key": "k"}, "Idempotency-Key"),
+        ({"service_class": "unsafe", "body": b"x" * 65_537}, "65537 bytes"),
+        ({"service_class": "safe", "target": "no"}, "bad target"),
+        ({"service_class": "safe", "target": "/a b"}, "bad target"),
+        ({"service_class": "safe", "target": "/a\r\nX: 1"}, "bad target"),
+        ({"service_class": "safe", "headers": {"X-A": "1\r\nX-B: 2"}}, "X-A"),
+        ({"service_class": "safe", "headers": {"X A": "1"}}, "X A"),
+        ({"service_class": "safe", "headers": {"X-A": "€"}}, "headers"),
+        ({"service_class": "safe", "headers": {"X-A": "x" * 33_000}}, "too long"),
+        ({"service_class": "safe", "headers": {"X-Correlation-Id": "2"}}, "given twice"),
+        ({"service_class": "safe", "timeout": 0.0}, "timeout 0.0"),
+        ({"service_class": "safe", "timeout": float("nan")}, "timeout nan"),
+        ({"service_class": "safe", "cost": -1.0}, "cost -1.0"),
+    ],
+)
 def test_a_call_that_no_server_could_use_is_one_clear_error(arguments: dict[str, Any], words: str) -> None:
     async def bad() -> None:
         async with library(serve_ok) as lib:
@@ -128,9 +157,15 @@
     run(_twice)
 
 
-@pytest.mark.parametrize("answer", [
-    b"no HTTP at all\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\ncut short", reply(204),
-    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"])
+@pytest.mark.parametrize(
+    "answer",
+    [
+        b"no HTTP at all\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\ncut short",
+        reply(204),
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+    ],
+)
 def test_a_spoilt_or_cut_answer_is_a_failure_as_at_the_daemon(answer: bytes) -> None:
     async def spoilt() -> None:
         async def script(seen: Seen) -> bytes | None:
@@ -172,8 +207,9 @@
 
 
 @asynccontextmanager
-async def tier_elsewhere(*scripts: Script,
-                         hosts: bool = True) -> AsyncIterator[tuple[Tier, Callable[..., object]]]:
+async def tier_elsewhere(
+    *scripts: Script, hosts: bool = True
+) -> AsyncIterator[tuple[Tier, Callable[..., object]]]:
     """A tier on a loop and thread of its own, as the test's loop will stand still; and a way to run there."""
     found: list[Tier] = []
     up, end = threading.Event(), threading.Event()
@@ -209,8 +245,10 @@
         return OK
 
     classes = [{**spec, "deadlineNs": 900 * MS, "objectiveNs": 800 * MS} for spec in SETTINGS["classes"]]
-    async with tier_elsewhere(noted, noted, noted) as (servers, _), Client(
-            servers.config(classes=classes)) as client:
+    async with (
+        tier_elsewhere(noted, noted, noted) as (servers, _),
+        Client(servers.config(classes=classes)) as client,
+    ):
         worker = client._worker
         settled: list[float] = []
         whole = worker.settled
@@ -245,8 +283,10 @@
         first.append(seen.connection)
         return None if len(first) == 1 else OK
 
-    async with tier_elsewhere(script, script, script) as (servers, _), Client(
-            servers.config(classes=RACED)) as client:
+    async with (
+        tier_elsewhere(script, script, script) as (servers, _),
+        Client(servers.config(classes=RACED)) as client,
+    ):
         call = asyncio.ensure_future(client.call("safe", timeout=2.0))
         await asyncio.sleep(0)
         await asyncio.sleep(0)
@@ -261,8 +301,10 @@
 
 async def _drain_while_blocked() -> None:
     """Calls are held as no server is listed; the list comes, with a drain, while the host stands still."""
-    async with tier_elsewhere(serve_ok, serve_ok, hosts=False) as (servers, there), Client(
-            servers.config(watch=True)) as client:
+    async with (
+        tier_elsewhere(serve_ok, serve_ok, hosts=False) as (servers, there),
+        Client(servers.config(watch=True)) as client,
+    ):
         await until(lambda: bool(servers.discovery.writers) and client.ready)
         calls = [asyncio.ensure_future(client.call(cls)) for cls in ("safe", "unsafe", "safe")]
         await asyncio.sleep(0.05)
@@ -453,12 +495,14 @@
 """
 
 
-async def _program(body: str, address: str, *, signal_at: Callable[[], bool] | None = None,
-                   send: int = signal.SIGTERM) -> tuple[int, str, float]:
+async def _program(
+    body: str, address: str, *, signal_at: Callable[[], bool] | None = None, send: int = signal.SIGTERM
+) -> tuple[int, str, float]:
     """Runs a host program; gives its exit code, what it printed, and how long it took from the signal on."""
     code = HEAD.format(root=str(ROOT), address=address) + textwrap.dedent(body)
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-c", code, stdout=subprocess.PIPE, stderr=subprocess.STDOUT)
+        sys.executable, "-c", code, stdout=subprocess.PIPE, stderr=subprocess.STDOUT
+    )
     began = time.monotonic()
     try:
         if signal_at is not None:
@@ -496,8 +540,11 @@
 
 async def _sigterm(uv: bool) -> None:
     async with tier(never) as servers:
-        code, out, took = await _program(SIGTERM_HOST.replace("{uv}", str(uv)), servers.addresses[0],
-                                         signal_at=lambda: len(servers.sends) == 3)
+        code, out, took = await _program(
+            SIGTERM_HOST.replace("{uv}", str(uv)),
+            servers.addresses[0],
+            signal_at=lambda: len(servers.sends) == 3,
+        )
         assert out.split() == ["Failed"] * 3, out  # each host task heard, before the end
         assert code == -signal.SIGTERM  # and the signal took its course
         assert took < 0.5 + PATIENCE / 4
@@ -577,8 +624,9 @@
         except KeyboardInterrupt:
             print("interrupted")
         """
-        code, out, took = await _program(body, servers.addresses[0], send=signal.SIGINT,
-                                         signal_at=lambda: len(servers.sends) == 1)
+        code, out, took = await _program(
+            body, servers.addresses[0], send=signal.SIGINT, signal_at=lambda: len(servers.sends) == 1
+        )
         assert (code, out.split()) == (0, ["interrupted"]), out
         assert took < PATIENCE / 2
 
@@ -622,9 +670,11 @@
 
 async def _two_loops() -> None:
     async with library(serve_ok) as lib:
+
         def other() -> object:
             async def ask() -> object:
                 return await asyncio.gather(*(lib.client.call("safe") for _ in range(20)))
+
             with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
                 return runner.run(ask())
 
@@ -709,11 +759,14 @@
 
 async def _blocking() -> None:
     async with tier(serve_ok) as servers:
+
         def host() -> list[object]:
             with BlockingClient(servers.config()) as client:
                 answers: list[object] = []
-                threads = [threading.Thread(target=lambda: answers.append(client.call("keyed", key="k")))
-                           for _ in range(8)]
+                threads = [
+                    threading.Thread(target=lambda: answers.append(client.call("keyed", key="k")))
+                    for _ in range(8)
+                ]
                 for thread in threads:
                     thread.start()
                 for thread in threads:
@@ -735,12 +788,15 @@
 # Configuration ----------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize(("arguments", "words"), [
-    ({}, "either servers or discovery"),
-    ({"servers": ["127.0.0.1:1"], "discovery": "127.0.0.1:2"}, "not both"),
-    ({"servers": ["localhost:80"]}, "localhost:80"),
-    ({"servers": ["127.0.0.1:1", "127.0.0.1:1"]}, "twice"),
-])
+@pytest.mark.parametrize(
+    ("arguments", "words"),
+    [
+        ({}, "either servers or discovery"),
+        ({"servers": ["127.0.0.1:1"], "discovery": "127.0.0.1:2"}, "not both"),
+        ({"servers": ["localhost:80"]}, "localhost:80"),
+        ({"servers": ["127.0.0.1:1", "127.0.0.1:1"]}, "twice"),
+    ],
+)
 def test_a_client_that_cannot_be_configured_says_why(arguments: dict[str, Any], words: str) -> None:
     with pytest.raises(ConfigError, match=words):
         configure(SAFE_ONLY, **arguments)
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -10,7 +10,19 @@
 import pytest
 
 from minthitch.engine import (
-    Answer, Attempt, Call, Engine, Failed, Message, Refused, Rejected, Request, Served, Server, StaticSource)
+    Answer,
+    Attempt,
+    Call,
+    Engine,
+    Failed,
+    Message,
+    Refused,
+    Rejected,
+    Request,
+    Served,
+    Server,
+    StaticSource,
+)
 from minthitch.engine.fields import Reader
 from minthitch.engine.fleet import MOST_NAMES, Fleet
 from minthitch.interface import MILLISECOND, SECOND, Cancel, ListKind, Probe, Settings, Status
@@ -91,8 +103,15 @@
 
 class World:
     def __init__(self, count: int = 3, **changes: Any) -> None:
-        options = {"max_attempts": 4, "retry_after": True, "max_retry_after": 2 * SECOND, "tier": 1,
-                   "drain_grace": 500 * MS, "max_open": 50, **changes}
+        options = {
+            "max_attempts": 4,
+            "retry_after": True,
+            "max_retry_after": 2 * SECOND,
+            "tier": 1,
+            "drain_grace": 500 * MS,
+            "max_open": 50,
+            **changes,
+        }
         self.settings = Settings(classes=CLASSES, **options)
         self.clock, self.carrier, self.asker, self.log = HandClock(), HandCarrier(), HandAsker(), list[str]()
         self.idle = 0
@@ -112,8 +131,14 @@
 
     def change(self, number: int, state: str = "up", **more: Any) -> None:
         host = self.hosts[number]
-        given = Host(host.name, host.address, more.get("port", host.port), cell=host.cell, state=state,
-                     born_ms=more.get("born_ms", 0))
+        given = Host(
+            host.name,
+            host.address,
+            more.get("port", host.port),
+            cell=host.cell,
+            state=state,
+            born_ms=more.get("born_ms", 0),
+        )
         self.engine.listed(Listing(self.engine.fleet.seq + 1, False, (given,)), ListKind.CHANGES)
 
     @property
@@ -305,8 +330,15 @@
 
 def test_fields_tell_tenant_key_cost_and_repeat() -> None:
     reader = Reader(Settings(classes=CLASSES))
-    fields = {b"x-correlation-id": b"1", b"x-service-class": b"buy", b"x-time-left": b"480m",
-              b"x-session-key": b"u", b"x-weight-hint": b"12.5", b"x-repeat": b"1", b"x-account": b"none"}
+    fields = {
+        b"x-correlation-id": b"1",
+        b"x-service-class": b"buy",
+        b"x-time-left": b"480m",
+        b"x-session-key": b"u",
+        b"x-weight-hint": b"12.5",
+        b"x-repeat": b"1",
+        b"x-account": b"none",
+    }
     reader.check(b"POST", fields)
     call = reader.call(Message(b"POST", b"/"), fields)
     assert (call.left, call.cost, call.repeat, call.tenant) == (480 * MS, 12_500, True, 0)
@@ -325,9 +357,17 @@
         if roll < 0.35:
             asker = HandAsker()
             try:
-                requests.append(w.engine.admit(asker, Call(
-                    b"%d" % step, rng.randrange(3), Message(b"POST", b"/"),
-                    left=rng.choice([None, 0, 30 * MS, SECOND]))))
+                requests.append(
+                    w.engine.admit(
+                        asker,
+                        Call(
+                            b"%d" % step,
+                            rng.randrange(3),
+                            Message(b"POST", b"/"),
+                            left=rng.choice([None, 0, 30 * MS, SECOND]),
+                        ),
+                    )
+                )
                 askers.append(asker)
             except Rejected:
                 assert len(w.engine.open) == w.settings.max_open
@@ -341,8 +381,11 @@
                 left.add(index)
             w.engine.leave(requests[index])
         elif roll < 0.88:
-            w.change(rng.randrange(4), rng.choice(["up", "draining", "removed"]),
-                     born_ms=rng.choice([0, 1_800_000_000_000]))
+            w.change(
+                rng.randrange(4),
+                rng.choice(["up", "draining", "removed"]),
+                born_ms=rng.choice([0, 1_800_000_000_000]),
+            )
         else:
             w.clock.move(rng.choice([0, MS, 50 * MS, 700 * MS]))
     w.clock.move(10 * SECOND)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,8 +15,12 @@
 
 
 def crew(seed: int, count: int = 40, servers: int = 10, load: float = 0.5) -> Crew:
-    made = Crew(settings(siblings=count, cold_share=0.3, cold_time=8 * SECOND), count,
-                {number: Machine(WARM) for number in range(1, servers + 1)}, seed)
+    made = Crew(
+        settings(siblings=count, cold_share=0.3, cold_time=8 * SECOND),
+        count,
+        {number: Machine(WARM) for number in range(1, servers + 1)},
+        seed,
+    )
     made.tell(ListKind.CACHED, entries(servers))
     made.run(8 * SECOND, load * WARM * servers)
     return made
--- a/tests/test_fleet_count.py
+++ b/tests/test_fleet_count.py
@@ -12,7 +12,14 @@
 from minthitch.fleet.count import Fleet, count, parse
 from minthitch.fleet.shown import lines
 from minthitch.interface import (
-    SECOND, AttemptEnded, Event, ListKind, ListUpdate, RequestArrived, Send, Status,
+    SECOND,
+    AttemptEnded,
+    Event,
+    ListKind,
+    ListUpdate,
+    RequestArrived,
+    Send,
+    Status,
 )
 from minthitch.listing import Host, Listing
 from minthitch.policy import Balancer
@@ -20,16 +27,34 @@
 from tests.test_cli import command
 
 SAMPLE = {
-    "n0": ["0.1 n0: a plain line", "# 1000 l FULL 0 s1/0:0:0:READY s2/0:0:0:READY",
-           "# 1000 a 1 read 0 0 900",
-           "# 1000 s 1 s1/0", "# 1200 e 1 0 s1/0 OK 200 1", "# 1300 a 2 read 1 0 900",
-           "# 1300 r 2 strain=1.0",
-           "# 2000 a 3 read 0 0 900", "# 2010 s 3 s2/0", "# 2020 e 3 0 s2/0 CONNECT_FAILED 10 0",
-           "# 2020 s 3 s1/0", "# 2500 r 3 strain=1.0", "# 2500 c 3 1", "# 2500 e 3 1 s1/0 CANCELLED 480 1"],
-    "n1": ["# 1100 l CHANGES 0 s2/0:0:0:READY", "# 1400 a 1 read 0 0 900", "# 1900 r 1 strain=1.0",
-           "# 2100 a 2 buy 0 0 900",
-           "# 2100 s 2 s1/0", "# 2400 f 2 strain=1.0", "# 2400 e 2 0 s1/0 RESET 300 1",
-           "# 2600 l CHANGES 0 s2/0:0:0:DRAINING", "# 2700 e 9 0 s1/0 NOSUCH 1 1", "# 2800 z"],
+    "n0": [
+        "0.1 n0: a plain line",
+        "# 1000 l FULL 0 s1/0:0:0:READY s2/0:0:0:READY",
+        "# 1000 a 1 read 0 0 900",
+        "# 1000 s 1 s1/0",
+        "# 1200 e 1 0 s1/0 OK 200 1",
+        "# 1300 a 2 read 1 0 900",
+        "# 1300 r 2 strain=1.0",
+        "# 2000 a 3 read 0 0 900",
+        "# 2010 s 3 s2/0",
+        "# 2020 e 3 0 s2/0 CONNECT_FAILED 10 0",
+        "# 2020 s 3 s1/0",
+        "# 2500 r 3 strain=1.0",
+        "# 2500 c 3 1",
+        "# 2500 e 3 1 s1/0 CANCELLED 480 1",
+    ],
+    "n1": [
+        "# 1100 l CHANGES 0 s2/0:0:0:READY",
+        "# 1400 a 1 read 0 0 900",
+        "# 1900 r 1 strain=1.0",
+        "# 2100 a 2 buy 0 0 900",
+        "# 2100 s 2 s1/0",
+        "# 2400 f 2 strain=1.0",
+        "# 2400 e 2 0 s1/0 RESET 300 1",
+        "# 2600 l CHANGES 0 s2/0:0:0:DRAINING",
+        "# 2700 e 9 0 s1/0 NOSUCH 1 1",
+        "# 2800 z",
+    ],
 }
 
 
@@ -85,8 +110,9 @@
     written: list[str] = []
     traced, plain = Traced(settings(), 3, written.append), Balancer(settings(), 3)
     traced.fleet = Servers(settings())
-    traced.fleet.apply(Listing(1, True, (Host("a", "127.0.0.1", 1), Host("b", "127.0.0.1", 2))),
-                       ListKind.FULL, SECOND, 0)
+    traced.fleet.apply(
+        Listing(1, True, (Host("a", "127.0.0.1", 1), Host("b", "127.0.0.1", 2))), ListKind.FULL, SECOND, 0
+    )
     now = 10 * SECOND
     for number in range(40):
         events: list[Event] = [] if number else [ListUpdate(ListKind.CACHED, entries(2))]
@@ -134,10 +160,13 @@
     assert "s2/0: named to 2 nodes within 100 ms, withdrawn by 1" in ran.stdout
 
 
-@pytest.mark.parametrize(("words", "said"), [
-    (("nosuch",), "folder nosuch: no log of a node that ran `traced`"),
-    (("nosuch", "--window", "0"), "--window 0.0 is not from 0.1 to 3600.0"),
-])
+@pytest.mark.parametrize(
+    ("words", "said"),
+    [
+        (("nosuch",), "folder nosuch: no log of a node that ran `traced`"),
+        (("nosuch", "--window", "0"), "--window 0.0 is not from 0.1 to 3600.0"),
+    ],
+)
 def test_a_folder_or_window_that_can_not_be_used_is_one_line(words: tuple[str, ...], said: str) -> None:
     ran = command("fleet", "count", *words)
     assert (ran.returncode, ran.stderr) == (2, f"minthitch: {said}\n")
--- a/tests/test_fleet_hard.py
+++ b/tests/test_fleet_hard.py
@@ -54,8 +54,10 @@
     fleet.run(3 * SECOND, 0.4 * WARM * 30, CLASSES)
     for number in lost:
         fleet.machines[number] = Machine(WARM, fleet.now)
-    fleet.tell(ListKind.CHANGES, tuple(
-        ServerEntry(n, zone=(n - 1) % 2, cell=(n - 1) % 4, started=fleet.now) for n in lost))
+    fleet.tell(
+        ListKind.CHANGES,
+        tuple(ServerEntry(n, zone=(n - 1) % 2, cell=(n - 1) % 4, started=fleet.now) for n in lost),
+    )
     fleet.run(5 * SECOND, 0.4 * WARM * 30, CLASSES)
     assert min(fleet.machines[n].served for n in lost) > 0
     assert not any(fleet.pushed_over(n) for n in lost)
@@ -77,8 +79,10 @@
     assert fleet.served - served >= 0.8 * (fleet.requests - asked), "the others serve on"
     for number in zone:
         fleet.machines[number] = Machine(WARM, fleet.now)
-    fleet.tell(ListKind.CHANGES, tuple(
-        ServerEntry(n, zone=(n - 1) % 2, cell=(n - 1) % 4, started=fleet.now) for n in zone))
+    fleet.tell(
+        ListKind.CHANGES,
+        tuple(ServerEntry(n, zone=(n - 1) % 2, cell=(n - 1) % 4, started=fleet.now) for n in zone),
+    )
     fleet.run(8 * SECOND, 0.4 * WARM * 10, CLASSES)
     fleet.run(4 * SECOND, 1.0, CLASSES)
     assert not any(node.unanswered() for node in fleet.nodes)
@@ -130,5 +134,8 @@
     fleet.run(SECOND, 0.3 * WARM * 10)
     for number in range(1, 7):
         assert all(at < late for at in fleet.machines[number].sent)
-    assert not any(isinstance(a, Send) and a.server <= 6 for node in fleet.nodes
-                   for a in node.feed(ListUpdate(ListKind.FULL, new)))
+    assert not any(
+        isinstance(a, Send) and a.server <= 6
+        for node in fleet.nodes
+        for a in node.feed(ListUpdate(ListKind.FULL, new))
+    )
--- a/tests/test_lab_choke.py
+++ b/tests/test_lab_choke.py
@@ -78,12 +78,15 @@
     assert model.choke.factor == 1.0
 
 
-@pytest.mark.parametrize(("change", "said"), [
-    ("tiers.0.choke.slower=0.5", "tiers[0].choke.slower = 0.5 is below 1"),
-    ("tiers.0.choke.below=0.0", "tiers[0].choke.below = 0.0 is not above 0 and up to 1"),
-    ("tiers.0.choke.at=-1.0", "tiers[0].choke.at = -1.0 is below 0"),
-    ("tiers.0.choke.rest=\"0s\"", "tiers[0].choke.rest = '0s' is not above 0"),
-])
+@pytest.mark.parametrize(
+    ("change", "said"),
+    [
+        ("tiers.0.choke.slower=0.5", "tiers[0].choke.slower = 0.5 is below 1"),
+        ("tiers.0.choke.below=0.0", "tiers[0].choke.below = 0.0 is not above 0 and up to 1"),
+        ("tiers.0.choke.at=-1.0", "tiers[0].choke.at = -1.0 is below 0"),
+        ('tiers.0.choke.rest="0s"', "tiers[0].choke.rest = '0s' is not above 0"),
+    ],
+)
 def test_terms_that_can_not_be_played_are_one_line(change: str, said: str) -> None:
     with pytest.raises(ConfigError) as caught:
         scenario.read("fleet-release", (change,))
--- a/tests/test_lab_hunt.py
+++ b/tests/test_lab_hunt.py
@@ -26,14 +26,18 @@
     return {"worth": worth, "broken": {**dict.fromkeys(RULES, 0), **broken}}
 
 
-@pytest.mark.parametrize(("ours", "late", "passes"), [
-    (result(0.9), result(0.9), True),
-    (result(0.9), result(0.9 + SLACK / 2), True),
-    (result(0.9), result(0.9 + 2 * SLACK), False),
-    (result(1.0, **{RULES[0]: 1}), result(0.1), False),  # no worth makes up for a rule
-])
+@pytest.mark.parametrize(
+    ("ours", "late", "passes"),
+    [
+        (result(0.9), result(0.9), True),
+        (result(0.9), result(0.9 + SLACK / 2), True),
+        (result(0.9), result(0.9 + 2 * SLACK), False),
+        (result(1.0, **{RULES[0]: 1}), result(0.1), False),  # no worth makes up for a rule
+    ],
+)
 def test_the_gate_wants_all_rules_and_the_worth_of_a_late_seeing_oracle(
-        ours: dict[str, Any], late: dict[str, Any], passes: bool) -> None:
+    ours: dict[str, Any], late: dict[str, Any], passes: bool
+) -> None:
     found = judge(ours, late)
     assert found.passed is passes and (found.margin >= 0.0) is passes
 
@@ -63,8 +67,9 @@
     mutants = [play for play in hunt.plays if play.parent >= 0]
     assert len(mutants) == 16
     assert sum(not p.verdict.passed for p in mutants if p.verdict) > 12, "mutants of failing days fail"
-    assert hunt.worst()[0].verdict == min((p.verdict for p in hunt.plays if p.verdict),
-                                          key=lambda v: v.margin)
+    assert hunt.worst()[0].verdict == min(
+        (p.verdict for p in hunt.plays if p.verdict), key=lambda v: v.margin
+    )
 
 
 def test_a_failing_day_is_cut_down_to_what_matters() -> None:
@@ -125,9 +130,19 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_the_trigger_goes_and_the_state_goes_with_it(seed: int) -> None:
     """A zone of three tiers is lost for 5 s and returns cold: 5 s on, at least 90% of an oracle's share."""
-    made = scenario.read("zone-lost", ("load.rate=120", "seconds=24", "tiers.0.servers=12", "tiers.0.nodes=5",
-                                       "tiers.1.nodes=12", "tiers.1.servers=17", "tiers.2.nodes=17",
-                                       "tiers.2.servers=19"))
+    made = scenario.read(
+        "zone-lost",
+        (
+            "load.rate=120",
+            "seconds=24",
+            "tiers.0.servers=12",
+            "tiers.0.nodes=5",
+            "tiers.1.nodes=12",
+            "tiers.1.servers=17",
+            "tiers.2.nodes=17",
+            "tiers.2.servers=19",
+        ),
+    )
     ours, oracle = Run(made, seed).play(), Run(made, seed, "oracle").play()
     assert back(ours, 18, 23) >= 0.9 * back(oracle, 18, 23)
     without = returned(Run(made, seed, make=maker(Shy)))
@@ -149,9 +164,14 @@
     assert not found.passed
 
 
-@pytest.mark.parametrize(("words", "key"), [
-    ("nosuch", "hunt 'nosuch'"), ("calm --seeds 0", "--seeds 0"), ("calm --jobs 99", "--jobs 99"),
-])
+@pytest.mark.parametrize(
+    ("words", "key"),
+    [
+        ("nosuch", "hunt 'nosuch'"),
+        ("calm --seeds 0", "--seeds 0"),
+        ("calm --jobs 99", "--jobs 99"),
+    ],
+)
 def test_a_hunt_that_can_not_be_is_one_line(words: str, key: str) -> None:
     done = command("lab", "hunt", *words.split())
     assert done.returncode == 2 and key in done.stderr and done.stderr.count("\n") == 1
--- a/tests/test_lab_load.py
+++ b/tests/test_lab_load.py
@@ -14,7 +14,7 @@
 from rigs.worktier import WorkTier
 from tests.test_node import run
 
-CROWD = ("seconds=1.5", "settle=0", "load.rate=80", "tiers.0.servers=2", "tiers.0.work=\"5ms\"")
+CROWD = ("seconds=1.5", "settle=0", "load.rate=80", "tiers.0.servers=2", 'tiers.0.work="5ms"')
 
 
 def crowd(*changes: str) -> Scenario:
@@ -53,8 +53,7 @@
         return reply(200, b"lab-0") if number % 2 else None
 
     async def day() -> None:
-        short = ("classes.0.deadline=\"500ms\"", "classes.1.deadline=\"600ms\"",
-                 "classes.2.deadline=\"600ms\"")
+        short = ('classes.0.deadline="500ms"', 'classes.1.deadline="600ms"', 'classes.2.deadline="600ms"')
         heard = await against(mixed, crowd(*short))
         texts = " ".join(heard.wrong)
         assert "got another's answer" in texts and "had no answer" in texts
@@ -104,7 +103,7 @@
 
 def test_real_servers_of_the_rig_keep_to_cores_and_slots() -> None:
     async def day() -> None:
-        made = crowd("tiers.0.servers=1", "tiers.0.slots=1", "tiers.0.work=\"50ms\"")
+        made = crowd("tiers.0.servers=1", "tiers.0.slots=1", 'tiers.0.work="50ms"')
         async with WorkTier(made.tiers[0], 1) as tier:
             heard = await drive(f"http://{tier.addresses[0]}", made, 1)
         assert heard.words["refused"] > 0 and heard.words["served"] == tier.servers[0].served > 0
--- a/tests/test_lab_model.py
+++ b/tests/test_lab_model.py
@@ -84,8 +84,9 @@
     assert one.number("x") == two.number("x") != Streams(8).number("x")
 
 
-@pytest.mark.parametrize(("kind", "width"), [("fixed", 1.0), ("exponential", 1.0), ("lognormal", 0.5),
-                                             ("pareto", 3.0)])
+@pytest.mark.parametrize(
+    ("kind", "width"), [("fixed", 1.0), ("exponential", 1.0), ("lognormal", 0.5), ("pareto", 3.0)]
+)
 def test_work_has_mean_one_whatever_its_spread(kind: str, width: float) -> None:
     stream = Stream(3, kind)
     values = [stream.spread(kind, width) for _ in range(40_000)]
@@ -115,8 +116,13 @@
         self.heard: list[tuple[int, int, Status]] = []
 
     def ask(self, number: int, work: int = 10 * MS) -> Job:
-        job = Job(number, 0, 0, work, lambda status: self.heard.append(
-            (number, (self.heap.time - START) // MS, status)))
+        job = Job(
+            number,
+            0,
+            0,
+            work,
+            lambda status: self.heard.append((number, (self.heap.time - START) // MS, status)),
+        )
         self.model.arrive(job)
         return job
 
@@ -185,7 +191,7 @@
         network.send(0, 1, lambda: came.append((heap.time - START) // MS))
     heap.run(START + 100 * SECOND)
     assert set(came) >= {1, 11, 31, 71} and abs(came.count(1) / 2_000 - 0.5) < 0.05
-    assert 2_000 - len(came) <= 2_000 * 0.5 ** MOST_RESENDS * 4  # TCP gives up in the end
+    assert 2_000 - len(came) <= 2_000 * 0.5**MOST_RESENDS * 4  # TCP gives up in the end
     network.loss = 0.0
     network.cut.add(1)
     before = len(came)
@@ -239,29 +245,36 @@
 DUE = START + 3 * SECOND
 
 
-@pytest.mark.parametrize(("cls", "steps", "rule"), [
-    (0, [("took", 1, 0, 0), ("answered", 2, "served")], ""),
-    (0, [("took", 1, 0, 0), ("took", 1, 3, 1), ("answered", 2, "refused")], ""),
-    (0, [("took", 1, 0, 0), ("answered", 2, "served"), ("answered", 2, "failed")], ANSWERS),
-    (0, [("took", 1, 0, 0), ("answered", 4, "served")], ANSWERS),
-    (0, [("answered", 2, "served")], ANSWERS),
-    (0, [("took", 1, 0, 0)], ANSWERS),
-    (0, [("took", 1, 0, 0), ("lost",)], ""),
-    (0, [("left", 2)], ""),
-    (0, [("left", 4)], ANSWERS),
-    (0, [("rejected",)], ""),
-    (0, [("took", 1, 0, 0), ("answered", 1, "served"), ("written", 2, 0)], ANSWERS),
-    (0, [("written", 2, 1), ("answered", 2, "refused")], DRAINED),
-    (0, [("written", 1.4, 1), ("took", 1, 0, 0), ("answered", 2, "served")], ""),
-    (1, [("took", 1, 0, 0), ("took", 2, 0, 1), ("answered", 2, "served")], ""),
-    (1, [("took", 0, 0, 0), ("took", 2.9, 0, 0), ("answered", 2.9, "served")], AGAIN),  # behind its window
-    (1, [("took", 1, 0, 0), ("took", 2, 1, 0), ("answered", 2, "served")], AGAIN),
-    (1, [("took", 1, 0, 0), ("answered", 2, "refused")], AGAIN),
-    (2, [("took", 1, 0, 0), ("took", 2, 0, 1), ("answered", 2, "served")], AGAIN),  # another zone
-    (3, [("took", 1, 0, 0), ("answered", 2, "failed")], ""),
-    (3, [("took", 1, 0, 0), ("took", 1, 0, 0), ("answered", 2, "served")], AGAIN),
-    (3, [("took", 1, 0, 0), ("answered", 2, "refused")], AGAIN),
-])
+@pytest.mark.parametrize(
+    ("cls", "steps", "rule"),
+    [
+        (0, [("took", 1, 0, 0), ("answered", 2, "served")], ""),
+        (0, [("took", 1, 0, 0), ("took", 1, 3, 1), ("answered", 2, "refused")], ""),
+        (0, [("took", 1, 0, 0), ("answered", 2, "served"), ("answered", 2, "failed")], ANSWERS),
+        (0, [("took", 1, 0, 0), ("answered", 4, "served")], ANSWERS),
+        (0, [("answered", 2, "served")], ANSWERS),
+        (0, [("took", 1, 0, 0)], ANSWERS),
+        (0, [("took", 1, 0, 0), ("lost",)], ""),
+        (0, [("left", 2)], ""),
+        (0, [("left", 4)], ANSWERS),
+        (0, [("rejected",)], ""),
+        (0, [("took", 1, 0, 0), ("answered", 1, "served"), ("written", 2, 0)], ANSWERS),
+        (0, [("written", 2, 1), ("answered", 2, "refused")], DRAINED),
+        (0, [("written", 1.4, 1), ("took", 1, 0, 0), ("answered", 2, "served")], ""),
+        (1, [("took", 1, 0, 0), ("took", 2, 0, 1), ("answered", 2, "served")], ""),
+        (
+            1,
+            [("took", 0, 0, 0), ("took", 2.9, 0, 0), ("answered", 2.9, "served")],
+            AGAIN,
+        ),  # behind its window
+        (1, [("took", 1, 0, 0), ("took", 2, 1, 0), ("answered", 2, "served")], AGAIN),
+        (1, [("took", 1, 0, 0), ("answered", 2, "refused")], AGAIN),
+        (2, [("took", 1, 0, 0), ("took", 2, 0, 1), ("answered", 2, "served")], AGAIN),  # another zone
+        (3, [("took", 1, 0, 0), ("answered", 2, "failed")], ""),
+        (3, [("took", 1, 0, 0), ("took", 1, 0, 0), ("answered", 2, "served")], AGAIN),
+        (3, [("took", 1, 0, 0), ("answered", 2, "refused")], AGAIN),
+    ],
+)
 def test_the_referee_sees_each_breach(cls: int, steps: list[tuple[Any, ...]], rule: str) -> None:
     ledger = Ledger((SAFE, KEYED_CELL, KEYED_ZONE, UNSAFE), 500 * MS, 20 * MS)
     ledger.accepted(1, cls, DUE)
--- a/tests/test_lab_run.py
+++ b/tests/test_lab_run.py
@@ -37,11 +37,21 @@
 
 
 def test_the_same_seed_gives_the_same_events_whatever_the_hash_seed_and_jobs(tmp_path: Path) -> None:
-    code = (f"from tests.test_lab_run import *\nprint(play('calm', {STRUCK!r})['digest'], "
-            f"Run(scenario.read('slow-tier-three', {TIERS!r}), 3).play().result()['digest'])")
-    digests = {subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True,
-                              check=True, env={**os.environ, "PYTHONHASHSEED": seed}).stdout
-               for seed in ("0", "1", "77")}
+    code = (
+        f"from tests.test_lab_run import *\nprint(play('calm', {STRUCK!r})['digest'], "
+        f"Run(scenario.read('slow-tier-three', {TIERS!r}), 3).play().result()['digest'])"
+    )
+    digests = {
+        subprocess.run(
+            [sys.executable, "-c", code],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            check=True,
+            env={**os.environ, "PYTHONHASHSEED": seed},
+        ).stdout
+        for seed in ("0", "1", "77")
+    }
     assert len(digests) == 1 and len(digests.pop().split()) == 2
     works = [Work("calm", SHORT, chooser, seed) for seed in (1, 2) for chooser in (OURS, "least-request")]
     alone, together = perform(works, 1), perform(works, 3)
@@ -54,12 +64,13 @@
         run = Run(scenario.read("calm", (*SHORT, *changes)), 1)
         inner = run.crowd.watch
         assert inner is not None
-        run.crowd.watch = lambda want, what: (seen.append((want.since, want.client, want.work))
-                                              if what == "asks" and want.tries == 1 else None)
+        run.crowd.watch = lambda want, what: (
+            seen.append((want.since, want.client, want.work)) if what == "asks" and want.tries == 1 else None
+        )
         run.play()
         return seen
 
-    assert wants() == wants("network.loss=0.01") == wants("discovery.delay=\"1s\"") != wants("load.rate=130")
+    assert wants() == wants("network.loss=0.01") == wants('discovery.delay="1s"') != wants("load.rate=130")
 
 
 def test_a_request_that_outlives_its_run_is_answered_and_counted() -> None:
@@ -153,31 +164,34 @@
 # Scenarios --------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize(("change", "words"), [
-    ("loads.rate=1", "loads = {'rate': 1}: is unknown"),
-    ("load.rat=1", "load.rat = 1: is unknown"),
-    ("load.rate=-1", "load.rate = -1"),
-    ("load.rate=\"many\"", "load.rate = 'many': Expected `float`"),
-    ("tiers.0.servers=0", "tiers[0].servers = 0 is not from 1"),
-    ("tiers.0.servers=100000", "tiers[0].servers = 100000"),
-    ("tiers.0.work=\"soon\"", "tiers[0].work = 'soon' is not a time"),
-    ("tiers.0.spread=\"odd\"", "tiers[0].spread = 'odd' is not one of fixed"),
-    ("tiers.0.calls=1", "tiers[0].calls = 1 lead to no tier"),
-    ("tiers.1.servers=1", "there is no such place"),
-    ("settle=100", "settle = 100.0 is not below"),
-    ("load.loop=\"spiral\"", "load.loop = 'spiral'"),
-    ("load.heed=2", "load.heed = 2.0"),
-    ("load.profile=[[5, 1.0], [1, 1.0]]", "load.profile"),
-    ("load.mix=[{name=\"none\"}]", "load.mix[0].name = 'none' is no class"),
-    ("network.loss=1", "network.loss = 1.0"),
-    ("deeds=[{do=\"dance\",at=1}]", "deeds[0].do = 'dance' is not one of"),
-    ("deeds=[{do=\"drain\",at=900}]", "deeds[0].at = 900.0 is not within"),
-    ("deeds=[{do=\"drain\",at=1,tier=\"none\"}]", "deeds[0].tier = 'none' is none of planner"),
-    ("deeds=[{do=\"drain\"}]", "missing required field `at`"),
-    ("classes.0.aim=\"9s\"", "classes[0].aim = '9s' is over its deadline"),
-    ("rules.drain_grace=5", "rules.drain_grace = 5"),
-    ("rate", "--set 'rate' is not key=value"),
-])
+@pytest.mark.parametrize(
+    ("change", "words"),
+    [
+        ("loads.rate=1", "loads = {'rate': 1}: is unknown"),
+        ("load.rat=1", "load.rat = 1: is unknown"),
+        ("load.rate=-1", "load.rate = -1"),
+        ('load.rate="many"', "load.rate = 'many': Expected `float`"),
+        ("tiers.0.servers=0", "tiers[0].servers = 0 is not from 1"),
+        ("tiers.0.servers=100000", "tiers[0].servers = 100000"),
+        ('tiers.0.work="soon"', "tiers[0].work = 'soon' is not a time"),
+        ('tiers.0.spread="odd"', "tiers[0].spread = 'odd' is not one of fixed"),
+        ("tiers.0.calls=1", "tiers[0].calls = 1 lead to no tier"),
+        ("tiers.1.servers=1", "there is no such place"),
+        ("settle=100", "settle = 100.0 is not below"),
+        ('load.loop="spiral"', "load.loop = 'spiral'"),
+        ("load.heed=2", "load.heed = 2.0"),
+        ("load.profile=[[5, 1.0], [1, 1.0]]", "load.profile"),
+        ('load.mix=[{name="none"}]', "load.mix[0].name = 'none' is no class"),
+        ("network.loss=1", "network.loss = 1.0"),
+        ('deeds=[{do="dance",at=1}]', "deeds[0].do = 'dance' is not one of"),
+        ('deeds=[{do="drain",at=900}]', "deeds[0].at = 900.0 is not within"),
+        ('deeds=[{do="drain",at=1,tier="none"}]', "deeds[0].tier = 'none' is none of planner"),
+        ('deeds=[{do="drain"}]', "missing required field `at`"),
+        ('classes.0.aim="9s"', "classes[0].aim = '9s' is over its deadline"),
+        ("rules.drain_grace=5", "rules.drain_grace = 5"),
+        ("rate", "--set 'rate' is not key=value"),
+    ],
+)
 def test_a_scenario_that_cannot_be_is_one_line_with_key_and_value(change: str, words: str) -> None:
     with pytest.raises(ConfigError) as caught:
         scenario.read("calm", (change,))
@@ -194,8 +208,9 @@
 # Experiments ------------------------------------------------------------------------------------
 
 
-def test_an_interrupted_experiment_goes_on_where_it_was(tmp_path: Path,
-                                                        monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_interrupted_experiment_goes_on_where_it_was(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     works = [Work("calm", SHORT, "round-robin", seed) for seed in (1, 2, 3)]
     played: list[int] = []
     inner = experiment.carry_out
@@ -264,16 +279,20 @@
     assert "NSDI 2024" in command("lab", "rivals").stdout
 
 
-@pytest.mark.parametrize(("words", "said"), [
-    (("run", "none"), "none: no such scenario; there are calm"),
-    (("run", "calm", "--set", "load.rate=0"), "load.rate = 0"),
-    (("run", "calm", "--seeds", "0"), "--seeds 0"), (("run", "calm", "--jobs", "0"), "--jobs 0"),
-    (("run", "calm", "--chooser", "x"), "--chooser 'x' is not one of minthitch"),
-    (("load", "http://192.0.2.1:80", "calm"), "is not loopback"),
-    (("load", "http://example.org:80", "calm"), "names are not looked up"),
-    (("load", "127.0.0.1", "calm"), "is not http://ADDRESS:PORT"),
-    (("replay", "calm", "1", "--want", "0"), "--want 0 is not 1 or more"),
-])
+@pytest.mark.parametrize(
+    ("words", "said"),
+    [
+        (("run", "none"), "none: no such scenario; there are calm"),
+        (("run", "calm", "--set", "load.rate=0"), "load.rate = 0"),
+        (("run", "calm", "--seeds", "0"), "--seeds 0"),
+        (("run", "calm", "--jobs", "0"), "--jobs 0"),
+        (("run", "calm", "--chooser", "x"), "--chooser 'x' is not one of minthitch"),
+        (("load", "http://192.0.2.1:80", "calm"), "is not loopback"),
+        (("load", "http://example.org:80", "calm"), "names are not looked up"),
+        (("load", "127.0.0.1", "calm"), "is not http://ADDRESS:PORT"),
+        (("replay", "calm", "1", "--want", "0"), "--want 0 is not 1 or more"),
+    ],
+)
 def test_words_that_cannot_be_are_one_line_and_exit_code_2(words: tuple[str, ...], said: str) -> None:
     done = command("lab", *words)
     assert done.returncode == 2 and said in done.stderr and len(done.stderr.splitlines()) == 1, done.stderr
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -9,29 +9,71 @@
 
 ROOT = Path(__file__).parent.parent
 DEFAULT_START = {
-    "minthitch", "minthitch.config", "minthitch.engine", "minthitch.engine.attempts",
-    "minthitch.engine.calls", "minthitch.engine.clock", "minthitch.engine.core", "minthitch.engine.counts",
+    "minthitch",
+    "minthitch.config",
+    "minthitch.engine",
+    "minthitch.engine.attempts",
+    "minthitch.engine.calls",
+    "minthitch.engine.clock",
+    "minthitch.engine.core",
+    "minthitch.engine.counts",
     "minthitch.engine.fields",
-    "minthitch.engine.fleet", "minthitch.engine.ports", "minthitch.engine.stream", "minthitch.decisions",
-    "minthitch.decisions.admission", "minthitch.decisions.budget", "minthitch.decisions.choice",
+    "minthitch.engine.fleet",
+    "minthitch.engine.ports",
+    "minthitch.engine.stream",
+    "minthitch.decisions",
+    "minthitch.decisions.admission",
+    "minthitch.decisions.budget",
+    "minthitch.decisions.choice",
     "minthitch.decisions.cold",
-    "minthitch.decisions.evidence", "minthitch.decisions.gamma", "minthitch.decisions.known",
+    "minthitch.decisions.evidence",
+    "minthitch.decisions.gamma",
+    "minthitch.decisions.known",
     "minthitch.decisions.outcomes",
-    "minthitch.decisions.placing", "minthitch.decisions.requests", "minthitch.decisions.servers",
+    "minthitch.decisions.placing",
+    "minthitch.decisions.requests",
+    "minthitch.decisions.servers",
     "minthitch.decisions.sets",
     "minthitch.interface",
-    "minthitch.listing", "minthitch.log", "minthitch.memory", "minthitch.net", "minthitch.net.callers",
-    "minthitch.net.crowd", "minthitch.net.discovery",
-    "minthitch.net.door", "minthitch.net.node", "minthitch.net.servers", "minthitch.net.succession",
-    "minthitch.net.uploads", "minthitch.policy", "minthitch.program", "minthitch.settings",
+    "minthitch.listing",
+    "minthitch.log",
+    "minthitch.memory",
+    "minthitch.net",
+    "minthitch.net.callers",
+    "minthitch.net.crowd",
+    "minthitch.net.discovery",
+    "minthitch.net.door",
+    "minthitch.net.node",
+    "minthitch.net.servers",
+    "minthitch.net.succession",
+    "minthitch.net.uploads",
+    "minthitch.policy",
+    "minthitch.program",
+    "minthitch.settings",
 }
-NEVER = ("minthitch.admin", "minthitch.operators", "minthitch.record", "minthitch.recovery", "msgspec",
-         "starlette", "fastapi", "httpx", "rich", "argparse", "sqlite3")
+NEVER = (
+    "minthitch.admin",
+    "minthitch.operators",
+    "minthitch.record",
+    "minthitch.recovery",
+    "msgspec",
+    "starlette",
+    "fastapi",
+    "httpx",
+    "rich",
+    "argparse",
+    "sqlite3",
+)
 
 
 def _modules(code: str) -> set[str]:
-    run = subprocess.run([sys.executable, "-c", f"{code}\nimport sys\nprint(*sys.modules)"], cwd=ROOT,
-                         capture_output=True, text=True, check=True)
+    run = subprocess.run(
+        [sys.executable, "-c", f"{code}\nimport sys\nprint(*sys.modules)"],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        check=True,
+    )
     return set(run.stdout.split())
 
 
@@ -50,11 +92,16 @@
 def test_the_parts_of_the_decisions_load_alone() -> None:
     """Another program takes the curves, the sets and the evidence, and pays for nothing else."""
     loaded = _modules(
-        "import minthitch.decisions.gamma, minthitch.decisions.sets, minthitch.decisions.evidence")
+        "import minthitch.decisions.gamma, minthitch.decisions.sets, minthitch.decisions.evidence"
+    )
     own = {name for name in loaded if name.split(".")[0] == "minthitch"}
-    assert own == {"minthitch", "minthitch.decisions", "minthitch.decisions.gamma",
-                   "minthitch.decisions.sets",
-                   "minthitch.decisions.evidence"}
+    assert own == {
+        "minthitch",
+        "minthitch.decisions",
+        "minthitch.decisions.gamma",
+        "minthitch.decisions.sets",
+        "minthitch.decisions.evidence",
+    }
     assert not loaded & {"asyncio", "dataclasses", "enum", "typing", "random"}
 
 
--- a/tests/test_long_bodies.py
+++ b/tests/test_long_bodies.py
@@ -89,14 +89,17 @@
         self.said.append(whole)
 
 
-@pytest.mark.parametrize(("script", "said"), [
-    ("feed start feed finish", [b"1", "resume", b"3", True, "settled True"]),
-    ("feed finish start", [b"1", True, "settled True"]),
-    ("start feed break finish drop", ["resume", b"2", False, "settled False"]),
-    ("start feed drop finish", ["resume", b"2", "settled False", "drop"]),
-    ("feed drop", ["settled False", "drop"]),
-    ("start pause resume finish pause resume", ["resume", "pause", "resume", True, "settled True"]),
-])
+@pytest.mark.parametrize(
+    ("script", "said"),
+    [
+        ("feed start feed finish", [b"1", "resume", b"3", True, "settled True"]),
+        ("feed finish start", [b"1", True, "settled True"]),
+        ("start feed break finish drop", ["resume", b"2", False, "settled False"]),
+        ("start feed drop finish", ["resume", b"2", "settled False", "drop"]),
+        ("feed drop", ["settled False", "drop"]),
+        ("start pause resume finish pause resume", ["resume", "pause", "resume", True, "settled True"]),
+    ],
+)
 def test_a_stream_ends_once_and_in_order(script: str, said: list[object]) -> None:
     ends = _Ends()
     stream = Stream(None, ends)
@@ -117,9 +120,12 @@
 
 
 def _chunked(body: bytes, size: int) -> bytes:
-    parts = [body[i:i + size] for i in range(0, len(body), size)]
-    return b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"".join(
-        b"%x\r\n%b\r\n" % (len(part), part) for part in parts) + b"0\r\n\r\n"
+    parts = [body[i : i + size] for i in range(0, len(body), size)]
+    return (
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+        + b"".join(b"%x\r\n%b\r\n" % (len(part), part) for part in parts)
+        + b"0\r\n\r\n"
+    )
 
 
 async def _body(caller: Caller, version: bytes = b"1.1") -> bytes:
@@ -240,15 +246,18 @@
         assert len(r.sends) == 1
 
 
-@pytest.mark.parametrize(("head", "size", "how", "status"), [
-    (b"1 200 OK\r\nConnection: close", 5, "end", 200),
-    (b"1 200 OK\r\nConnection: x, Close", 3_000_000, "end", 200),
-    (b"0 200 OK\r\nX: y", 5, "end", 200),
-    (b"1 200 OK\r\nX: y", 5, "end", 502),  # nobody said that the end ends it
-    (b"1 200 OK\r\nConnection: close", 5, "reset", 502),
-    (b"1 200 OK\r\nConnection: close\r\nContent-Length: 9", 5, "end", 502),
-    (b"1 500 x\r\nConnection: close", 5, "end", 502),
-])
+@pytest.mark.parametrize(
+    ("head", "size", "how", "status"),
+    [
+        (b"1 200 OK\r\nConnection: close", 5, "end", 200),
+        (b"1 200 OK\r\nConnection: x, Close", 3_000_000, "end", 200),
+        (b"0 200 OK\r\nX: y", 5, "end", 200),
+        (b"1 200 OK\r\nX: y", 5, "end", 502),  # nobody said that the end ends it
+        (b"1 200 OK\r\nConnection: close", 5, "reset", 502),
+        (b"1 200 OK\r\nConnection: close\r\nContent-Length: 9", 5, "end", 502),
+        (b"1 500 x\r\nConnection: close", 5, "end", 502),
+    ],
+)
 def test_an_answer_framed_by_the_connections_end(head: bytes, size: int, how: str, status: int) -> None:
     run(_by_the_end, head, size, how, status)
 
@@ -258,7 +267,7 @@
 
 async def _pieces(data: bytes, size: int) -> AsyncIterator[bytes]:
     for i in range(0, len(data), size):
-        yield data[i:i + size]
+        yield data[i : i + size]
         await asyncio.sleep(0)
 
 
@@ -345,8 +354,9 @@
         r.node.callers.room.most, r.node.callers.room.hard = 1_000_000, 1_200_000
         callers = [await r.caller() for _ in range(3)]
         for caller in callers:  # none says how long its body is, and none ends
-            caller.writer.write(call("unsafe", extra="Transfer-Encoding: chunked\r\n").replace(
-                b"Content-Length: 0\r\n", b""))
+            caller.writer.write(
+                call("unsafe", extra="Transfer-Encoding: chunked\r\n").replace(b"Content-Length: 0\r\n", b"")
+            )
             caller.writer.write((b"186A0\r\n" + b"x" * 100_000 + b"\r\n") * 12)
         statuses = sorted([(await caller.answer())[0] for caller in callers])
         assert statuses[-1] == 503 and set(statuses) <= {408, 413, 503}
@@ -391,7 +401,8 @@
     async with rig(script) as r:
         status, _, _ = await r.ask(
             b"POST /api HTTP/1.1\r\nX-Correlation-Id:\t7 \r\nX-Service-Class:unsafe \t\r\n"
-            b"X-Time-Left:   900m  \r\nContent-Length: 3 \r\n\r\nabc")
+            b"X-Time-Left:   900m  \r\nContent-Length: 3 \r\n\r\nabc"
+        )
         assert status == 200
 
 
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -37,11 +37,19 @@
 
 
 def test_actions_do_not_depend_on_the_hash_seed() -> None:
-    code = ("from tests.rules import hostile_day, settings\n"
-            "for seed in range(4): print(hostile_day(settings(), seed).log)")
+    code = (
+        "from tests.rules import hostile_day, settings\n"
+        "for seed in range(4): print(hostile_day(settings(), seed).log)"
+    )
     outputs = {
-        subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True,
-                       env={**os.environ, "PYTHONHASHSEED": seed}).stdout
+        subprocess.run(
+            [sys.executable, "-c", code],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            check=True,
+            env={**os.environ, "PYTHONHASHSEED": seed},
+        ).stdout
         for seed in ("0", "1", "12345")
     }
     assert len(outputs) == 1
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -68,24 +68,28 @@
         assert len(r.sends) == sends
 
 
-@pytest.mark.parametrize(("answer", "sends", "status"), [
-    (OK, 1, 200),
-    (reply(500), 1, 502),
-    (reply(404), 1, 502),
-    (reply(204), 1, 502),
-    (reply(503), 1, 502),
-    (reply(504), 1, 502),
-    (reply(503, extra="X-Unprocessed: 0\r\n"), 1, 502),
-    (reply(503, extra="X-Unprocessed: 1\r\n"), 2, 200),
-    (reply(504, extra="X-Unprocessed: 1\r\n"), 2, 200),
-    (reply(500, extra="X-Unprocessed: 1\r\n"), 1, 502),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", 1, 502),
-    (b"no HTTP at all\r\n\r\n", 1, 502),
-    ("reset", 1, 502),
-    ("end", 1, 502),
-])
-def test_an_unsafe_request_goes_out_again_only_if_it_never_ran(answer: bytes | str, sends: int,
-                                                               status: int) -> None:
+@pytest.mark.parametrize(
+    ("answer", "sends", "status"),
+    [
+        (OK, 1, 200),
+        (reply(500), 1, 502),
+        (reply(404), 1, 502),
+        (reply(204), 1, 502),
+        (reply(503), 1, 502),
+        (reply(504), 1, 502),
+        (reply(503, extra="X-Unprocessed: 0\r\n"), 1, 502),
+        (reply(503, extra="X-Unprocessed: 1\r\n"), 2, 200),
+        (reply(504, extra="X-Unprocessed: 1\r\n"), 2, 200),
+        (reply(500, extra="X-Unprocessed: 1\r\n"), 1, 502),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", 1, 502),
+        (b"no HTTP at all\r\n\r\n", 1, 502),
+        ("reset", 1, 502),
+        ("end", 1, 502),
+    ],
+)
+def test_an_unsafe_request_goes_out_again_only_if_it_never_ran(
+    answer: bytes | str, sends: int, status: int
+) -> None:
     async def cut(*args: Any) -> None:
         await _unsafe_outcome(*args)
 
@@ -139,8 +143,7 @@
 
     async with rig(script, script, script) as r:
         cells = {"s0": 0, "s1": 0, "s2": 1}
-        r.discovery.change(*(
-            {**host, "block": cells[host["host"]]} for host in r.discovery.hosts))
+        r.discovery.change(*({**host, "block": cells[host["host"]]} for host in r.discovery.hosts))
         await r.until(lambda: r.node.engine.fleet.seq == 2)
         for _ in range(12):
             for server in r.servers:
@@ -299,8 +302,9 @@
 
 async def _drained_while_connecting(monkeypatch: pytest.MonkeyPatch) -> None:
     gate = Gate(monkeypatch)
-    async with rig(serve_ok, rules={"drainGraceNs": 0},
-                   policyLimits={"connectTimeoutNs": 60_000 * 1_000_000}) as r:
+    async with rig(
+        serve_ok, rules={"drainGraceNs": 0}, policyLimits={"connectTimeoutNs": 60_000 * 1_000_000}
+    ) as r:
         caller = await r.caller()
         caller.writer.write(call("unsafe", left="900m"))
         await r.until(lambda: gate.waiting == 1)
@@ -313,7 +317,8 @@
 
 
 def test_an_attempt_that_connects_past_the_drain_grace_is_not_written(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     run(_drained_while_connecting, monkeypatch)
 
 
@@ -331,7 +336,8 @@
 
 
 def test_an_attempt_whose_caller_left_while_it_connected_is_not_written(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     run(_gone_while_connecting, monkeypatch)
 
 
@@ -394,25 +400,29 @@
 HEAD = "X-Correlation-Id: 1\r\nX-Service-Class: safe\r\n"
 
 
-@pytest.mark.parametrize(("data", "status"), [
-    (b"no HTTP at all\r\n\r\n", 400),
-    (b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03", 400),
-    (f"GET /api HTTP/1.1\r\n{HEAD}X-Time-Left: soon\r\n\r\n".encode(), 400),
-    (f"GET /api HTTP/1.1\r\n{HEAD}X-Time-Left: -5m\r\n\r\n".encode(), 400),
-    (f"GET /api HTTP/1.1\r\n{HEAD}X-Weight-Hint: much\r\n\r\n".encode(), 400),
-    (f"GET /api HTTP/1.1\r\n{HEAD}X-Correlation-Id: 2\r\n\r\n".encode(), 400),
-    (b"GET /api HTTP/1.1\r\nX-Service-Class: safe\r\n\r\n", 400),
-    (b"GET /api HTTP/1.1\r\nX-Correlation-Id: 1\r\nX-Service-Class: none\r\n\r\n", 400),
-    (b"POST /api HTTP/1.1\r\nX-Correlation-Id: 1\r\nX-Service-Class: keyed\r\n\r\n", 400),
-    (f"POST /api HTTP/1.1\r\n{HEAD}Content-Length: x\r\n\r\n".encode(), 400),
-    (b"GET /elsewhere HTTP/1.1\r\n\r\n", 404),
-    (b"DELETE /api HTTP/1.1\r\n\r\n", 405),
-    (b"POST /ready HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 405),
-    (f"POST /api HTTP/1.1\r\n{HEAD}Content-Length: 35651585\r\n\r\n".encode(), 413),
-    (b"GET /api HTTP/1.1\r\nX: " + b"x" * 40_000 + b"\r\n\r\n", 431),
-])
-def test_bad_input_is_answered_and_the_node_lives_on(data: bytes, status: int,
-                                                    capfd: pytest.CaptureFixture[str]) -> None:
+@pytest.mark.parametrize(
+    ("data", "status"),
+    [
+        (b"no HTTP at all\r\n\r\n", 400),
+        (b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03", 400),
+        (f"GET /api HTTP/1.1\r\n{HEAD}X-Time-Left: soon\r\n\r\n".encode(), 400),
+        (f"GET /api HTTP/1.1\r\n{HEAD}X-Time-Left: -5m\r\n\r\n".encode(), 400),
+        (f"GET /api HTTP/1.1\r\n{HEAD}X-Weight-Hint: much\r\n\r\n".encode(), 400),
+        (f"GET /api HTTP/1.1\r\n{HEAD}X-Correlation-Id: 2\r\n\r\n".encode(), 400),
+        (b"GET /api HTTP/1.1\r\nX-Service-Class: safe\r\n\r\n", 400),
+        (b"GET /api HTTP/1.1\r\nX-Correlation-Id: 1\r\nX-Service-Class: none\r\n\r\n", 400),
+        (b"POST /api HTTP/1.1\r\nX-Correlation-Id: 1\r\nX-Service-Class: keyed\r\n\r\n", 400),
+        (f"POST /api HTTP/1.1\r\n{HEAD}Content-Length: x\r\n\r\n".encode(), 400),
+        (b"GET /elsewhere HTTP/1.1\r\n\r\n", 404),
+        (b"DELETE /api HTTP/1.1\r\n\r\n", 405),
+        (b"POST /ready HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 405),
+        (f"POST /api HTTP/1.1\r\n{HEAD}Content-Length: 35651585\r\n\r\n".encode(), 413),
+        (b"GET /api HTTP/1.1\r\nX: " + b"x" * 40_000 + b"\r\n\r\n", 431),
+    ],
+)
+def test_bad_input_is_answered_and_the_node_lives_on(
+    data: bytes, status: int, capfd: pytest.CaptureFixture[str]
+) -> None:
     async def bad() -> None:
         async with rig(serve_ok) as r:
             caller = await r.caller()
--- a/tests/test_odd_lists.py
+++ b/tests/test_odd_lists.py
@@ -23,15 +23,18 @@
     return fleet.apply(told, ListKind.FULL if told.whole else ListKind.CHANGES, SECOND, 0)[0]
 
 
-@pytest.mark.parametrize(("row", "name", "why"), [
-    (7, "", "an entry names no host"),
-    ({"dial": "127.0.0.1:3"}, "", "an entry names no host"),
-    ({"host": "c"}, "c", "an address is no text"),
-    ({"host": "c", "dial": "box:3"}, "c", "bad address 'box:3'"),
-    ({"host": "c", "dial": "127.0.0.1:3", "health": "well"}, "c", "health 'well' is unknown"),
-    ({"host": "c", "dial": "127.0.0.1:3", "share": "much"}, "c", "share is not a number"),
-    ({"host": "c", "dial": "127.0.0.1:3", "born_ms": -1}, "c", "born_ms is not a whole number"),
-])
+@pytest.mark.parametrize(
+    ("row", "name", "why"),
+    [
+        (7, "", "an entry names no host"),
+        ({"dial": "127.0.0.1:3"}, "", "an entry names no host"),
+        ({"host": "c"}, "c", "an address is no text"),
+        ({"host": "c", "dial": "box:3"}, "c", "bad address 'box:3'"),
+        ({"host": "c", "dial": "127.0.0.1:3", "health": "well"}, "c", "health 'well' is unknown"),
+        ({"host": "c", "dial": "127.0.0.1:3", "share": "much"}, "c", "share is not a number"),
+        ({"host": "c", "dial": "127.0.0.1:3", "born_ms": -1}, "c", "born_ms is not a whole number"),
+    ],
+)
 def test_an_odd_entry_is_left_out_and_the_rest_is_used(row: Any, name: str, why: str) -> None:
     told = listing(GOOD[0], row, GOOD[1])
     assert [host.name for host in told.hosts] == ["a", "b"]
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -48,10 +48,31 @@
 
 def test_each_call_is_answered_in_a_line_that_begins_with_done_or_error() -> None:
     node = Desked()
-    said = [answer(line, node) for line in
-            (b"ready", b"drain", b"drain\r", b"ready", b" resume ", b"ready", b"", b"halt", b"drain now")]
+    said = [
+        answer(line, node)
+        for line in (
+            b"ready",
+            b"drain",
+            b"drain\r",
+            b"ready",
+            b" resume ",
+            b"ready",
+            b"",
+            b"halt",
+            b"drain now",
+        )
+    ]
     assert [text.split()[0] for text in said] == [
-        "done", "done", "done", "error", "done", "done", "error", "error", "error"]
+        "done",
+        "done",
+        "done",
+        "error",
+        "done",
+        "done",
+        "error",
+        "error",
+        "error",
+    ]
     assert all("\n" not in text for text in said)
     assert node.ready()  # the call with a word too many changed nothing
     assert "'halt'" in said[7] and all(name in said[7] for name in CALLS)
@@ -65,28 +86,38 @@
     node.counts.rejected(1, Rejected(409, "open"))
     node.counts.sends = 4
     assert answer(b"show-stat", node).split("\n") == [
-        'edge_balancer_success{tier="a"} 2', 'edge_balancer_success{tier="b\\"\\\\"} 0',
-        'edge_balancer_busy{tier="a"} 1', 'edge_balancer_busy{tier="b\\"\\\\"} 1',
-        'edge_balancer_failure{tier="a"} 1', 'edge_balancer_failure{tier="b\\"\\\\"} 1',
-        "edge_balancer_backend_calls 4", "edge_balancer_inflight 7", "edge_balancer_hosts_listed 5",
-        "edge_balancer_hosts_down 1", "end"]
-
-
-@pytest.mark.parametrize(("deeds", "at", "accepts", "keeps", "wanted"), [
-    ("", 9.0, True, True, True),
-    ("end", KEEP_ON - 0.1, False, True, True),
-    ("end", KEEP_ON + 0.1, False, False, False),
-    ("away", AWAY_LINGER - 0.1, True, True, False),
-    ("away", AWAY_LINGER + 0.1, True, False, False),
-    ("away back", 9.0, True, True, True),
-    ("end", 0.1, True, True, True),
-    ("end", ACCEPT_ON + 0.1, False, True, True),
-    ("end away back", 0.1, True, True, True),  # the end is final
-    ("succeeded end", 0.0, False, True, False),
-    ("succeeded end", ACCEPT_ON + 0.1, False, True, False),
-    ("succeeded end", SUCCEEDED_LINGER + 0.1, False, False, False),
-    ("succeeded away", 0.5, True, True, False),
-])
+        'edge_balancer_success{tier="a"} 2',
+        'edge_balancer_success{tier="b\\"\\\\"} 0',
+        'edge_balancer_busy{tier="a"} 1',
+        'edge_balancer_busy{tier="b\\"\\\\"} 1',
+        'edge_balancer_failure{tier="a"} 1',
+        'edge_balancer_failure{tier="b\\"\\\\"} 1',
+        "edge_balancer_backend_calls 4",
+        "edge_balancer_inflight 7",
+        "edge_balancer_hosts_listed 5",
+        "edge_balancer_hosts_down 1",
+        "end",
+    ]
+
+
+@pytest.mark.parametrize(
+    ("deeds", "at", "accepts", "keeps", "wanted"),
+    [
+        ("", 9.0, True, True, True),
+        ("end", KEEP_ON - 0.1, False, True, True),
+        ("end", KEEP_ON + 0.1, False, False, False),
+        ("away", AWAY_LINGER - 0.1, True, True, False),
+        ("away", AWAY_LINGER + 0.1, True, False, False),
+        ("away back", 9.0, True, True, True),
+        ("end", 0.1, True, True, True),
+        ("end", ACCEPT_ON + 0.1, False, True, True),
+        ("end away back", 0.1, True, True, True),  # the end is final
+        ("succeeded end", 0.0, False, True, False),
+        ("succeeded end", ACCEPT_ON + 0.1, False, True, False),
+        ("succeeded end", SUCCEEDED_LINGER + 0.1, False, False, False),
+        ("succeeded away", 0.5, True, True, False),
+    ],
+)
 def test_the_door_by_state_and_time(deeds: str, at: float, accepts: bool, keeps: bool, wanted: bool) -> None:
     door = Door()
     for deed in deeds.split():
@@ -140,8 +171,13 @@
             await r.ask(call(cls))
         await r.ask(call("unsafe").replace(b"POST", b"GET", 1))
         figures = r.node.figures()
-        counts = dict(zip(figures.classes, zip(
-            figures.counts.served, figures.counts.refused, figures.counts.failed, strict=True), strict=True))
+        counts = dict(
+            zip(
+                figures.classes,
+                zip(figures.counts.served, figures.counts.refused, figures.counts.failed, strict=True),
+                strict=True,
+            )
+        )
         assert counts["unsafe"] == (1, 0, 2) and counts["safe"] == (1, 0, 0)
         assert figures.counts.sends == len(r.sends) == 3
         assert (figures.inflight, figures.listed, figures.down) == (0, 2, 0)
@@ -182,8 +218,13 @@
 
 
 async def _successor(r: Rig, folder: str, port: int) -> Node:
-    node = Node(replace(config(SETTINGS, r.node.config.discovery, r.discovery.hosts),
-                        listen=("127.0.0.1", port), handover=folder))
+    node = Node(
+        replace(
+            config(SETTINGS, r.node.config.discovery, r.discovery.hosts),
+            listen=("127.0.0.1", port),
+            handover=folder,
+        )
+    )
     await node.start()
     return node
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -57,17 +57,21 @@
     return 200, {"rest": rest}
 
 
-@pytest.mark.parametrize(("data", "status", "words"), [
-    (b"GET /echo/a%20b%2Fc?x=1 HTTP/1.1\r\n\r\n", 200, "a b/c"),
-    (b"GET /none HTTP/1.1\r\n\r\n", 404, "no page 'none'; there are echo"),
-    (b"POST /echo/a HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 405, "only GET"),
-    (b"nonsense\r\n\r\n", 400, "not a request"),
-    (b"GET /echo/fault HTTP/1.1\r\n\r\n", 500, "the log has it"),
-    (b"GET /echo/slow HTTP/1.1\r\n\r\n", 504, "no answer within"),
-    (b"GET /echo/a HTTP/1.1\r\nX: " + b"x" * 20_000 + b"\r\n\r\n", 431, "a head of over"),
-])
-def test_each_request_gets_one_answer(data: bytes, status: int, words: str,
-                                      monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize(
+    ("data", "status", "words"),
+    [
+        (b"GET /echo/a%20b%2Fc?x=1 HTTP/1.1\r\n\r\n", 200, "a b/c"),
+        (b"GET /none HTTP/1.1\r\n\r\n", 404, "no page 'none'; there are echo"),
+        (b"POST /echo/a HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 405, "only GET"),
+        (b"nonsense\r\n\r\n", 400, "not a request"),
+        (b"GET /echo/fault HTTP/1.1\r\n\r\n", 500, "the log has it"),
+        (b"GET /echo/slow HTTP/1.1\r\n\r\n", 504, "no answer within"),
+        (b"GET /echo/a HTTP/1.1\r\nX: " + b"x" * 20_000 + b"\r\n\r\n", 431, "a head of over"),
+    ],
+)
+def test_each_request_gets_one_answer(
+    data: bytes, status: int, words: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(listener_module, "ANSWER_WITHIN", 0.1)
 
     async def play(made: Listener) -> None:
@@ -85,8 +89,10 @@
     monkeypatch.setattr(listener_module, "READ_WITHIN", 0.2)
 
     async def play(made: Listener) -> None:
-        silent = [await asyncio.open_connection("127.0.0.1", made.port)
-                  for _ in range(listener_module.MOST_CONNECTIONS)]
+        silent = [
+            await asyncio.open_connection("127.0.0.1", made.port)
+            for _ in range(listener_module.MOST_CONNECTIONS)
+        ]
         async with asyncio.timeout(PATIENCE):
             while made.connections < len(silent):
                 await asyncio.sleep(0)
@@ -107,10 +113,16 @@
     server = Postgres(folder / "pg.db") if postgres else None
     store, port = server.url if server else str(folder / "r.db"), free_port()
     async with tier(serve_ok) as servers:
-        node = NodeProcess({
-            "name": "n1", "servers": servers.addresses, "seed": "1", "settings": SETTINGS,
-            "operators": {"listen": f"127.0.0.1:{port}"},
-            "record": {"store": store, "identity": "X-Sale-Id", "required": ["unsafe"]}})
+        node = NodeProcess(
+            {
+                "name": "n1",
+                "servers": servers.addresses,
+                "seed": "1",
+                "settings": SETTINGS,
+                "operators": {"listen": f"127.0.0.1:{port}"},
+                "record": {"store": store, "identity": "X-Sale-Id", "required": ["unsafe"]},
+            }
+        )
         await node.start()
         assert (await node.ask(sale("sale 1/ø", 1)))[0] == 200
         status, shown = await get(port, "/record/sale%201/%C3%83%C2%B8")
@@ -136,9 +148,12 @@
 async def _library(folder: Path) -> None:
     port = free_port()
     async with tier(serve_ok) as servers:
-        table = {"servers": servers.addresses, "operators": {"listen": f"127.0.0.1:{port}"}, "classes": [
-            {"name": "buy", "effect": "unsafe", "aim": "1s", "deadline": "4s"}],
-            "record": {"store": str(folder / "r.db"), "identity": "X-Sale-Id", "required": ["buy"]}}
+        table = {
+            "servers": servers.addresses,
+            "operators": {"listen": f"127.0.0.1:{port}"},
+            "classes": [{"name": "buy", "effect": "unsafe", "aim": "1s", "deadline": "4s"}],
+            "record": {"store": str(folder / "r.db"), "identity": "X-Sale-Id", "required": ["buy"]},
+        }
         async with Client(operatorfile.from_table(table)) as client:
             answer = await client.call("buy", "/tickets", body=b"x", headers={"X-Sale-Id": "s1"})
             assert isinstance(answer, Served)
@@ -152,13 +167,18 @@
     run(_library, tmp_path)
 
 
-@pytest.mark.parametrize(("table", "words"), [
-    ({"listen": "here"}, "operators.listen = 'here'"), ({}, "operators = {} names neither"),
-    ({"calls": "9901"}, "operators.calls = '9901'"),
-    ({"handover": "/none/such"}, "operators.handover = '/none"),
-    ({"handover": 7}, "operators.handover = 7 is not a folder"),
-    ({"listen": "127.0.0.1:1", "tls": True}, "operators.tls = True is unknown"),
-    ("127.0.0.1:1", "operators = '127.0.0.1:1' is not a table")])
+@pytest.mark.parametrize(
+    ("table", "words"),
+    [
+        ({"listen": "here"}, "operators.listen = 'here'"),
+        ({}, "operators = {} names neither"),
+        ({"calls": "9901"}, "operators.calls = '9901'"),
+        ({"handover": "/none/such"}, "operators.handover = '/none"),
+        ({"handover": 7}, "operators.handover = 7 is not a folder"),
+        ({"listen": "127.0.0.1:1", "tls": True}, "operators.tls = True is unknown"),
+        ("127.0.0.1:1", "operators = '127.0.0.1:1' is not a table"),
+    ],
+)
 def test_a_listener_that_cannot_be_is_one_line_with_key_and_value(table: object, words: str) -> None:
     with pytest.raises(ConfigError) as caught:
         operatorfile.from_table({**GOOD, "operators": table})
@@ -169,9 +189,17 @@
     async def day() -> None:
         async def play(made: Listener) -> None:
             path = tmp_path / "node.json"
-            path.write_text(json.dumps({
-                "name": "n1", "listen": f"127.0.0.1:{free_port()}", "servers": ["127.0.0.1:2"],
-                "settings": SETTINGS, "operators": {"listen": f"127.0.0.1:{made.port}"}}))
+            path.write_text(
+                json.dumps(
+                    {
+                        "name": "n1",
+                        "listen": f"127.0.0.1:{free_port()}",
+                        "servers": ["127.0.0.1:2"],
+                        "settings": SETTINGS,
+                        "operators": {"listen": f"127.0.0.1:{made.port}"},
+                    }
+                )
+            )
             done = await asyncio.to_thread(command, "serve", str(path))
             assert done.returncode == 2 and f"operators.listen = 127.0.0.1:{made.port}" in done.stderr
             assert len(done.stderr.splitlines()) == 1 and os.linesep in done.stderr
--- a/tests/test_powerloss.py
+++ b/tests/test_powerloss.py
@@ -28,24 +28,34 @@
 
 
 def cold_settings(siblings: int, **more: Any) -> Settings:
-    return settings(siblings=siblings, cold_share=SHARE, cold_time=9 * SECOND, cold_multiple=2.0,
-                    cold_window=SECOND, idle_close=30 * SECOND, **more)
+    return settings(
+        siblings=siblings,
+        cold_share=SHARE,
+        cold_time=9 * SECOND,
+        cold_multiple=2.0,
+        cold_window=SECOND,
+        idle_close=30 * SECOND,
+        **more,
+    )
 
 
 def cold_crew(seed: int, nodes: int, servers: int, siblings: int, setup: Settings | None = None) -> Crew:
     """Nodes that have just started, and have just heard of servers that have, too."""
     made = Crew(setup or cold_settings(siblings), nodes, {}, seed)
     made.machines.update({n: Machine(WARM, made.now) for n in range(1, servers + 1)})
-    made.tell(ListKind.FULL, tuple(
-        ServerEntry(n, zone=n % 2, cell=n % 4, started=made.now) for n in made.machines))
+    made.tell(
+        ListKind.FULL, tuple(ServerEntry(n, zone=n % 2, cell=n % 4, started=made.now) for n in made.machines)
+    )
     return made
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize(
-    ("nodes", "servers", "part"), [(1, 1, 0.4), (6, 12, 0.8), (40, 60, 0.8), (200, 30, 0.5)])
+    ("nodes", "servers", "part"), [(1, 1, 0.4), (6, 12, 0.8), (40, 60, 0.8), (200, 30, 0.5)]
+)
 def test_a_fleet_that_is_cold_as_a_whole_serves_what_it_can(
-        seed: int, nodes: int, servers: int, part: float) -> None:
+    seed: int, nodes: int, servers: int, part: float
+) -> None:
     """No server is warm, so that none tells what a cold one may get: all was refused for `cold_time`.
 
     Of what the cold servers can do, a node with less than a call a second leaves more.
@@ -92,8 +102,9 @@
     fleet.run(SECOND, 2 * SHARE * WARM * 12, setup.classes)
     asked = fleet.requests
     fleet.run(6 * SECOND, 2 * SHARE * WARM * 12, setup.classes)
-    refused = [a.request for node in fleet.nodes for a in node.log
-               if isinstance(a, Refuse) and a.request > asked]
+    refused = [
+        a.request for node in fleet.nodes for a in node.log if isinstance(a, Refuse) and a.request > asked
+    ]
     worthiest = sum(number % 4 == 3 for number in refused)
     assert worthiest <= 0.05 * (fleet.requests - asked) / 4, "it fits by itself"
     assert len(refused) >= 0.1 * (fleet.requests - asked), "and the others do not"
@@ -123,28 +134,53 @@
 
 # The rig's own parts ----------------------------------------------------------------------------
 
-ASKED, HEARD = Event(1.0, "n0", "asked", "w1", "buy-ticket"), Event(2.0, "n0", "heard", "w1", "buy-ticket",
-                                                                   "served")
+ASKED, HEARD = (
+    Event(1.0, "n0", "asked", "w1", "buy-ticket"),
+    Event(2.0, "n0", "heard", "w1", "buy-ticket", "served"),
+)
 TOOK, DID = Event(1.2, "s0", "took", "w1", "buy-ticket"), Event(1.5, "s0", "did", "w1", "buy-ticket")
 
 
-@pytest.mark.parametrize(("history", "what"), [
-    ((ASKED, TOOK, DID, HEARD), ""),
-    ((ASKED, TOOK, DID), "0 ends"),
-    ((ASKED, TOOK, DID, HEARD, HEARD), "2 ends"),
-    ((ASKED, TOOK, HEARD), "no server did it"),
-    ((ASKED, TOOK, Event(1.3, "s1", "took", "w1", "buy-ticket"), DID, HEARD), "taken 2 times"),
-    ((ASKED, TOOK, Event(2.0, "n0", "heard", "w1", "buy-ticket", "refused")), "did not run"),
-    ((ASKED, TOOK, Event(2.0, "n0", "heard", "w1", "buy-ticket", "lost")), "lost, though"),
-    ((ASKED, TOOK, DID, Event(8.0, "n0", "heard", "w1", "buy-ticket", "failed")), "7.00 s after"),
-    ((ASKED, Event(1.1, "n0", "away", word="killed"),
-      Event(2.0, "n0", "heard", "w1", "buy-ticket", "lost")), ""),
-    ((Event(0.2, "n0", "away", word="killed"), Event(0.5, "n0", "back", word="killed"), ASKED,
-      Event(2.0, "n0", "heard", "w1", "buy-ticket", "lost")), "lost, though"),
-    ((Event(0.2, "n0", "away", word="killed"), Event(0.5, "n0", "back", word="stopped"), ASKED,
-      Event(2.0, "n0", "heard", "w1", "buy-ticket", "lost")), ""),
-    ((ASKED, TOOK, DID, HEARD, Event(3.0, "s0", "pushed over")), "pushed over"),
-])
+@pytest.mark.parametrize(
+    ("history", "what"),
+    [
+        ((ASKED, TOOK, DID, HEARD), ""),
+        ((ASKED, TOOK, DID), "0 ends"),
+        ((ASKED, TOOK, DID, HEARD, HEARD), "2 ends"),
+        ((ASKED, TOOK, HEARD), "no server did it"),
+        ((ASKED, TOOK, Event(1.3, "s1", "took", "w1", "buy-ticket"), DID, HEARD), "taken 2 times"),
+        ((ASKED, TOOK, Event(2.0, "n0", "heard", "w1", "buy-ticket", "refused")), "did not run"),
+        ((ASKED, TOOK, Event(2.0, "n0", "heard", "w1", "buy-ticket", "lost")), "lost, though"),
+        ((ASKED, TOOK, DID, Event(8.0, "n0", "heard", "w1", "buy-ticket", "failed")), "7.00 s after"),
+        (
+            (
+                ASKED,
+                Event(1.1, "n0", "away", word="killed"),
+                Event(2.0, "n0", "heard", "w1", "buy-ticket", "lost"),
+            ),
+            "",
+        ),
+        (
+            (
+                Event(0.2, "n0", "away", word="killed"),
+                Event(0.5, "n0", "back", word="killed"),
+                ASKED,
+                Event(2.0, "n0", "heard", "w1", "buy-ticket", "lost"),
+            ),
+            "lost, though",
+        ),
+        (
+            (
+                Event(0.2, "n0", "away", word="killed"),
+                Event(0.5, "n0", "back", word="stopped"),
+                ASKED,
+                Event(2.0, "n0", "heard", "w1", "buy-ticket", "lost"),
+            ),
+            "",
+        ),
+        ((ASKED, TOOK, DID, HEARD, Event(3.0, "s0", "pushed over")), "pushed over"),
+    ],
+)
 def test_the_checker_sees_each_breach_and_no_other(history: tuple[Event, ...], what: str) -> None:
     found = breaches(history, DEADLINES, UNSAFE_CLASSES)
     assert len(found) == bool(what) and all(what in line for line in found)
@@ -185,13 +221,18 @@
     assert set(fewest(faults, lambda part: needed <= set(part))) == needed
 
 
-@pytest.mark.parametrize(("text", "what"), [
-    ("faults = 3", "not iterable"), ("faults = [{at = 1}]", "what"), ("x =", "Invalid"),
-    ("[[faults]]\nat = 1\nwhat = 'flood'", "faults[0].what = 'flood'"),
-    ("[[faults]]\nat = 1\nwhat = 'cut'\nnode = 6", "faults[0].node = 6"),
-    ("[[faults]]\nat = -1\nwhat = 'cut'", "faults[0].at = -1"),
-    ("[[faults]]\nat = 1\nwhat = 'cut'\nlast = 1e9", "faults[0].last = 1000000000.0"),
-])
+@pytest.mark.parametrize(
+    ("text", "what"),
+    [
+        ("faults = 3", "not iterable"),
+        ("faults = [{at = 1}]", "what"),
+        ("x =", "Invalid"),
+        ("[[faults]]\nat = 1\nwhat = 'flood'", "faults[0].what = 'flood'"),
+        ("[[faults]]\nat = 1\nwhat = 'cut'\nnode = 6", "faults[0].node = 6"),
+        ("[[faults]]\nat = -1\nwhat = 'cut'", "faults[0].at = -1"),
+        ("[[faults]]\nat = 1\nwhat = 'cut'\nlast = 1e9", "faults[0].last = 1000000000.0"),
+    ],
+)
 def test_a_schedule_that_cannot_be_played_names_key_and_value(text: str, what: str) -> None:
     with pytest.raises(ScheduleError) as err:
         read(text, 6, 12)
@@ -210,12 +251,17 @@
 CASES = {
     "all at once": (Fault(0.5, "power", last=0.5),),
     "three times, the later ones within the recovery": tuple(
-        Fault(at, "power", last=0.3) for at in (0.5, 2.2, 4.0)),
+        Fault(at, "power", last=0.3) for at in (0.5, 2.2, 4.0)
+    ),
     "discovery last": (Fault(0.5, "power", last=0.5), Fault(1.2, "discovery", last=1.5)),
     "a node stopped right after its start": (
-        Fault(0.5, "power", last=0.5), Fault(2.0, "stop-node", 1, last=2.0)),
+        Fault(0.5, "power", last=0.5),
+        Fault(2.0, "stop-node", 1, last=2.0),
+    ),
     "a node's links to half of the servers are cut meanwhile": (
-        Fault(0.5, "power", last=0.5), *(Fault(1.6, "cut", 0, server, last=2.0) for server in range(3))),
+        Fault(0.5, "power", last=0.5),
+        *(Fault(1.6, "cut", 0, server, last=2.0) for server in range(3)),
+    ),
 }
 
 
@@ -228,7 +274,7 @@
         histories.append(await _lost(CASES[name], 35.0, 7.5))
 
     run(day)
-    history, = histories
+    (history,) = histories
     assert breaches(history, DEADLINES, UNSAFE_CLASSES) == []
     back = max((e.at for e in history if e.what == "back" and e.word == "killed"), default=0.0)
     assert back, "the nodes were ready again"
--- a/tests/test_powerloss_hard.py
+++ b/tests/test_powerloss_hard.py
@@ -33,9 +33,18 @@
     pass
 
 
-def lost(do: Do = _nothing, after: Do = _nothing, nodes: int = 3, servers: int = 6, load: float = 0.25,
-         siblings: int = 0, returns: int = 0, heedless: float = 0.0, keeps: bool = False,
-         seconds: float = 7.0) -> list[Event]:
+def lost(
+    do: Do = _nothing,
+    after: Do = _nothing,
+    nodes: int = 3,
+    servers: int = 6,
+    load: float = 0.25,
+    siblings: int = 0,
+    returns: int = 0,
+    heedless: float = 0.0,
+    keeps: bool = False,
+    seconds: float = 7.0,
+) -> list[Event]:
     """The history of a day on which all lose their power. `do` beforehand, `after` as it goes on."""
     table = {**TABLE, "limits": {**TABLE["limits"], "siblings": siblings or nodes}}
     found: list[list[Event]] = []
@@ -45,12 +54,13 @@
             await cluster.all_ready()
             await do(cluster)
             going = asyncio.ensure_future(after(cluster))
-            found.append(await play(cluster, WANTS, load * servers * WARM_RATE, seconds, LOST, 1, returns,
-                                    heedless))
+            found.append(
+                await play(cluster, WANTS, load * servers * WARM_RATE, seconds, LOST, 1, returns, heedless)
+            )
             await going
 
     run(day)
-    history, = found
+    (history,) = found
     assert breaches(history, DEADLINES, UNSAFE_CLASSES) == []
     return history
 
@@ -114,14 +124,18 @@
     """All as started ten minutes ago, half of them where they are no more."""
     then = time.time_ns() // 1_000_000 - 600_000
     for n, node in enumerate(cluster.nodes):
-        node.discovery.replace(*(
-            entry(s.make.name, s.links[n].address if i % 2 else "127.0.0.1:9", "up", then, i % 2)
-            for i, s in enumerate(cluster.servers)))
+        node.discovery.replace(
+            *(
+                entry(s.make.name, s.links[n].address if i % 2 else "127.0.0.1:9", "up", then, i % 2)
+                for i, s in enumerate(cluster.servers)
+            )
+        )
 
 
 @pytest.mark.parametrize("wrong", [_empty, _old])
 def test_a_wrong_list_after_the_loss_pushes_nobody_over_and_is_got_over(
-        wrong: Callable[[Cluster], None]) -> None:
+    wrong: Callable[[Cluster], None],
+) -> None:
     do, after = lists(wrong)
     history = lost(do, after, seconds=8.0)
     start = min(e.at for e in history if e.what == "away") + AWAY
@@ -135,6 +149,7 @@
 
 def test_half_of_the_nodes_were_down_before_and_wake_with_snapshots_of_another_time() -> None:
     """Of yesterday, and of a clock that went back: one counts for less, the other for nothing."""
+
     async def do(cluster: Cluster) -> None:
         await asyncio.sleep(1.0)
         for number, hours in ((0, -23), (1, 1)):
@@ -151,9 +166,14 @@
 @pytest.mark.parametrize("siblings", [4, 2, 8])
 def test_a_fleet_that_is_split_while_it_recovers_keeps_the_cold_budget(siblings: int) -> None:
     """With the number of nodes true, too small by half and too large by twice; healed 3 s later."""
+
     async def split(cluster: Cluster) -> None:
-        across = [link for node in cluster.nodes for link in node.peers
-                  if (link.name[1] in "01") != (link.name.rpartition("n")[2] in "01")]
+        across = [
+            link
+            for node in cluster.nodes
+            for link in node.peers
+            if (link.name[1] in "01") != (link.name.rpartition("n")[2] in "01")
+        ]
         assert len(across) == 8
         for link in across:
             link.set_cut(BOTH)
@@ -174,7 +194,8 @@
     """Each refused one comes back up to eight times; those that heed nothing 20 ms later."""
     history = lost(load=0.7, returns=8, heedless=heedless)
     since = came_back(history) + 1.0
-    sales = {want_of(e.call) for e in history
-             if e.what == "asked" and e.cls == "buy-ticket" and e.at >= since}
+    sales = {
+        want_of(e.call) for e in history if e.what == "asked" and e.cls == "buy-ticket" and e.at >= since
+    }
     sold = {want_of(e.call) for e in history if e.what == "heard" and e.word == "served"}
     assert len(sales & sold) >= 0.8 * len(sales)
--- a/tests/test_record_keeper.py
+++ b/tests/test_record_keeper.py
@@ -24,8 +24,9 @@
 from tests.test_engine import HandCarrier
 from tests.test_node import run
 
-SETTINGS = Settings(classes=(SAFE, KEYED_CELL, UNSAFE), max_attempts=4, tier=1, retry_after=True,
-                    max_retry_after=2 * SECOND)
+SETTINGS = Settings(
+    classes=(SAFE, KEYED_CELL, UNSAFE), max_attempts=4, tier=1, retry_after=True, max_retry_after=2 * SECOND
+)
 
 
 class Asker:
@@ -51,8 +52,11 @@
         self.engine.listed(static_listing(["127.0.0.1:1", "127.0.0.1:2"]), ListKind.CACHED)
         self.keeper: RecordKeeper | None = None
 
-        self.writer = Writer(self._make, lambda results: loop.call_soon_threadsafe(self._came, results),
-                             lambda: loop.call_soon_threadsafe(self._back))
+        self.writer = Writer(
+            self._make,
+            lambda results: loop.call_soon_threadsafe(self._came, results),
+            lambda: loop.call_soon_threadsafe(self._back),
+        )
         epoch = self.writer.start(name, 10_000)
         terms = Terms(name, epoch, intent_within=400 * MILLISECOND, answer_within=200 * MILLISECOND)
         life = Life(terms, self.engine.clock.now() + terms.lease)
@@ -70,8 +74,9 @@
     def _make(self) -> Any:
         return FaultyStore(SqliteStore(self.path), self.faults)
 
-    def ask(self, identity: str, sale: str = "", cls: int = 2, body: bytes = b"one ticket",
-            left: int = 2 * SECOND) -> tuple[Asker, Request]:
+    def ask(
+        self, identity: str, sale: str = "", cls: int = 2, body: bytes = b"one ticket", left: int = 2 * SECOND
+    ) -> tuple[Asker, Request]:
         asker = Asker()
         fields = [(b"X-Sale-Id", sale.encode())] if sale else []
         call = Call(identity.encode(), cls, Message(b"POST", b"/tickets", fields, body), left=left)
@@ -262,8 +267,9 @@
 
 
 @pytest.mark.parametrize(("fault", "sends"), [("lost-after", 1), ("lost-before", 0)])
-def test_an_intent_whose_commit_answer_never_came_is_read_back(tmp_path: Path, fault: str,
-                                                              sends: int) -> None:
+def test_an_intent_whose_commit_answer_never_came_is_read_back(
+    tmp_path: Path, fault: str, sends: int
+) -> None:
     run(_lost_commit, tmp_path / "r.db", fault, sends)
 
 
