--- a/tests/test_record_life.py
+++ b/tests/test_record_life.py
@@ -8,10 +8,43 @@
 
 from minthitch.interface import MILLISECOND, SECOND
 from minthitch.record.life import (
-    MARGIN, MOST_BACKLOG, MOST_OPEN, POLL, Action, Answered, AttemptOver, CallerGone, Came, Conclude, Life,
-    Need, Opened, Put, Release, SendWanted, StoreBack, Tell, Terms, Tick)
+    MARGIN,
+    MOST_BACKLOG,
+    MOST_OPEN,
+    POLL,
+    Action,
+    Answered,
+    AttemptOver,
+    CallerGone,
+    Came,
+    Conclude,
+    Life,
+    Need,
+    Opened,
+    Put,
+    Release,
+    SendWanted,
+    StoreBack,
+    Tell,
+    Terms,
+    Tick,
+)
 from minthitch.record.model import (
-    Attempted, Claim, Done, Fenced, Held, Look, Lost, Missing, Record, Renew, Result, Settle, State, Word)
+    Attempted,
+    Claim,
+    Done,
+    Fenced,
+    Held,
+    Look,
+    Lost,
+    Missing,
+    Record,
+    Renew,
+    Result,
+    Settle,
+    State,
+    Word,
+)
 
 MS = MILLISECOND
 TERMS = Terms("n1", 7)
@@ -32,8 +65,9 @@
         self.seen += [action for action in actions if not isinstance(action, Put)]
         return actions
 
-    def open(self, number: int = 1, need: Need = Need.REQUIRED, identity: str = "sale",
-             digest: bytes = b"d") -> None:
+    def open(
+        self, number: int = 1, need: Need = Need.REQUIRED, identity: str = "sale", digest: bytes = b"d"
+    ) -> None:
         self.feed(Opened(number, identity, "buy", digest, need, self.now + 2 * SECOND))
 
     def want(self, number: int = 1, attempt: int = 0, server: str = "s1") -> list[Action]:
@@ -116,15 +150,27 @@
     assert n.come(Done()) == [Release(1, 0), Release(1, 1)]
 
 
-@pytest.mark.parametrize(("held", "state", "words"), [
-    (record(State.SERVED, answer=b"x"), State.SERVED, "on record"),
-    (record(State.FAILED), State.FAILED, "may have run: failed"),
-    (record(State.DOUBT, reason="its node fell silent"), State.FAILED, "may have run: its node fell silent"),
-    (record(State.DOUBT, word=Word.RAN, why="ledger"), State.FAILED, "it ran, as was found later: ledger"),
-    (record(State.SERVED, digest=b"other"), State.FAILED, "another request has this identity"),
-])
-def test_an_identity_that_is_on_record_gets_its_outcome_and_is_never_sent(held: Record, state: State,
-                                                                         words: str) -> None:
+@pytest.mark.parametrize(
+    ("held", "state", "words"),
+    [
+        (record(State.SERVED, answer=b"x"), State.SERVED, "on record"),
+        (record(State.FAILED), State.FAILED, "may have run: failed"),
+        (
+            record(State.DOUBT, reason="its node fell silent"),
+            State.FAILED,
+            "may have run: its node fell silent",
+        ),
+        (
+            record(State.DOUBT, word=Word.RAN, why="ledger"),
+            State.FAILED,
+            "it ran, as was found later: ledger",
+        ),
+        (record(State.SERVED, digest=b"other"), State.FAILED, "another request has this identity"),
+    ],
+)
+def test_an_identity_that_is_on_record_gets_its_outcome_and_is_never_sent(
+    held: Record, state: State, words: str
+) -> None:
     n = Node()
     n.open()
     n.want()
@@ -189,8 +235,9 @@
     n.open()
     n.want()
     (concluded,) = n.come(Lost("gone"))
-    assert concluded == Conclude(1, State.NEVER_RAN, "the store of record is away: gone",
-                                 retry_after=TERMS.retry_after)
+    assert concluded == Conclude(
+        1, State.NEVER_RAN, "the store of record is away: gone", retry_after=TERMS.retry_after
+    )
     assert not n.life.calls
 
 
--- a/tests/test_record_machine.py
+++ b/tests/test_record_machine.py
@@ -16,8 +16,23 @@
 
 from minthitch.interface import MILLISECOND, SECOND
 from minthitch.record.life import (
-    Action, Answered, AttemptOver, CallerGone, Came, Conclude, Life, Need, Opened, Put, Release, SendWanted,
-    StoreBack, Tell, Terms, Tick)
+    Action,
+    Answered,
+    AttemptOver,
+    CallerGone,
+    Came,
+    Conclude,
+    Life,
+    Need,
+    Opened,
+    Put,
+    Release,
+    SendWanted,
+    StoreBack,
+    Tell,
+    Terms,
+    Tick,
+)
 from minthitch.record.model import Done, Lost, Record, Settle, State
 from rigs.modelstore import ModelStore
 
@@ -186,8 +201,13 @@
     return world.judge()
 
 
-@settings(max_examples=150, deadline=None, derandomize=True, database=None,
-          suppress_health_check=[HealthCheck.too_slow])
+@settings(
+    max_examples=150,
+    deadline=None,
+    derandomize=True,
+    database=None,
+    suppress_health_check=[HealthCheck.too_slow],
+)
 @given(st.integers(0, 1 << 32), st.integers(10, 300))
 def test_no_sale_runs_twice_and_none_that_ran_is_unreported(seed: int, steps: int) -> None:
     assert play(seed, steps) == []
--- a/tests/test_record_postgres.py
+++ b/tests/test_record_postgres.py
@@ -60,8 +60,9 @@
 
 
 @pytest.mark.parametrize(("fault", "written"), [("reset-before", False), ("reset-after", True)])
-def test_a_commit_whose_answer_never_came_is_unknown_and_read_back(server: Postgres, store: PostgresStore,
-                                                                  fault: str, written: bool) -> None:
+def test_a_commit_whose_answer_never_came_is_unknown_and_read_back(
+    server: Postgres, store: PostgresStore, fault: str, written: bool
+) -> None:
     epoch = store.begin("n1", LEASE)
     server.script.append(fault)
     with pytest.raises(CommitUnknown) as caught:
@@ -73,8 +74,9 @@
 
 
 @pytest.mark.parametrize("state", ["40001", "53100", "23505"])
-def test_an_error_that_the_server_states_at_commit_was_not_done(server: Postgres, store: PostgresStore,
-                                                               state: str) -> None:
+def test_an_error_that_the_server_states_at_commit_was_not_done(
+    server: Postgres, store: PostgresStore, state: str
+) -> None:
     epoch = store.begin("n1", LEASE)
     server.script.append(state)
     with pytest.raises(StoreError, match=state) as caught:
@@ -83,8 +85,9 @@
     assert store.show("a") is None and store.apply("again", [claim("a", epoch)]) == [Done()]
 
 
-def test_an_administrator_that_ends_it_in_a_commit_leaves_it_unknown(server: Postgres,
-                                                                    store: PostgresStore) -> None:
+def test_an_administrator_that_ends_it_in_a_commit_leaves_it_unknown(
+    server: Postgres, store: PostgresStore
+) -> None:
     epoch = store.begin("n1", LEASE)
     server.script.append("57P01")
     with pytest.raises(CommitUnknown):
@@ -106,6 +109,7 @@
 def test_a_statement_is_ended_by_the_clients_cancel_and_no_other_connection_is(server: Postgres) -> None:
     server.always = "stall"
     with psycopg.connect(server.url, autocommit=True) as one, psycopg.connect(server.url) as other:
+
         def cancel() -> None:
             server.stalled.wait(PATIENCE)
             one.cancel_safe()
@@ -118,8 +122,9 @@
     assert server.cancels == 1
 
 
-def test_what_is_overdue_is_cancelled_so_that_the_server_keeps_no_lock(server: Postgres,
-                                                                      store: PostgresStore) -> None:
+def test_what_is_overdue_is_cancelled_so_that_the_server_keeps_no_lock(
+    server: Postgres, store: PostgresStore
+) -> None:
     epoch = store.begin("n1", LEASE)
     server.always = "stall"
     with pytest.raises(StoreError, match="57014"):
@@ -152,8 +157,13 @@
 def test_bytes_texts_and_numbers_pass_unchanged(store: PostgresStore) -> None:
     epoch = store.begin("nód 'ø\"; --", LEASE)
     identity, every = "säle '1' \\x $1 ?", bytes(range(256))
-    store.apply("t", [Claim(identity, "buy", every, "n", epoch, "s", 1 << 50), Settle(
-        identity, epoch, State.SERVED, 1 << 51, "", every, every, b"a/b")])
+    store.apply(
+        "t",
+        [
+            Claim(identity, "buy", every, "n", epoch, "s", 1 << 50),
+            Settle(identity, epoch, State.SERVED, 1 << 51, "", every, every, b"a/b"),
+        ],
+    )
     record = store.show(identity)
     assert isinstance(record, Record) and record.answer == record.digest == every
     assert (record.made_at, record.ended_at, record.content_type) == (1 << 50, 1 << 51, b"a/b")
--- a/tests/test_record_program.py
+++ b/tests/test_record_program.py
@@ -26,13 +26,16 @@
 
 
 def sale(identity: str, number: int, body: bytes = b"one") -> bytes:
-    return (f"POST /api HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: c{number}\r\nX-Service-Class: unsafe\r\n"
-            f"X-Sale-Id: {identity}\r\nContent-Length: {len(body)}\r\n\r\n").encode() + body
+    return (
+        f"POST /api HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: c{number}\r\nX-Service-Class: unsafe\r\n"
+        f"X-Sale-Id: {identity}\r\nContent-Length: {len(body)}\r\n\r\n"
+    ).encode() + body
 
 
 def test_the_operator_file_names_the_store_and_its_classes() -> None:
-    config = operatorfile.from_table({**GOOD, "record": {
-        **RECORD, "intent_within": "100ms", "keep_for": "2d", "keep_most": 5}})
+    config = operatorfile.from_table(
+        {**GOOD, "record": {**RECORD, "intent_within": "100ms", "keep_for": "2d", "keep_most": 5}}
+    )
     assert config.record is not None
     assert (config.record.store, config.record.identity) == ("r.db", "X-Sale-Id")
     assert config.record.required == {"search"} and not config.record.best_effort
@@ -41,18 +44,21 @@
     assert operatorfile.from_table(GOOD).record is None
 
 
-@pytest.mark.parametrize(("change", "words"), [
-    ({"store": ""}, "record.store = ''"),
-    ({"store": "redis://x"}, "record.store = 'redis://x'"),
-    ({"identity": "X Sale"}, "record.identity = 'X Sale'"),
-    ({"required": ["none"]}, "class 'none' is unknown; known are search"),
-    ({"required": "search"}, "record.required = 'search'"),
-    ({"required": []}, "one class at least"),
-    ({"best_effort": ["search"]}, "each class in one of"),
-    ({"lease": "0s"}, "record.lease = '0s' is not above 0"),
-    ({"keep_most": -1}, "record.keep_most = -1"),
-    ({"other": 1}, "record.other = 1 is unknown"),
-])
+@pytest.mark.parametrize(
+    ("change", "words"),
+    [
+        ({"store": ""}, "record.store = ''"),
+        ({"store": "redis://x"}, "record.store = 'redis://x'"),
+        ({"identity": "X Sale"}, "record.identity = 'X Sale'"),
+        ({"required": ["none"]}, "class 'none' is unknown; known are search"),
+        ({"required": "search"}, "record.required = 'search'"),
+        ({"required": []}, "one class at least"),
+        ({"best_effort": ["search"]}, "each class in one of"),
+        ({"lease": "0s"}, "record.lease = '0s' is not above 0"),
+        ({"keep_most": -1}, "record.keep_most = -1"),
+        ({"other": 1}, "record.other = 1 is unknown"),
+    ],
+)
 def test_a_record_that_cannot_be_is_one_line_with_key_and_value(change: dict[str, Any], words: str) -> None:
     with pytest.raises(ConfigError) as caught:
         operatorfile.from_table({**GOOD, "record": {**RECORD, **change}})
@@ -61,9 +67,17 @@
 
 def test_a_store_that_cannot_be_opened_ends_the_start_with_2(tmp_path: Path) -> None:
     path = tmp_path / "node.json"
-    path.write_text(json.dumps({
-        "name": "n1", "listen": "127.0.0.1:1", "servers": ["127.0.0.1:2"], "settings": SETTINGS,
-        "record": {"store": str(tmp_path / "none" / "r.db"), "required": ["unsafe"]}}))
+    path.write_text(
+        json.dumps(
+            {
+                "name": "n1",
+                "listen": "127.0.0.1:1",
+                "servers": ["127.0.0.1:2"],
+                "settings": SETTINGS,
+                "record": {"store": str(tmp_path / "none" / "r.db"), "required": ["unsafe"]},
+            }
+        )
+    )
     done = command("serve", str(path))
     assert done.returncode == 2 and len(done.stderr.splitlines()) == 1
     assert "record.store = " in done.stderr and "unable to open" in done.stderr
@@ -81,9 +95,15 @@
 
     def __init__(self, addresses: list[str], store: Path) -> None:
         self.store = store
-        self.node = NodeProcess({
-            "name": "n1", "servers": addresses, "seed": "1", "settings": SETTINGS,
-            "record": {"store": str(store), "identity": "X-Sale-Id", "required": ["unsafe"]}})
+        self.node = NodeProcess(
+            {
+                "name": "n1",
+                "servers": addresses,
+                "seed": "1",
+                "settings": SETTINGS,
+                "record": {"store": str(store), "identity": "X-Sale-Id", "required": ["unsafe"]},
+            }
+        )
 
     async def operator(self, *words: str) -> Any:
         return await asyncio.to_thread(command, "record", "--store", str(self.store), *words)
@@ -140,9 +160,11 @@
 
 async def _library(path: Path) -> None:
     async with tier(serve_ok) as servers:
-        table = {"servers": servers.addresses, "classes": [
-            {"name": "buy", "effect": "unsafe", "aim": "1s", "deadline": "4s"}],
-            "record": {"store": str(path), "identity": "X-Sale-Id", "required": ["buy"]}}
+        table = {
+            "servers": servers.addresses,
+            "classes": [{"name": "buy", "effect": "unsafe", "aim": "1s", "deadline": "4s"}],
+            "record": {"store": str(path), "identity": "X-Sale-Id", "required": ["buy"]},
+        }
         for _ in range(2):  # the second start finds what the first wrote
             async with Client(operatorfile.from_table(table)) as client:
                 answer = await client.call("buy", "/tickets", body=b"x", headers={"X-Sale-Id": "s1"})
--- a/tests/test_record_store.py
+++ b/tests/test_record_store.py
@@ -18,7 +18,20 @@
 import pytest
 
 from minthitch.record.model import (
-    Attempted, Claim, Done, Fenced, Held, Look, Missing, Record, Renew, Settle, State, Word, Write)
+    Attempted,
+    Claim,
+    Done,
+    Fenced,
+    Held,
+    Look,
+    Missing,
+    Record,
+    Renew,
+    Settle,
+    State,
+    Word,
+    Write,
+)
 from minthitch.record.postgres import PostgresStore
 from minthitch.record.sql import SqlStore
 from minthitch.record.sqlite import SqliteStore
@@ -79,8 +92,9 @@
     assert put(store, Look("a")) == [Missing()]
     assert put(store, claim("a", epoch), Attempted("a", epoch, "s2", 5), settle("a", epoch)) == [Done()] * 3
     record = store.show("a")
-    assert record == Record("a", "buy", b"d", "n1", epoch, 1, State.SERVED, "s2", 2, 1, 2, "", b"", b"ticket",
-                            b"a/b")
+    assert record == Record(
+        "a", "buy", b"d", "n1", epoch, 1, State.SERVED, "s2", 2, 1, 2, "", b"", b"ticket", b"a/b"
+    )
     assert put(store, claim("a", epoch)) == [Held(record)]  # it has an outcome, and is never begun again
 
 
@@ -91,7 +105,8 @@
     (held,) = put(store, settle("a", epoch, State.FAILED))
     assert isinstance(held, Held) and held.record.state is State.SERVED
     assert [line.split(" at ")[0] for line in store.conflicts("a")] == [
-        f"second outcome: failed by epoch {epoch}"]
+        f"second outcome: failed by epoch {epoch}"
+    ]
 
 
 def test_two_nodes_that_claim_one_sale_get_one_holder(again: Callable[[], SqlStore]) -> None:
@@ -122,8 +137,10 @@
     new = store.begin("n1", LEASE)
     assert new > old
     assert [r.identity for r in store.doubtful()] == ["open"]
-    assert put(store, settle("open", old), claim("late", old), Attempted("open", old, "s", 1),
-               Renew(old, LEASE)) == [Fenced()] * 4  # the stalled one that wakes
+    assert (
+        put(store, settle("open", old), claim("late", old), Attempted("open", old, "s", 1), Renew(old, LEASE))
+        == [Fenced()] * 4
+    )  # the stalled one that wakes
     assert store.show("late") is None
     record = store.show("open")
     assert record is not None and record.state is State.DOUBT and record.epoch == old
@@ -132,8 +149,9 @@
     assert isinstance(held, Held) and held.record.state is State.DOUBT  # never sent again
 
 
-def test_only_leases_that_ran_out_are_taken_over_and_each_once(again: Callable[[], SqlStore],
-                                                              store: SqlStore) -> None:
+def test_only_leases_that_ran_out_are_taken_over_and_each_once(
+    again: Callable[[], SqlStore], store: SqlStore
+) -> None:
     silent, live = store.begin("n1", 0), store.begin("n2", LEASE)
     put(store, claim("a", silent), claim("b", live, node="n2"))
     while not (found := store.take_over()):  # the store's clock is in ms
@@ -211,8 +229,10 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_sqlite_and_the_model_agree_on_random_writes(store: SqlStore, seed: int) -> None:
     rng, model = random.Random(seed), ModelStore()
-    epochs = {"n1": (store.begin("n1", LEASE), model.begin("n1", LEASE)),
-              "n2": (store.begin("n2", LEASE), model.begin("n2", LEASE))}
+    epochs = {
+        "n1": (store.begin("n1", LEASE), model.begin("n1", LEASE)),
+        "n2": (store.begin("n2", LEASE), model.begin("n2", LEASE)),
+    }
     pairs = list(epochs.values())  # old ones too: stalled processes go on writing
     for step in range(150):
         if rng.random() < 0.05:
@@ -220,8 +240,10 @@
             epochs[name] = (store.begin(name, LEASE), model.begin(name, LEASE))
             pairs.append(epochs[name])
         mine, theirs = rng.choice(pairs)
-        identity, state = f"i{rng.randrange(12)}", rng.choice(
-            [State.SERVED, State.FAILED, State.NEVER_RAN, State.NEVER_RAN])
+        identity, state = (
+            f"i{rng.randrange(12)}",
+            rng.choice([State.SERVED, State.FAILED, State.NEVER_RAN, State.NEVER_RAN]),
+        )
         roll, digest = rng.random(), bytes([rng.randrange(3)])
 
         if rng.random() < 0.05:
@@ -235,13 +257,21 @@
         writes: list[Write] = []
         for epoch in (mine, theirs):
             writes.append(
-                claim(identity, epoch) if roll < 0.4 else Attempted(identity, epoch, "s2", step) if roll < 0.5
-                else Look(identity) if roll < 0.6 else settle(identity, epoch, state, digest))
+                claim(identity, epoch)
+                if roll < 0.4
+                else Attempted(identity, epoch, "s2", step)
+                if roll < 0.5
+                else Look(identity)
+                if roll < 0.6
+                else settle(identity, epoch, state, digest)
+            )
         (one,), (two,) = put(store, writes[0]), model.apply(writes[1:])
         assert type(one) is type(two), f"seed {seed}, step {step}"
     assert mine == theirs
-    facts = [{(r.identity, r.state, r.turn, r.attempts, r.word, r.epoch, r.answer_digest) for r in records}
-             for records in (store.export(), model.records.values())]
+    facts = [
+        {(r.identity, r.state, r.turn, r.attempts, r.word, r.epoch, r.answer_digest) for r in records}
+        for records in (store.export(), model.records.values())
+    ]
     assert facts[0] == facts[1]
     assert sum(len(store.conflicts(f"i{i}")) for i in range(12)) == len(model.conflicts)
 
@@ -260,7 +290,7 @@
     put(good, *(claim(f"i{i}", epoch) for i in range(2_000)))
     good.close()
     data = bytearray((tmp_path / "good.db").read_bytes())
-    data[4096 * 3:4096 * 6] = b"\xff" * 4096 * 3
+    data[4096 * 3 : 4096 * 6] = b"\xff" * 4096 * 3
     (tmp_path / "good.db").write_bytes(data)
     with pytest.raises(StoreError, match=r"good\.db: .*(damaged|malformed)"):
         SqliteStore(tmp_path / "good.db").open()
@@ -272,8 +302,9 @@
             SqliteStore(path).open()
 
 
-def test_a_schema_newer_than_the_program_is_one_clear_error(again: Callable[[], SqlStore],
-                                                           store: SqlStore) -> None:
+def test_a_schema_newer_than_the_program_is_one_clear_error(
+    again: Callable[[], SqlStore], store: SqlStore
+) -> None:
     store.set_version(99)
     with pytest.raises(StoreError, match="version 99 of the store is newer"):
         again()
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -50,9 +50,22 @@
 THEN = 1_700_000_000 * SECOND
 TIMES = Times(40.0, 38.0, 38.0, 4.0)
 KEPT = Snapshot(
-    "lahore", "n1", 7, "boot-1", THEN, 500 * SECOND, 4, cold_digest(SETUP),
-    {spec.name: (class_digest(spec), TIMES) for spec in CLASSES}, {"k": TIMES}, 20.0, THEN, 500 * SECOND, 9,
-    (HostRow("s1", "127.0.0.1", 9001, born_ms=3),))
+    "lahore",
+    "n1",
+    7,
+    "boot-1",
+    THEN,
+    500 * SECOND,
+    4,
+    cold_digest(SETUP),
+    {spec.name: (class_digest(spec), TIMES) for spec in CLASSES},
+    {"k": TIMES},
+    20.0,
+    THEN,
+    500 * SECOND,
+    9,
+    (HostRow("s1", "127.0.0.1", 9001, born_ms=3),),
+)
 DATA = encode(KEPT)
 
 
@@ -65,13 +78,20 @@
         assert err.value.fault is (Fault.EMPTY if not size else Fault.TORN)
     for place in range(len(DATA)):
         with pytest.raises(FrameError):
-            decode(DATA[:place] + bytes([DATA[place] ^ 0x55]) + DATA[place + 1:])
-
-
-@pytest.mark.parametrize(("data", "fault"), [
-    (b"", Fault.EMPTY), (b"\0" * 400, Fault.EMPTY), (b"[operators]\n", Fault.FOREIGN),
-    (DATA + b"x", Fault.LONGER), (DATA[:-1] + b"\xff", Fault.ALTERED),
-    (DATA[:8] + (VERSION + 1).to_bytes(2, "big") + DATA[10:], Fault.NEWER)])
+            decode(DATA[:place] + bytes([DATA[place] ^ 0x55]) + DATA[place + 1 :])
+
+
+@pytest.mark.parametrize(
+    ("data", "fault"),
+    [
+        (b"", Fault.EMPTY),
+        (b"\0" * 400, Fault.EMPTY),
+        (b"[operators]\n", Fault.FOREIGN),
+        (DATA + b"x", Fault.LONGER),
+        (DATA[:-1] + b"\xff", Fault.ALTERED),
+        (DATA[:8] + (VERSION + 1).to_bytes(2, "big") + DATA[10:], Fault.NEWER),
+    ],
+)
 def test_what_is_no_snapshot_is_told_apart(data: bytes, fault: Fault) -> None:
     with pytest.raises(FrameError) as err:
         decode(data)
@@ -80,7 +100,7 @@
 
 @given(st.binary(max_size=200))
 def test_any_bytes_are_judged(data: bytes) -> None:
-    for each in (data, DATA[:HEAD.size] + data):
+    for each in (data, DATA[: HEAD.size] + data):
         try:
             decode(each)
         except FrameError:
@@ -122,8 +142,9 @@
 def test_a_process_killed_while_it_writes_leaves_what_it_had_written(tmp_path: Path) -> None:
     """SIGKILL right behind the nth line, while the next snapshot is on its way."""
     for count in (1, 2, 3, 8, 21):
-        writer = subprocess.Popen([sys.executable, "-c", WRITER, str(tmp_path)], stdin=subprocess.PIPE,
-                                  stdout=subprocess.PIPE)
+        writer = subprocess.Popen(
+            [sys.executable, "-c", WRITER, str(tmp_path)], stdin=subprocess.PIPE, stdout=subprocess.PIPE
+        )
         assert writer.stdin is not None and writer.stdout is not None
         writer.stdin.write(DATA)
         writer.stdin.close()
@@ -169,10 +190,16 @@
 
 
 AGES: list[tuple[str, Callable[[Snapshot, Now], tuple[Snapshot, Now]], set[str]]] = [
-    ("at once, on the same boot", lambda s, n: (s, replace(n, boot="boot-1", up=s.up + SECOND // 4)),
-     {"classes", "rate", "list"}),
-    ("at once, another boot", lambda s, n: (s, replace(n, wall=THEN + SECOND // 4)),
-     {"classes", "rate", "list"}),
+    (
+        "at once, on the same boot",
+        lambda s, n: (s, replace(n, boot="boot-1", up=s.up + SECOND // 4)),
+        {"classes", "rate", "list"},
+    ),
+    (
+        "at once, another boot",
+        lambda s, n: (s, replace(n, wall=THEN + SECOND // 4)),
+        {"classes", "rate", "list"},
+    ),
     ("a minute later", lambda s, n: (s, replace(n, wall=THEN + 60 * SECOND)), {"classes", "rate"}),
     ("two days later", lambda s, n: (s, replace(n, wall=THEN + 48 * HOUR)), set()),
     ("the clock went forward an hour", lambda s, n: (s, replace(n, wall=THEN + HOUR)), {"classes", "rate"}),
@@ -182,14 +209,18 @@
     ("other cold rules", lambda s, n: (change(s, cold="x"), n), {"classes", "list"}),
     ("other classes", lambda s, n: (change(s, classes={"read": ("x", TIMES)}), n), {"rate", "list"}),
     ("no list was held", lambda s, n: (change(s, listed_wall=0), n), {"classes", "rate"}),
-    ("the list was old when it was kept",
-     lambda s, n: (change(s, listed_wall=THEN - 600 * SECOND), n), {"classes", "rate"}),
+    (
+        "the list was old when it was kept",
+        lambda s, n: (change(s, listed_wall=THEN - 600 * SECOND), n),
+        {"classes", "rate"},
+    ),
 ]
 
 
 @pytest.mark.parametrize(("name", "turn", "taken"), AGES, ids=[name for name, _, _ in AGES])
-def test_what_is_trusted(name: str, turn: Callable[[Snapshot, Now], tuple[Snapshot, Now]],
-                         taken: set[str]) -> None:
+def test_what_is_trusted(
+    name: str, turn: Callable[[Snapshot, Now], tuple[Snapshot, Now]], taken: set[str]
+) -> None:
     kept, now = turn(KEPT, Now("lahore", "boot-2", THEN + SECOND // 10, 5 * SECOND))
     found = judge(kept, now, SETUP, Terms())
     assert {verdict.part for verdict in found.verdicts if verdict.taken} == taken
@@ -212,12 +243,19 @@
     assert judge(KEPT, replace(now, wall=THEN + 12 * HOUR), SETUP, Terms()).rate < 7.0
 
 
-@given(st.floats(0, 1e6), st.floats(0, 1e12), st.floats(0, 1e12), st.integers(0, 1 << 62),
-       st.integers(1, 1 << 20))
-def test_any_snapshot_is_judged_and_taken_in(per_second: float, trials: float, time: float, wall: int,
-                                             siblings: int) -> None:
-    kept = change(KEPT, rate=per_second, wall=wall, siblings=siblings,
-                  kinds={"k": Times(trials, 1e12, trials, time)})
+@given(
+    st.floats(0, 1e6),
+    st.floats(0, 1e12),
+    st.floats(0, 1e12),
+    st.integers(0, 1 << 62),
+    st.integers(1, 1 << 20),
+)
+def test_any_snapshot_is_judged_and_taken_in(
+    per_second: float, trials: float, time: float, wall: int, siblings: int
+) -> None:
+    kept = change(
+        KEPT, rate=per_second, wall=wall, siblings=siblings, kinds={"k": Times(trials, 1e12, trials, time)}
+    )
     found = judge(kept, Now("lahore", "", THEN, 0), SETUP, Terms())
     node = Crew(SETUP, 1, {}, 1).nodes[0]
     recollect(node.balancer, node.now, found, lambda name: 0)
@@ -235,8 +273,12 @@
     for node, old in zip(fleet.nodes, before.nodes, strict=True):
         if off is not None:
             times = {name: times for name, (_, times) in class_times(old.balancer, old.setup).items()}
-            recollect(node.balancer, node.now, Trusted(rate=off * rate(old.balancer, old.now), classes=times),
-                      lambda name: 0)
+            recollect(
+                node.balancer,
+                node.now,
+                Trusted(rate=off * rate(old.balancer, old.now), classes=times),
+                lambda name: 0,
+            )
     fleet.run(2 * SECOND, 0.6 * 20.0 * 12, (SAFE,))
     return fleet
 
@@ -262,32 +304,38 @@
     return change(Word("lahore", node, COLD, 4, said, age), **changes)
 
 
-@pytest.mark.parametrize(("words", "own", "believed"), [
-    ([], None, 0.0),
-    ([], (9.0, 0), 9.0),
-    ([word("a", 9.0)], None, 0.0),  # one alone
-    ([word("a", 0.0), word("b", 0.0)], None, 0.0),  # who knows nothing says so
-    ([word("a", 9.0), word("b", 11.0)], None, 9.0),
-    ([word("a", 9.0), word("b", 9000.0)], None, 9.0),  # a thousand times too high
-    ([word("a", 9.0), word("b", 9000.0), word("c", 10.0)], None, 10.0),
-    ([word("a", 9.0), word("b", 0.001), word("c", 10.0)], None, 9.0),
-    ([word("a", 9.0), word("a", 9000.0)], None, 0.0),  # one that speaks twice
-    ([word("a", 9.0), word("b", 9.0, cluster="other")], None, 0.0),
-    ([word("a", 9.0), word("b", 9.0, cold="other")], None, 0.0),
-    ([word("a", 9.0), word("b", 9.0, 48 * HOUR)], None, 0.0),
-    ([word("a", 9.0, 23 * HOUR), word("b", 5.0, 23 * HOUR), word("c", 7.0)], None, 7.0),  # the fresh one
-    ([word("a", 9000.0)], (9.0, 0), 9.0),
-    ([word("a", 8.0, siblings=2), word("b", 8.0, siblings=2)], None, 4.0),  # shared by more now
-])
+@pytest.mark.parametrize(
+    ("words", "own", "believed"),
+    [
+        ([], None, 0.0),
+        ([], (9.0, 0), 9.0),
+        ([word("a", 9.0)], None, 0.0),  # one alone
+        ([word("a", 0.0), word("b", 0.0)], None, 0.0),  # who knows nothing says so
+        ([word("a", 9.0), word("b", 11.0)], None, 9.0),
+        ([word("a", 9.0), word("b", 9000.0)], None, 9.0),  # a thousand times too high
+        ([word("a", 9.0), word("b", 9000.0), word("c", 10.0)], None, 10.0),
+        ([word("a", 9.0), word("b", 0.001), word("c", 10.0)], None, 9.0),
+        ([word("a", 9.0), word("a", 9000.0)], None, 0.0),  # one that speaks twice
+        ([word("a", 9.0), word("b", 9.0, cluster="other")], None, 0.0),
+        ([word("a", 9.0), word("b", 9.0, cold="other")], None, 0.0),
+        ([word("a", 9.0), word("b", 9.0, 48 * HOUR)], None, 0.0),
+        ([word("a", 9.0, 23 * HOUR), word("b", 5.0, 23 * HOUR), word("c", 7.0)], None, 7.0),  # the fresh one
+        ([word("a", 9000.0)], (9.0, 0), 9.0),
+        ([word("a", 8.0, siblings=2), word("b", 8.0, siblings=2)], None, 4.0),  # shared by more now
+    ],
+)
 def test_what_is_believed_of_others(
-        words: list[Word], own: tuple[float, int] | None, believed: float) -> None:
+    words: list[Word], own: tuple[float, int] | None, believed: float
+) -> None:
     heard = believe(words, own, 8, 8, SETUP, "lahore", Terms())
     assert heard.rate == pytest.approx(believed)
     assert heard.siblings >= SETUP.siblings and all(verdict.why for verdict in heard.verdicts)
 
 
-@given(st.floats(0.1, 1e6), st.lists(
-    st.tuples(st.sampled_from("abcdefg"), st.floats(0, 1e6), st.integers(0, 1 << 62)), max_size=9))
+@given(
+    st.floats(0.1, 1e6),
+    st.lists(st.tuples(st.sampled_from("abcdefg"), st.floats(0, 1e6), st.integers(0, 1 << 62)), max_size=9),
+)
 def test_one_liar_decides_nothing(lie: float, said: list[tuple[str, float, int]]) -> None:
     """With three honest nodes that agree, whatever one other says; and any words are judged."""
     honest = [word(name, 10.0) for name in ("x", "y", "z")]
@@ -296,8 +344,10 @@
     assert 0 <= heard.rate <= max([rate for _, rate, _ in said], default=0.0)
 
 
-@pytest.mark.parametrize(("live", "asked", "peers", "count"), [
-    (3, 3, 3, 4), (7, 7, 7, 8), (1, 7, 7, 4), (0, 7, 7, 4), (0, 0, 0, 4), (8, 8, 16, 16), (32, 32, 199, 16)])
+@pytest.mark.parametrize(
+    ("live", "asked", "peers", "count"),
+    [(3, 3, 3, 4), (7, 7, 7, 8), (1, 7, 7, 4), (0, 7, 7, 4), (0, 0, 0, 4), (8, 8, 16, 16), (32, 32, 199, 16)],
+)
 def test_who_answers_only_raises_the_number_of_nodes(live: int, asked: int, peers: int, count: int) -> None:
     """`siblings` says 4. One that hears few may be cut off: the others go on sending."""
     words = [word(f"n{i}", 1.0) for i in range(live)]
@@ -368,6 +418,7 @@
                 await reader.readuntil(b"\r\n\r\n")
                 await call(writer)
             writer.close()
+
         return serve
 
     servers = [await asyncio.start_server(serving(call), "127.0.0.1", 0) for call in SICK.values()]
@@ -389,15 +440,28 @@
 HARM: list[tuple[str, Callable[[Path, Path], object], str]] = [
     ("whole", lambda young, old: None, "classes taken"),
     ("the younger is torn", lambda young, old: young.write_bytes(young.read_bytes()[:100]), "torn"),
-    ("both are torn", lambda young, old: [p.write_bytes(p.read_bytes()[:50]) for p in (young, old)],
-     "nothing is known"),
-    ("both are gone", lambda young, old: [p.rename(p.with_suffix(".away")) for p in (young, old)],
-     "nothing is known"),
-    ("empty and of another program", lambda young, old: (young.write_bytes(b""), old.write_bytes(b"GIF89a")),
-     "not a snapshot"),
-    ("of another cluster", lambda young, old: [
-        p.write_bytes(encode(change(decode(p.read_bytes()), cluster="other"))) for p in (young, old)],
-     "it belongs to cluster 'other'"),
+    (
+        "both are torn",
+        lambda young, old: [p.write_bytes(p.read_bytes()[:50]) for p in (young, old)],
+        "nothing is known",
+    ),
+    (
+        "both are gone",
+        lambda young, old: [p.rename(p.with_suffix(".away")) for p in (young, old)],
+        "nothing is known",
+    ),
+    (
+        "empty and of another program",
+        lambda young, old: (young.write_bytes(b""), old.write_bytes(b"GIF89a")),
+        "not a snapshot",
+    ),
+    (
+        "of another cluster",
+        lambda young, old: [
+            p.write_bytes(encode(change(decode(p.read_bytes()), cluster="other"))) for p in (young, old)
+        ],
+        "it belongs to cluster 'other'",
+    ),
 ]
 
 
@@ -432,17 +496,20 @@
         assert "recovery: " in log and "Traceback" not in log, (name, log)
 
 
-@pytest.mark.parametrize(("text", "what"), [
-    ('folder = "/nowhere"\ncluster = "c"', r"recovery.folder = '/nowhere' is not a folder"),
-    ('folder = "."', "recovery.cluster = None"),
-    ('folder = "."\ncluster = "c"\nevery = "1ms"', "recovery.every = '1ms' is under 100ms"),
-    ('folder = "."\ncluster = "c"\nkeep_for = 3', "recovery.keep_for = 3"),
-    ('folder = "."\ncluster = "c"\nkeep_for = "0s"', "recovery.keep_for = '0s' is not above 0"),
-    ('folder = "."\ncluster = "c"\npeers = 3', "recovery.peers = 3 is not a list"),
-    ('folder = "."\ncluster = "c"\npeers = ["x"]', r"recovery.peers\[0\] = 'x'"),
-    ('folder = "."\ncluster = "c"\nask_within = "0s"', "recovery.ask_within = '0s' is not above 0"),
-    ('folder = "."\ncluster = "c"\nask = []', r"recovery.ask = \[\] is unknown"),
-])
+@pytest.mark.parametrize(
+    ("text", "what"),
+    [
+        ('folder = "/nowhere"\ncluster = "c"', r"recovery.folder = '/nowhere' is not a folder"),
+        ('folder = "."', "recovery.cluster = None"),
+        ('folder = "."\ncluster = "c"\nevery = "1ms"', "recovery.every = '1ms' is under 100ms"),
+        ('folder = "."\ncluster = "c"\nkeep_for = 3', "recovery.keep_for = 3"),
+        ('folder = "."\ncluster = "c"\nkeep_for = "0s"', "recovery.keep_for = '0s' is not above 0"),
+        ('folder = "."\ncluster = "c"\npeers = 3', "recovery.peers = 3 is not a list"),
+        ('folder = "."\ncluster = "c"\npeers = ["x"]', r"recovery.peers\[0\] = 'x'"),
+        ('folder = "."\ncluster = "c"\nask_within = "0s"', "recovery.ask_within = '0s' is not above 0"),
+        ('folder = "."\ncluster = "c"\nask = []', r"recovery.ask = \[\] is unknown"),
+    ],
+)
 def test_a_bad_recovery_table_names_key_and_value(text: str, what: str, tmp_path: Path) -> None:
     path = tmp_path / "node.toml"
     path.write_text(tomli_w.dumps(GOOD) + f"\n[recovery]\n{text}\n")
@@ -477,10 +544,16 @@
         assert "has a list" in (tmp_path / "page").read_text()
         bad = tmp_path / "bad"
         bad.write_bytes(file.read_bytes()[:-1])
-        wrong = [await ask(command, "recovery", *words) for words in (
-            ("inspect", str(bad)), ("plot", str(bad), "--out", str(bad)), ("status", "nowhere"),
-            ("explain", f"127.0.0.1:{free_port()}"),
-            ("forget", str(bad), "--node", "n0"))]
+        wrong = [
+            await ask(command, "recovery", *words)
+            for words in (
+                ("inspect", str(bad)),
+                ("plot", str(bad), "--out", str(bad)),
+                ("status", "nowhere"),
+                ("explain", f"127.0.0.1:{free_port()}"),
+                ("forget", str(bad), "--node", "n0"),
+            )
+        ]
         await cluster.kill_node(0)
         said.append(await ask(command, "recovery", "forget", str(kept), "--node", "n0"))
     assert all(done.returncode == 0 for done in said), said
@@ -497,8 +570,15 @@
         found.append((await _explained(tmp_path))[0])
 
     run(day)
-    for what in ("n0: has a list for", "1 nodes, ", "n0 of rig: a snapshot", "list ", "good: node n0 of rig",
-                 '"cluster": "rig"', "snapshots removed"):
+    for what in (
+        "n0: has a list for",
+        "1 nodes, ",
+        "n0 of rig: a snapshot",
+        "list ",
+        "good: node n0 of rig",
+        '"cluster": "rig"',
+        "snapshots removed",
+    ):
         assert what in found[0], found[0]
 
 
@@ -528,25 +608,41 @@
     run(day)
     assert "nothing is known from before" in logs[0] and "by 2 of 4 nodes, 3 of 3 asked" in logs[0]
 
+
 # Phases -----------------------------------------------------------------------------------------
 
 SECOND_BY_SECOND: dict[str, tuple[tuple[Seen, Phase | None], ...]] = {
     "a cold fleet, step by step": (
-        (Seen(1, 0, 0, 0, 0, 0), None), (Seen(2, 6, 0, 0, 0, 0), Phase.LISTED),
-        (Seen(3, 6, 0, 1, 0, 4), Phase.FIRST), (Seen(4, 6, 0, 2, 1, 9), Phase.WORTH),
-        (Seen(SECOND, 6, 2, 9, 5, 10), None), (Seen(2 * SECOND, 6, 3, 20, 15, 10), Phase.WHOLE)),
+        (Seen(1, 0, 0, 0, 0, 0), None),
+        (Seen(2, 6, 0, 0, 0, 0), Phase.LISTED),
+        (Seen(3, 6, 0, 1, 0, 4), Phase.FIRST),
+        (Seen(4, 6, 0, 2, 1, 9), Phase.WORTH),
+        (Seen(SECOND, 6, 2, 9, 5, 10), None),
+        (Seen(2 * SECOND, 6, 3, 20, 15, 10), Phase.WHOLE),
+    ),
     "warm servers, no list before": (
-        (Seen(1, 6, 6, 3, 2, 0), Phase.WORTH), (Seen(SECOND, 6, 6, 5, 5, 0), Phase.WHOLE)),
+        (Seen(1, 6, 6, 3, 2, 0), Phase.WORTH),
+        (Seen(SECOND, 6, 6, 5, 5, 0), Phase.WHOLE),
+    ),
     "refused though warm, for a minute": (
-        (Seen(1, 6, 6, 3, 2, 1), Phase.WORTH), (Seen(59 * SECOND, 6, 6, 9, 9, 2), None),
-        (Seen(61 * SECOND, 6, 6, 9, 9, 3), Phase.WHOLE)),
+        (Seen(1, 6, 6, 3, 2, 1), Phase.WORTH),
+        (Seen(59 * SECOND, 6, 6, 9, 9, 2), None),
+        (Seen(61 * SECOND, 6, 6, 9, 9, 3), Phase.WHOLE),
+    ),
     "the servers' power is lost, the node's is not": (
-        (Seen(1, 6, 6, 3, 2, 0), Phase.WORTH), (Seen(SECOND, 6, 6, 5, 5, 0), Phase.WHOLE),
-        (Seen(2 * SECOND, 0, 0, 5, 5, 0), Phase.DARK), (Seen(3 * SECOND, 6, 0, 5, 5, 8), Phase.LISTED),
-        (Seen(4 * SECOND, 6, 0, 6, 5, 8), Phase.FIRST), (Seen(5 * SECOND, 6, 0, 6, 6, 8), Phase.WORTH)),
+        (Seen(1, 6, 6, 3, 2, 0), Phase.WORTH),
+        (Seen(SECOND, 6, 6, 5, 5, 0), Phase.WHOLE),
+        (Seen(2 * SECOND, 0, 0, 5, 5, 0), Phase.DARK),
+        (Seen(3 * SECOND, 6, 0, 5, 5, 8), Phase.LISTED),
+        (Seen(4 * SECOND, 6, 0, 6, 5, 8), Phase.FIRST),
+        (Seen(5 * SECOND, 6, 0, 6, 6, 8), Phase.WORTH),
+    ),
     "all are replaced at once": (
-        (Seen(1, 6, 6, 3, 2, 0), Phase.WORTH), (Seen(SECOND, 6, 6, 5, 5, 0), Phase.WHOLE),
-        (Seen(2 * SECOND, 6, 0, 5, 5, 0), Phase.LISTED), (Seen(3 * SECOND, 6, 0, 6, 6, 0), Phase.WORTH)),
+        (Seen(1, 6, 6, 3, 2, 0), Phase.WORTH),
+        (Seen(SECOND, 6, 6, 5, 5, 0), Phase.WHOLE),
+        (Seen(2 * SECOND, 6, 0, 5, 5, 0), Phase.LISTED),
+        (Seen(3 * SECOND, 6, 0, 6, 6, 0), Phase.WORTH),
+    ),
 }
 
 
@@ -579,13 +675,20 @@
         assert not (phases.servable(seen.now, SECOND) and phases.phase is Phase.DARK)
 
 
-@pytest.mark.parametrize(("looks", "now", "servable"), [
-    ((), SECOND, False), ((Seen(1, 6, 0, 0, 0, 0),), SECOND, False),
-    ((Seen(1, 6, 0, 0, 0, 0),), 5 * SECOND + 1, True),  # nobody waits for ever
-    ((Seen(1, 6, 0, 0, 0, 0, True),), 2, True), ((Seen(1, 6, 0, 1, 0, 0),), 2, True),
-    ((Seen(1, 6, 0, 0, 0, 0, True), Seen(2, 0, 0, 0, 0, 0, True)), 3, False)])
+@pytest.mark.parametrize(
+    ("looks", "now", "servable"),
+    [
+        ((), SECOND, False),
+        ((Seen(1, 6, 0, 0, 0, 0),), SECOND, False),
+        ((Seen(1, 6, 0, 0, 0, 0),), 5 * SECOND + 1, True),  # nobody waits for ever
+        ((Seen(1, 6, 0, 0, 0, 0, True),), 2, True),
+        ((Seen(1, 6, 0, 1, 0, 0),), 2, True),
+        ((Seen(1, 6, 0, 0, 0, 0, True), Seen(2, 0, 0, 0, 0, 0, True)), 3, False),
+    ],
+)
 def test_a_node_below_the_first_tier_is_ready_once_a_server_is_reached(
-        looks: tuple[Seen, ...], now: int, servable: bool) -> None:
+    looks: tuple[Seen, ...], now: int, servable: bool
+) -> None:
     phases = Phases(0)
     for seen in looks:
         phases.look(seen)
@@ -628,8 +731,10 @@
 
 def test_seconds_are_told_until_it_is_whole_and_read_back() -> None:
     seconds = Seconds(["a", "b"], 0)
-    lines = [seconds.look(n * SECOND, THEN, Phase.WORTH if n < 5 else Phase.WHOLE,
-                          [(n, 0, 0), (0, 2 * n, n)]) for n in range(1, 30)]
+    lines = [
+        seconds.look(n * SECOND, THEN, Phase.WORTH if n < 5 else Phase.WHOLE, [(n, 0, 0), (0, 2 * n, n)])
+        for n in range(1, 30)
+    ]
     told = [line for line in lines if line]
     assert len(told) == 4 + 5 and seconds.look(29 * SECOND + 1, THEN, Phase.WHOLE, [(0, 0, 0)] * 2) is None
     found = read(["n1: " + line for line in told] + ["n1: " + told[0][:30], "n2: other", "x" + MARK])
@@ -639,9 +744,22 @@
     assert sum(again) == 120
 
 
-@given(st.dictionaries(st.text(max_size=9), st.lists(st.builds(
-    Line, st.integers(), st.integers(), st.text(max_size=9), st.dictionaries(
-        st.text(max_size=9), st.tuples(*[st.integers(0, 9)] * 3), max_size=2)), max_size=3), max_size=3))
+@given(
+    st.dictionaries(
+        st.text(max_size=9),
+        st.lists(
+            st.builds(
+                Line,
+                st.integers(),
+                st.integers(),
+                st.text(max_size=9),
+                st.dictionaries(st.text(max_size=9), st.tuples(*[st.integers(0, 9)] * 3), max_size=2),
+            ),
+            max_size=3,
+        ),
+        max_size=3,
+    )
+)
 def test_any_lines_make_a_page(logs: dict[str, list[Line]]) -> None:
     for by_start in (False, True):
         text = page(logs, by_start)
--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -15,7 +15,20 @@
 from minthitch.policy import Balancer
 from rigs.process import free_port
 from tests.net import (
-    OK, PATIENCE, Caller, Discovery, Seen, Server, address_of, call, entry, reply, reset, rig, serve_ok)
+    OK,
+    PATIENCE,
+    Caller,
+    Discovery,
+    Seen,
+    Server,
+    address_of,
+    call,
+    entry,
+    reply,
+    reset,
+    rig,
+    serve_ok,
+)
 from tests.test_node import run
 from tests.test_service import connect, program
 
@@ -35,8 +48,9 @@
         assert r.servers[0].connections == 3  # what has more to say than belongs to it is not used again
 
 
-@pytest.mark.parametrize("more", [
-    OK, reply(200, b"other"), NOISE, b"x" * 200_000, b"HTTP/1.1 200 OK\r\nX-Pad: p"])
+@pytest.mark.parametrize(
+    "more", [OK, reply(200, b"other"), NOISE, b"x" * 200_000, b"HTTP/1.1 200 OK\r\nX-Pad: p"]
+)
 def test_a_good_answer_is_served_whatever_comes_right_behind(more: bytes) -> None:
     run(_behind, more)
 
@@ -61,23 +75,26 @@
         await _spoilt(answer)
 
 
-@pytest.mark.parametrize("answer", [
-    NOISE,
-    b"ICY 200 OK\r\nContent-Length: 4\r\n\r\ndone",
-    b"HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\ndone",
-    b"HTTP/1.1 OK 200\r\nContent-Length: 4\r\n\r\ndone",
-    b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\nContent-Length: 4\r\n\r\ndone",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\ndone",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-    b"HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 4\r\n\r\ndone",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx",
-    b"HTTP/1.1 200 OK\r\nX-Pad: " + b"p" * 40_000,  # one field without end
-    b"HTTP/1.1 200 OK\r\n" + b"X-Pad: p\r\n" * 5_000,
-    b"HTTP/1.1 103 Early Hints\r\n\r\n" * 2_000,
-    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4;x=" + b"e" * 300_000,
-    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\nX-Pad: " + b"p" * 300_000,
-    b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
-])
+@pytest.mark.parametrize(
+    "answer",
+    [
+        NOISE,
+        b"ICY 200 OK\r\nContent-Length: 4\r\n\r\ndone",
+        b"HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\ndone",
+        b"HTTP/1.1 OK 200\r\nContent-Length: 4\r\n\r\ndone",
+        b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\nContent-Length: 4\r\n\r\ndone",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\ndone",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 4\r\n\r\ndone",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx",
+        b"HTTP/1.1 200 OK\r\nX-Pad: " + b"p" * 40_000,  # one field without end
+        b"HTTP/1.1 200 OK\r\n" + b"X-Pad: p\r\n" * 5_000,
+        b"HTTP/1.1 103 Early Hints\r\n\r\n" * 2_000,
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4;x=" + b"e" * 300_000,
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\nX-Pad: " + b"p" * 300_000,
+        b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
+    ],
+)
 def test_a_spoilt_answer_is_a_failure_at_once(answer: bytes) -> None:
     run(_spoilt_in_time, answer)
 
@@ -156,8 +173,10 @@
 
 
 def _head(extra: str = "", method: str = "POST", cls: str = "unsafe", identity: str = "77") -> bytes:
-    return (f"{method} /api HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: {identity}\r\nX-Service-Class: {cls}\r\n"
-            f"X-Time-Left: 5000m\r\n{extra}").encode()
+    return (
+        f"{method} /api HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: {identity}\r\nX-Service-Class: {cls}\r\n"
+        f"X-Time-Left: 5000m\r\n{extra}"
+    ).encode()
 
 
 INNER = _head("Content-Length: 0\r\n\r\n", identity="78")
@@ -176,26 +195,29 @@
         assert (await r.ask(call("unsafe")))[0] == 200
 
 
-@pytest.mark.parametrize("data", [
-    b"",  # silent
-    b"POST /ap",
-    _head("X-Pad: "),
-    _head("Content-Length: 300\r\n\r\n") + b"half",
-    _head("Content-Length: 60000000\r\n\r\n") + b"x" * 100_000,
-    _head("Content-Length: -5\r\n\r\n"),
-    _head("Content-Length: 4\r\nContent-Length: 9\r\n\r\nabcd"),
-    _head(f"Content-Length: {len(INNER) + 5}\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n") + INNER,
-    _head(f"Transfer-Encoding: chunked\r\nContent-Length: {len(INNER) + 5}\r\n\r\n0\r\n\r\n") + INNER,
-    _head("Transfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\nzz\r\nabcd\r\n0\r\n\r\n"),
-    _head("Transfer-Encoding: chunked\r\n\r\n4;x=") + b"e" * 300_000,
-    _head("Transfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n0\r\nX-Pad: ") + b"p" * 300_000,
-    _head("X-Pad: ") + b"p" * 200_000,
-    _head("a line with no colon\r\n\r\n"),
-    _head("\r\n", method="GET"),  # not the class's method
-    _head("Content-Length: 0\r\n\r\n", cls="safe"),
-    _head("Content-Length: 0\r\nIdempotency-Key: k\r\n\r\n"),
-    _head("Content-Length: 0\r\n\r\n", cls="unsafes") * 600,
-])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"",  # silent
+        b"POST /ap",
+        _head("X-Pad: "),
+        _head("Content-Length: 300\r\n\r\n") + b"half",
+        _head("Content-Length: 60000000\r\n\r\n") + b"x" * 100_000,
+        _head("Content-Length: -5\r\n\r\n"),
+        _head("Content-Length: 4\r\nContent-Length: 9\r\n\r\nabcd"),
+        _head(f"Content-Length: {len(INNER) + 5}\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n") + INNER,
+        _head(f"Transfer-Encoding: chunked\r\nContent-Length: {len(INNER) + 5}\r\n\r\n0\r\n\r\n") + INNER,
+        _head("Transfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\nzz\r\nabcd\r\n0\r\n\r\n"),
+        _head("Transfer-Encoding: chunked\r\n\r\n4;x=") + b"e" * 300_000,
+        _head("Transfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n0\r\nX-Pad: ") + b"p" * 300_000,
+        _head("X-Pad: ") + b"p" * 200_000,
+        _head("a line with no colon\r\n\r\n"),
+        _head("\r\n", method="GET"),  # not the class's method
+        _head("Content-Length: 0\r\n\r\n", cls="safe"),
+        _head("Content-Length: 0\r\nIdempotency-Key: k\r\n\r\n"),
+        _head("Content-Length: 0\r\n\r\n", cls="unsafes") * 600,
+    ],
+)
 def test_what_cannot_be_taken_gets_one_error_or_a_close_and_reaches_no_server(data: bytes) -> None:
     run(_turned_away, data)
 
@@ -227,8 +249,12 @@
 
 async def _trailer() -> None:
     async with rig(serve_ok) as r:
-        status, _, _ = await r.ask(_head(
-            "Transfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n0\r\nX-Correlation-Id: 99\r\nX-Other: 1\r\n\r\n"))
+        status, _, _ = await r.ask(
+            _head(
+                "Transfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n0\r\n"
+                "X-Correlation-Id: 99\r\nX-Other: 1\r\n\r\n"
+            )
+        )
         assert status == 200
         assert r.sends[0].field("X-Correlation-Id") == "77" and r.sends[0].field("X-Other") is None
 
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -9,7 +9,15 @@
 import pytest
 
 from minthitch.interface import (
-    SECOND, AttemptEnded, ListKind, ListUpdate, Prices, Refuse, Send, ServerEntry, Status,
+    SECOND,
+    AttemptEnded,
+    ListKind,
+    ListUpdate,
+    Prices,
+    Refuse,
+    Send,
+    ServerEntry,
+    Status,
 )
 from minthitch.policy import TARGET, Balancer, Candidate, Server
 from tests.rules import MS, SAFE, UNSAFE, Node, settings
@@ -105,8 +113,12 @@
         node.balancer.spare = 10.0  # calm: copies are not short
         sends = [a.server for a in node.request(number, SAFE, 1500 * MS) if isinstance(a, Send)]
         chosen = [c for c in judged if c[2].entry.server in sends]
-        fit = [sum(c[0] for c in group) for size in (1, 2, 3) for group in combinations(judged, size)
-               if 1 - prod(1 - c[1] for c in group) >= TARGET]
+        fit = [
+            sum(c[0] for c in group)
+            for size in (1, 2, 3)
+            for group in combinations(judged, size)
+            if 1 - prod(1 - c[1] for c in group) >= TARGET
+        ]
         if fit:
             sizes.append(len(sends))
             assert sum(c[0] for c in chosen) == pytest.approx(min(fit))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,14 +8,47 @@
 
 from minthitch import policy
 from minthitch.interface import (
-    SECOND, Action, AttemptEnded, Cancel, Fail, HangUp, ListKind, ListUpdate, Log, Prices, Probe, Refuse,
-    RequestArrived, RequestGone, Send, ServerEntry, Settings, State, Status, StreamStarted, Subscribe,
-    Tell, Tenant, TimerFired,
+    SECOND,
+    Action,
+    AttemptEnded,
+    Cancel,
+    Fail,
+    HangUp,
+    ListKind,
+    ListUpdate,
+    Log,
+    Prices,
+    Probe,
+    Refuse,
+    RequestArrived,
+    RequestGone,
+    Send,
+    ServerEntry,
+    Settings,
+    State,
+    Status,
+    StreamStarted,
+    Subscribe,
+    Tell,
+    Tenant,
+    TimerFired,
 )
 from minthitch.policy import POOL_MOST, Balancer, Candidate, ResendBudget, Server
 from tests.rules import (
-    ALL_CLASSES, BOUND, BOUND_UNSAFE, CLASSES, KEYED_ALL, KEYED_CELL, KEYED_ZONE, MS, SAFE, UNSAFE, Node,
-    entries, hostile_day, settings,
+    ALL_CLASSES,
+    BOUND,
+    BOUND_UNSAFE,
+    CLASSES,
+    KEYED_ALL,
+    KEYED_CELL,
+    KEYED_ZONE,
+    MS,
+    SAFE,
+    UNSAFE,
+    Node,
+    entries,
+    hostile_day,
+    settings,
 )
 
 PROVEN = [Status.FULL, Status.CONNECT_FAILED, Status.MOOT]
@@ -29,20 +62,34 @@
 @pytest.mark.parametrize("seed", range(120))
 def test_hostile_orders_break_no_rule(seed: int) -> None:
     """Every effect and group, bound and free, with and without a budget, list pushed or asked for."""
-    setup = settings(may_duplicate=seed % 3 != 0, may_cancel=seed % 5 != 0, ask_for_list=seed % 2 == 0,
-                     classes=ALL_CLASSES, budget_share=None if seed % 4 == 0 else 0.05,
-                     budget_free=seed % 3, budget_window=(1 + seed % 5) * SECOND)
+    setup = settings(
+        may_duplicate=seed % 3 != 0,
+        may_cancel=seed % 5 != 0,
+        ask_for_list=seed % 2 == 0,
+        classes=ALL_CLASSES,
+        budget_share=None if seed % 4 == 0 else 0.05,
+        budget_free=seed % 3,
+        budget_window=(1 + seed % 5) * SECOND,
+    )
     node = hostile_day(setup, seed)
     assert any(isinstance(a, Send) for a in node.log)
     assert any(isinstance(a, (Refuse, Fail)) for a in node.log)
 
 
-@pytest.mark.parametrize("setup", [
-    settings(siblings=1, max_attempts=1), settings(may_cancel=False), settings(may_duplicate=False),
-    settings(cold_time=0, cold_share=1.0), settings(tier=2, siblings=300), settings(ask_for_list=True),
-    settings(tenants=(Tenant("a", 1.0), Tenant("b", 0.0)), worth_by_work=True,
-             prices=Prices(cross_zone=0.03)),
-])
+@pytest.mark.parametrize(
+    "setup",
+    [
+        settings(siblings=1, max_attempts=1),
+        settings(may_cancel=False),
+        settings(may_duplicate=False),
+        settings(cold_time=0, cold_share=1.0),
+        settings(tier=2, siblings=300),
+        settings(ask_for_list=True),
+        settings(
+            tenants=(Tenant("a", 1.0), Tenant("b", 0.0)), worth_by_work=True, prices=Prices(cross_zone=0.03)
+        ),
+    ],
+)
 def test_hostile_orders_break_no_rule_under_other_settings(setup: Settings) -> None:
     for seed in range(5):
         hostile_day(setup, seed)
@@ -134,6 +181,7 @@
         node.listed(8)
         node.train(40, latency=900 * MS)
         return max(len(b.sent) for b in node.books.values())
+
     assert widest(None, 0.0) > 1
     assert widest(0.0, 0.0) == 1
 
@@ -324,6 +372,7 @@
         node.listed(8)
         node.train(20)
         return [a.server for a in node.log if isinstance(a, Send)]
+
     assert chosen(1) != chosen(2)
 
 
@@ -332,8 +381,14 @@
     node.listed(3)
     node.request(1)
     node.end(1, 0, Status.OK)
-    for event in (AttemptEnded(1, 0, 1, Status.OK, 5, True), AttemptEnded(1, 7, 1, Status.OK, 5, True),
-                  RequestGone(1), RequestGone(77), TimerFired(1 << 1 | 1), TimerFired(1 << 40)):
+    for event in (
+        AttemptEnded(1, 0, 1, Status.OK, 5, True),
+        AttemptEnded(1, 7, 1, Status.OK, 5, True),
+        RequestGone(1),
+        RequestGone(77),
+        TimerFired(1 << 1 | 1),
+        TimerFired(1 << 40),
+    ):
         assert node.feed(event) == []
 
 
@@ -598,6 +653,7 @@
         node.queue(400, 20 * MS, 50 * MS)
         sends = [a.server for a in node.log if isinstance(a, Send)]
         return sum(s % 2 == 0 for s in sends) / len(sends)
+
     assert crossing(0.0) > 0.3
     assert crossing(0.03) < 0.2
     node = Node(settings(prices=Prices(cross_zone=0.03)))
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -18,22 +18,46 @@
 from minthitch.policy import Balancer
 from rigs.process import free_port
 from tests.net import (
-    OK, PATIENCE, SETTINGS, Caller, Discovery, Seen, Server, address_of, call, entry, rig, serve_ok)
+    OK,
+    PATIENCE,
+    SETTINGS,
+    Caller,
+    Discovery,
+    Seen,
+    Server,
+    address_of,
+    call,
+    entry,
+    rig,
+    serve_ok,
+)
 from tests.test_node import run
 
 ROOT = Path(__file__).parent.parent
 
 
 @asynccontextmanager
-async def program(path: Path, known: list[dict[str, Any]],
-                  where: str) -> AsyncIterator[tuple[asyncio.subprocess.Process, int]]:
+async def program(
+    path: Path, known: list[dict[str, Any]], where: str
+) -> AsyncIterator[tuple[asyncio.subprocess.Process, int]]:
     port = free_port()
-    path.write_text(json.dumps({
-        "name": "n1", "listen": f"127.0.0.1:{port}", "discovery": where, "seed": "8c1f30d27a5be964",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "known": {"seq": 41, "whole": True, "hosts": known}, "settings": SETTINGS, "peers": []}))
+    path.write_text(
+        json.dumps(
+            {
+                "name": "n1",
+                "listen": f"127.0.0.1:{port}",
+                "discovery": where,
+                "seed": "8c1f30d27a5be964",
+                "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+                "known": {"seq": 41, "whole": True, "hosts": known},
+                "settings": SETTINGS,
+                "peers": [],
+            }
+        )
+    )
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "minthitch", cwd=ROOT, env={**os.environ, "BALANCER_CONFIG": str(path)})
+        sys.executable, "-m", "minthitch", cwd=ROOT, env={**os.environ, "BALANCER_CONFIG": str(path)}
+    )
     try:
         async with asyncio.timeout(PATIENCE):
             while await ready(port) != 200:
@@ -112,20 +136,36 @@
 GOOD = {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "1", "settings": SETTINGS}
 
 
-@pytest.mark.parametrize("text", [
-    None, "", "no JSON", "[]", "{}",
-    json.dumps({**GOOD, "settings": {}}), json.dumps({**GOOD, "listen": "x"}),
-    json.dumps({**GOOD, "seed": "no hex"}), json.dumps({**GOOD, "known": {"hosts": 3}}),
-    json.dumps({**GOOD, "limits": {"sockets": "many"}}), json.dumps({**GOOD, "limits": [1]}),
-    json.dumps({**GOOD, "discovery": 5}),
-])
+@pytest.mark.parametrize(
+    "text",
+    [
+        None,
+        "",
+        "no JSON",
+        "[]",
+        "{}",
+        json.dumps({**GOOD, "settings": {}}),
+        json.dumps({**GOOD, "listen": "x"}),
+        json.dumps({**GOOD, "seed": "no hex"}),
+        json.dumps({**GOOD, "known": {"hosts": 3}}),
+        json.dumps({**GOOD, "limits": {"sockets": "many"}}),
+        json.dumps({**GOOD, "limits": [1]}),
+        json.dumps({**GOOD, "discovery": 5}),
+    ],
+)
 def test_a_bad_configuration_is_one_plain_line(text: str | None, tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
     env = {k: v for k, v in os.environ.items() if not k.startswith("BALANCER_")}
-    done = subprocess.run([sys.executable, "-m", "minthitch"], cwd=ROOT, capture_output=True, text=True,
-                          env={**env, "BALANCER_CONFIG": str(path)}, timeout=60)
+    done = subprocess.run(
+        [sys.executable, "-m", "minthitch"],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        env={**env, "BALANCER_CONFIG": str(path)},
+        timeout=60,
+    )
     assert done.returncode == 2 and not done.stdout
     assert len(done.stderr.splitlines()) == 1 and done.stderr.startswith("minthitch: ")
 
@@ -149,13 +189,20 @@
     run(_watch_lost)
 
 
-@pytest.mark.parametrize("line", [
-    b"no JSON", b"[]", b'{"seq": 9}', b'{"seq": 9, "hosts": [4]}', b'{"seq": "x", "hosts": []}',
-    b'{"seq": 9, "hosts": [{"host": "s0", "dial": "nowhere", "health": "up"}]}',
-    b'{"seq": 9, "hosts": [{"host": "s0", "dial": "127.0.0.1:9", "health": "odd"}]}',
-    b'{"seq": 9, "hosts": [{"host": "s0", "dial": "some.name:9", "health": "up"}]}',
-    b'{"seq": 9, "whole": true, "hosts": [{"host": "s0", "dial": "127.0.0.1:9", "born_ms": "now"}]}',
-])
+@pytest.mark.parametrize(
+    "line",
+    [
+        b"no JSON",
+        b"[]",
+        b'{"seq": 9}',
+        b'{"seq": 9, "hosts": [4]}',
+        b'{"seq": "x", "hosts": []}',
+        b'{"seq": 9, "hosts": [{"host": "s0", "dial": "nowhere", "health": "up"}]}',
+        b'{"seq": 9, "hosts": [{"host": "s0", "dial": "127.0.0.1:9", "health": "odd"}]}',
+        b'{"seq": 9, "hosts": [{"host": "s0", "dial": "some.name:9", "health": "up"}]}',
+        b'{"seq": 9, "whole": true, "hosts": [{"host": "s0", "dial": "127.0.0.1:9", "born_ms": "now"}]}',
+    ],
+)
 def test_a_bad_line_is_logged_and_the_old_list_stays(line: bytes, capfd: pytest.CaptureFixture[str]) -> None:
     async def bad() -> None:
         async with rig(serve_ok) as r:
--- a/tests/test_silent_discovery.py
+++ b/tests/test_silent_discovery.py
@@ -40,8 +40,9 @@
         self.listener = self.network.listen(self.machine, lambda: _Asked(self), AGENT, PORT)
 
     def line(self) -> bytes:
-        return json.dumps({"seq": self.seq, "whole": True, "hosts": [
-            entry("s0", "10.0.0.3:1", self.health)]}).encode()
+        return json.dumps(
+            {"seq": self.seq, "whole": True, "hosts": [entry("s0", "10.0.0.3:1", self.health)]}
+        ).encode()
 
     def fall_silent(self) -> None:
         self.silent, self.watches = True, []
