--- a/minthitch/cli/ask.py
+++ b/minthitch/cli/ask.py
@@ -10,7 +10,7 @@
 from msgspec import DecodeError, json
 
 from minthitch.config import ConfigError
-from minthitch.mesh.configuration import boot
+from minthitch.mesh.configuration import settings
 
 TIMEOUT = 5.0  # seconds for a running process to answer
 MOST_AT_ONCE = 16  # processes asked at one time
@@ -40,7 +40,7 @@
 def ask(address: str, method: str, path: str, body: bytes = b"") -> Told:
     """Raises ConfigError for what is no address, Silence where no answer came."""
     try:
-        ip, port = boot.address(address)
+        ip, port = settings.parse_address(address)
     except ValueError as err:
         raise ConfigError(f"{address}: {err}") from None
     line = http.client.HTTPConnection(ip, port, timeout=TIMEOUT)
--- a/minthitch/cli/change.py
+++ b/minthitch/cli/change.py
@@ -14,7 +14,8 @@
 
 from minthitch.cli.ask import Silence, Told, ask
 from minthitch.config import ConfigError
-from minthitch.mesh.configuration.items import ROUTES, SERVICES, Items, Verdict
+from minthitch.mesh.configuration.items import Items, Verdict
+from minthitch.mesh.configuration.schema import ROUTES, SERVICES
 
 AGREED, REFUSED, UNCLEAR = 0, 1, 3  # exit codes of a change
 PAUSE = 0.25  # seconds before a change is sent again, unless its answer names more
--- a/minthitch/cli/mesh.py
+++ b/minthitch/cli/mesh.py
@@ -17,7 +17,7 @@
 from minthitch.mesh.storage.store import Condition
 from minthitch.cli import ask, catalogue, change, folder, settings, shown
 from minthitch.config import ConfigError
-from minthitch.mesh.configuration import boot
+from minthitch.mesh.configuration.settings import SettingsError, parse_settings
 
 Folder = Annotated[Path, cappa.Arg(value_name="DIR", help="Self.Datadir of a control node that is stopped")]
 Address = Annotated[str, cappa.Arg(value_name="IP:PORT", help="Net.Bind.Ctl of any control node")]
@@ -37,9 +37,9 @@
     def run(self) -> int:
         try:
             text = self.file.read_text(encoding="utf-8")
-            found = boot.read(text)
+            found = parse_settings(text)
             settings.check(found)
-        except boot.BadSettings as err:
+        except SettingsError as err:
             raise ConfigError(f"{self.file}: {err}") from None
         except (OSError, ValueError) as err:
             raise ConfigError(f"{self.file}: can't be read: {err}") from None
--- a/minthitch/cli/settings.py
+++ b/minthitch/cli/settings.py
@@ -9,7 +9,7 @@
 from msgspec.structs import fields
 
 from minthitch.mesh.control import program as control
-from minthitch.mesh.configuration import boot
+from minthitch.mesh.configuration import settings
 from minthitch.mesh.sidecar import program as sidecar
 
 NEEDS = {"sidecar": sidecar.needs, "ctl": control.required_settings}  # by what a process serves
@@ -17,16 +17,16 @@
 SEEDS = 3  # machines that found a group
 
 
-def check(found: boot.Boot) -> None:
+def check(found: settings.NodeSettings) -> None:
     """Raises BadSettings where a key is missing that one of its programs can't do without."""
     for part in found.own.serves:
         if part in NEEDS:
             for key, value in NEEDS[part](found):
                 if not value:
-                    raise boot.BadSettings(key, "", f"is missing, and what serves {part} needs it")
+                    raise settings.SettingsError(key, "", f"is missing, and what serves {part} needs it")
 
 
-def warnings(found: boot.Boot, text: str) -> Iterator[str]:
+def warnings(found: settings.NodeSettings, text: str) -> Iterator[str]:
     """One line each, with key and value: what a start would take, and its operator may not have meant."""
     own, seeds, (first, last) = found.own, found.net.seeds, found.net.port_range
     if not set(own.serves) & set(NEEDS):
@@ -40,9 +40,9 @@
         yield f"Terms.Bnd.GraceS={grace:g}: a sidecar needs {LEAST_GRACE:g} to leave without a refused client"
     if first == last:
         yield f"Net.PortRange={first},{last}: one port: the lines need no more today, a later version may"
-    known = set(_known(boot.Boot, ""))
-    for key, value in boot.values(text).items():
-        if key not in known and not key.startswith(boot.ZONES):
+    known = set(_known(settings.NodeSettings, ""))
+    for key, value in settings.parse_lines(text).items():
+        if key not in known and not key.startswith(settings.ZONES):
             yield f"{key}={value}: no such key; a start leaves it aside"
 
 
--- a/minthitch/mesh/configuration/calls.py
+++ b/minthitch/mesh/configuration/calls.py
@@ -1,4 +1,4 @@
-"""The calls of servers, operators and the platform: one table, and the bodies of beats."""
+"""The calls of servers, operators and the platform, and the bodies of heartbeats."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from msgspec import Meta, Struct
 from msgspec.json import Decoder
 
-HOLE = b"{}"
+ID_PLACEHOLDER = b"{}"
 
 
 class Call(Struct, frozen=True, gc=False):
@@ -25,7 +25,7 @@
     Call("leave", b"POST", b"/Instances.Deregister/{}", "leave"),
     Call("patch", b"POST", b"/Config.Patch", "patch"),
     Call("fetch", b"GET", b"/Config.Fetch", "fetch"),
-    Call("status", b"GET", b"/Mesh.Status", "status"),  # ours: what this process knows, for its operators
+    Call("status", b"GET", b"/Mesh.Status", "status"),  # our own: what this process knows, for its operators
     Call("trace", b"POST", b"/Mesh.Trace/{}", "trace"),  # ours, at a sidecar: for so many seconds
     Call(
         "explain", b"GET", b"/Mesh.Explain/{}", "explain"
@@ -34,7 +34,7 @@
 )
 
 
-def find(method: bytes, path: bytes) -> tuple[Call, str] | None:
+def find_call(method: bytes, path: bytes) -> tuple[Call, str] | None:
     """The call that is meant, and the id in its path ("" where it has none); None if there is none such."""
     for call in CALLS:
         if call.method == method:
@@ -44,16 +44,16 @@
     return None
 
 
-def methods(path: bytes) -> tuple[bytes, ...]:
+def known_methods(path: bytes) -> tuple[bytes, ...]:
     """The methods known at this path: where there are some, a call that was not found is a 405, not a 404."""
     return tuple(call.method for call in CALLS if _ident(call.path, path) is not None)
 
 
 def _ident(template: bytes, path: bytes) -> str | None:
     bare = path.partition(b"?")[0]
-    if not template.endswith(HOLE):
+    if not template.endswith(ID_PLACEHOLDER):
         return "" if bare == template else None
-    stem = template[: -len(HOLE)]
+    stem = template[: -len(ID_PLACEHOLDER)]
     ident = bare[len(stem) :]
     # A slash would make one server's id look like the path of another call.
     if not bare.startswith(stem) or not ident or b"/" in ident or not ident.isascii():
@@ -62,7 +62,7 @@
 
 
 class Summary(Struct, frozen=True, rename="pascal", gc=False):
-    """What stays the same for one life: service, version of its software, zone, slots."""
+    """What stays the same for one run of a server: service, version of its software, zone, slots."""
 
     svc: Annotated[str, Meta(min_length=1)]
     cap: Annotated[int, Meta(ge=1)]
@@ -71,14 +71,14 @@
 
 
 class Stat(Struct, frozen=True, rename="pascal", gc=False):
-    """What changes: state, `seq` (a late beat has a lower one), seconds from its start that it is slow."""
+    """What changes: state, `seq` (lower in a late heartbeat), seconds that it is slow after its start."""
 
     state: Literal["up", "draining"]
     seq: int
     cold_s: float = 0.0
 
 
-class Beat(Struct, frozen=True, rename="pascal", gc=False):
+class Heartbeat(Struct, frozen=True, rename="pascal", gc=False):
     """The body of a heartbeat; `addr` is "ip:port", checked by who connects to it."""
 
     addr: Annotated[str, Meta(min_length=1)]
@@ -86,14 +86,14 @@
     stat: Stat
 
 
-# Not strict: whole numbers may come as `9.0`. A beat that is refused costs its server all of its requests.
-_BEAT = Decoder(Beat, strict=False)
+# Not strict: integers may come as `9.0`. A server whose heartbeat is rejected gets no requests.
+_HEARTBEAT_DECODER = Decoder(Heartbeat, strict=False)
 
 
-def read_beat(body: bytes) -> Beat:
-    """The beat in a body.
+def decode_heartbeat(body: bytes) -> Heartbeat:
+    """The heartbeat in a body.
 
     Raises:
-        msgspec.DecodeError: it is no beat (msgspec.ValidationError is one of these).
+        msgspec.DecodeError: it is no heartbeat (msgspec.ValidationError is one of these).
     """
-    return _BEAT.decode(body)
+    return _HEARTBEAT_DECODER.decode(body)
--- a/minthitch/mesh/configuration/routes.py
+++ b/minthitch/mesh/configuration/routes.py
@@ -1,26 +1,26 @@
-"""The configuration as the data plane asks it: host and path to route, name to service, limits."""
+"""The configuration as the data plane uses it: host and path to route, name to service, limits."""
 
 from __future__ import annotations
 
 from msgspec import UNSET, Struct
 
-from minthitch.mesh.configuration.items import (
-    LIMIT,
+from minthitch.mesh.configuration.items import ItemSet
+from minthitch.mesh.configuration.schema import (
     LIMITS,
-    ROUTE,
+    LIMITS_DECODER,
+    ROUTE_DECODER,
     ROUTES,
-    SERVICE,
+    SERVICE_DECODER,
     SERVICES,
     LimitsItem,
     RouteItem,
-    Rows,
     host_key,
     services_of,
 )
 
 
 class Route(Struct, frozen=True):
-    """A route in force; times in seconds, rank 0 is the highest, `services` are names and weights."""
+    """A route in force; times in seconds, priority 0 is the highest, `services` are names and weights."""
 
     name: str
     kind: str
@@ -30,22 +30,22 @@
     tries: int
     services: tuple[tuple[str, float], ...]
 
-    def choose(self, u: float) -> str:
-        """The service that `u` (0 up to, not including, 1) falls on, by weight; never one of weight 0."""
-        left = u * sum(weight for _, weight in self.services)
+    def choose(self, point: float) -> str:
+        """The service at `point` (0 up to, not including, 1) by weight; never one of weight 0."""
+        remaining = point * sum(weight for _, weight in self.services)
         last = ""
         for name, weight in self.services:
             if weight <= 0:
                 continue
-            if left < weight:
+            if remaining < weight:
                 return name
-            left -= weight
+            remaining -= weight
             last = name
-        return last  # rounding may leave a trace over
+        return last  # rounding may leave a trace
 
 
 class Service(Struct, frozen=True, gc=False):
-    """A service: path of its health call, connections a server takes from all, whether it drops repeats."""
+    """A service: path of its health check, connections that a server accepts, whether it drops repeats."""
 
     name: str
     health: str
@@ -54,7 +54,7 @@
 
 
 class Limits(Struct, frozen=True, gc=False):
-    """What clients may send (bytes) and how long a head may take or a connection idle (seconds)."""
+    """Limits of a client's requests (bytes), of the time for a head, and of idle connections (seconds)."""
 
     header_bytes: int = 16384
     body_bytes: int = 67108864
@@ -62,39 +62,42 @@
     idle_s: float = 15.0
 
 
-class _Host(Struct, frozen=True):
+class _HostRoutes(Struct, frozen=True):
+    """The routes of one host by prefix, and the length of the longest prefix."""
+
     routes: dict[bytes, Route]
     longest: int
 
 
 class Table:
-    """All routes, services and limits of one moment. Built anew when rows change, never altered."""
+    """All routes, services and limits as of one index. Built anew when items change, never altered."""
 
-    def __init__(self, rows: Rows) -> None:
-        self.index = rows.index
+    def __init__(self, items: ItemSet) -> None:
+        self.index = items.index
         self.routes: dict[str, Route] = {}
-        self._hosts: dict[bytes, _Host] = {}
-        self.services = {name: _service(name, body) for name, body in rows.standing(SERVICES)}
-        self.limits = next((_limits(LIMIT.decode(body)) for _, body in rows.standing(LIMITS)), Limits())
-        places: dict[str, dict[bytes, Route]] = {}
-        for name, body in rows.standing(ROUTES):
-            item = ROUTE.decode(body)
+        self.services = {name: _service(name, body) for name, body in items.present(SERVICES)}
+        limits = (_limits(LIMITS_DECODER.decode(body)) for _, body in items.present(LIMITS))
+        self.limits = next(limits, Limits())
+        by_host: dict[str, dict[bytes, Route]] = {}
+        for name, body in items.present(ROUTES):
+            item = ROUTE_DECODER.decode(body)
             self.routes[name] = route = _route(item)
-            places.setdefault(host_key(item.host), {})[item.pfx.encode()] = route
-        for host, routes in places.items():
-            self._hosts[host.encode()] = _Host(routes, max(map(len, routes)))
+            by_host.setdefault(host_key(item.host), {})[item.pfx.encode()] = route
+        self._hosts = {
+            host.encode(): _HostRoutes(routes, max(map(len, routes))) for host, routes in by_host.items()
+        }
 
     def match(self, host: bytes, path: bytes) -> Route | None:
         """The route of this host (any case, port or not) with the longest prefix that begins the path."""
-        held = self._hosts.get(host) or self._hosts.get(host.partition(b":")[0].strip().lower())
-        if held is None:
+        host_routes = self._hosts.get(host) or self._hosts.get(host.partition(b":")[0].strip().lower())
+        if host_routes is None:
             return None
         query = path.find(b"?")
         # No prefix is longer, so a path of ten thousand slashes costs no more than the longest prefix has.
-        end = held.longest if query < 0 else min(query, held.longest)
+        end = host_routes.longest if query < 0 else min(query, host_routes.longest)
         end = path.rfind(b"/", 0, end)
         while end >= 0:
-            route = held.routes.get(path[: end + 1])
+            route = host_routes.routes.get(path[: end + 1])
             if route is not None:
                 return route
             end = path.rfind(b"/", 0, end)
@@ -107,7 +110,7 @@
 
 
 def _service(name: str, body: bytes) -> Service:
-    item = SERVICE.decode(body)
+    item = SERVICE_DECODER.decode(body)
     return Service(name, item.hc, item.maxconn, item.dedup)
 
 
--- /dev/null
+++ b/minthitch/mesh/configuration/schema.py
@@ -0,0 +1,100 @@
+"""The items of a configuration as they are sent: structs and decoders, one for each section."""
+
+from __future__ import annotations
+
+from typing import Literal
+
+from msgspec import UNSET, Raw, Struct, UnsetType, json
+
+ROUTES, SERVICES, LIMITS = "Routes", "Svcs", "Limits"
+KNOWN_SECTIONS = (ROUTES, SERVICES, LIMITS)
+
+
+class WeightedService(Struct, frozen=True, rename="pascal", gc=False):
+    """One part of a route's split; weights count in proportion to their sum."""
+
+    svc: str
+    wt: float
+
+
+class RouteItem(Struct, frozen=True, rename="pascal"):
+    """A route as sent; times in seconds."""
+
+    name: str
+    ver: str
+    host: str
+    pfx: str
+    kind: Literal["idempotent", "keyed", "mutating", "upload"]
+    tmo_s: float
+    goal_s: float | UnsetType = UNSET
+    prio: int = 0
+    tries: int = 1
+    svc: str | UnsetType = UNSET
+    split: list[WeightedService] | UnsetType = UNSET
+
+
+class ServiceItem(Struct, frozen=True, rename="pascal", gc=False):
+    """A service as sent."""
+
+    name: str
+    ver: str
+    hc: str = "/healthz"
+    maxconn: int = 64
+    dedup: bool = False
+
+
+class LimitsItem(Struct, frozen=True, rename="pascal", gc=False):
+    """Limits of a client's requests (bytes), of the time for a head, and of idle connections (seconds)."""
+
+    ver: str
+    hdr_bytes: int = 16384
+    body_bytes: int = 67108864
+    hdr_s: float = 3.0
+    idle_s: float = 15.0
+
+
+class NamedItem(Struct, frozen=True, rename="pascal", gc=False):
+    """An item of a list of an unknown section, or one to delete."""
+
+    name: str
+    ver: str
+
+
+class SingleItem(Struct, frozen=True, rename="pascal", gc=False):
+    """An unknown section that is one item, or one to delete."""
+
+    ver: str
+
+
+Item = RouteItem | ServiceItem | LimitsItem | NamedItem | SingleItem
+
+ROUTE_DECODER = json.Decoder(RouteItem)
+SERVICE_DECODER = json.Decoder(ServiceItem)
+LIMITS_DECODER = json.Decoder(LimitsItem)
+ANY_DECODER = json.Decoder()
+LIST_DECODER = json.Decoder(list[Raw])
+_NAMED_DECODER = json.Decoder(NamedItem)
+_SINGLE_DECODER = json.Decoder(SingleItem)
+_OWN_DECODERS: dict[str, json.Decoder[Item]] = {
+    ROUTES: ROUTE_DECODER,  # type: ignore[dict-item]
+    SERVICES: SERVICE_DECODER,  # type: ignore[dict-item]
+    LIMITS: LIMITS_DECODER,  # type: ignore[dict-item]
+}
+
+
+def decoder_of(section: str, *, deletes: bool, is_list: bool) -> json.Decoder[Item]:
+    """The decoder of an item: by its section, or the one that reads only name and version."""
+    plain: json.Decoder[Item] = _NAMED_DECODER if is_list else _SINGLE_DECODER  # type: ignore[assignment]
+    return plain if deletes else _OWN_DECODERS.get(section, plain)
+
+
+def services_of(item: RouteItem) -> tuple[tuple[str, float], ...]:
+    """A route's services and their weights; a route with one service gives it the weight 1."""
+    if item.split is not UNSET:
+        return tuple((weighted.svc, weighted.wt) for weighted in item.split)
+    return ((item.svc, 1.0),) if item.svc is not UNSET else ()
+
+
+def host_key(host: str) -> str:
+    """A host as routes compare it: lower case, without a port."""
+    return host.partition(":")[0].strip().lower()
--- a/minthitch/mesh/configuration/boot.py
+++ b/minthitch/mesh/configuration/settings.py
@@ -1,4 +1,4 @@
-"""What a process is told at its start: the settings file named by the variable MINTHITCH_BOOT.
+"""The settings of a process: the file named by the variable MINTHITCH_BOOT.
 
 Its lines (`a.b.c=value`, commas between the items of a list) are read here and typed by msgspec. No
 library reads them, for weight: a bare process took 8.5 MB resident, with javaproperties 20, with
@@ -12,15 +12,15 @@
 
 from msgspec import Struct, ValidationError, convert, field
 
-VARIABLE = "MINTHITCH_BOOT"
-ZONES = "Net.Azs."  # what follows is a zone's whole name, with any dots in it
+VARIABLE = "MINTHITCH_BOOT"  # of the environment: the path of the file
+ZONES = "Net.Azs."  # a zone's name follows, which may have dots in it
 BOUNDS = "Terms.Bnd"
-SWITCHES = frozenset({"true", "false"})  # a bound may be such a word, which says nothing of a figure of ours
+SWITCHES = frozenset({"true", "false"})  # in place of a bound: it says nothing of the figure
 TABLES = ("Self", "Self.Limits", "Net", "Net.Bind", "Infra", "Terms", "Terms.Tolerate", BOUNDS)
 LISTS = frozenset({"Self.Serves", "Net.PortRange", "Net.Seeds", "Terms.Slo"})
 
 
-class BadSettings(Exception):
+class SettingsError(Exception):
     """The settings can't be used: `key` holds `value`, and `why` says what is wrong with it."""
 
     def __init__(self, key: str, value: str, why: str) -> None:
@@ -41,7 +41,7 @@
     disk_mb: float = 0.0  # 0: no disk
 
 
-class SelfPart(Struct, frozen=True, rename="pascal"):
+class SelfSettings(Struct, frozen=True, rename="pascal"):
     """This process and its machine. An address or name that its class lacks is ""."""
 
     node: str
@@ -52,7 +52,7 @@
     role: str = ""
     serves: tuple[str, ...] = ()
     quorum: bool = False
-    # Danger: who believes in a first start forms a group. Left out means no.
+    # A process that takes this for the first start may found a group, so it has to be stated.
     init: bool = False
     datadir: str = ""
     upstream: str = ""
@@ -70,7 +70,7 @@
 
 
 class Net(Struct, frozen=True, rename="pascal"):
-    """Addresses, the ports free for the project's own lines (first, last), seeds, regions by zone."""
+    """Addresses, the ports for the project's own connections (first, last), seeds, regions by zone."""
 
     port_range: tuple[int, int]
     seeds: tuple[str, ...]
@@ -79,7 +79,7 @@
 
 
 class Infra(Struct, frozen=True, rename="pascal"):
-    """What surrounds the system; `hb_s` is the pause between a server's beats in seconds."""
+    """What surrounds the system; `hb_s` is the interval of heartbeats in seconds."""
 
     sd: str = "static"
     ingress: str = "static"
@@ -88,7 +88,7 @@
 
 
 class Tolerate(Struct, frozen=True, rename="pascal"):
-    """How much of the core may be lost at one time while every rule still holds."""
+    """How many machines, zones and regions may be lost at the same time."""
 
     hw: int = 0
     azs: int = 0
@@ -128,71 +128,71 @@
     bounds: Bounds = field(default=Bounds(), name="Bnd")
 
 
-class Boot(Struct, frozen=True, rename="pascal"):
+class NodeSettings(Struct, frozen=True, rename="pascal"):
     """The settings file."""
 
-    own: SelfPart = field(name="Self")
+    own: SelfSettings = field(name="Self")
     net: Net
     infra: Infra
     terms: Terms
 
 
-def load() -> Boot:
+def load_settings() -> NodeSettings:
     """The settings as they stand in the file now.
 
     Raises:
-        BadSettings: no file is named, it can't be opened, or its text can't be used.
+        SettingsError: no file is named, it can't be opened, or its text can't be used.
     """
     path = environ.get(VARIABLE, "")
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read()
     except (OSError, ValueError) as err:
-        raise BadSettings(VARIABLE, path, f"can't be read: {err}") from None
-    return read(text)
+        raise SettingsError(VARIABLE, path, f"can't be read: {err}") from None
+    return parse_settings(text)
 
 
-def read(text: str) -> Boot:
+def parse_settings(text: str) -> NodeSettings:
     """The settings in a file's text; fields that are not known are left aside.
 
     Raises:
-        BadSettings: a field is missing, or its value can't be what it must be.
+        SettingsError: a field is missing, or its value can't be what it must be.
     """
-    found = values(text)
+    found = parse_lines(text)
     try:
-        boot = convert(_tree(found), Boot, strict=False)
+        boot = convert(_tree(found), NodeSettings, strict=False)
     except ValidationError as err:
         raise _named(str(err), found) from None
     _check(boot)
     return boot
 
 
-def values(text: str) -> dict[str, str]:
+def parse_lines(text: str) -> dict[str, str]:
     """Each key and its value as they stand in a file's text, known or not.
 
     Raises:
-        BadSettings: a line has no "=".
+        SettingsError: a line has no "=".
     """
     found: dict[str, str] = {}
-    for connection in text.splitlines():
-        connection = connection.strip()
-        if not connection or connection.startswith("#"):
+    for line in text.splitlines():
+        line = line.strip()
+        if not line or line.startswith("#"):
             continue
-        key, equals, value = connection.partition("=")
+        key, equals, value = line.partition("=")
         if not equals:  # a file caught half written, not a field that is unknown
-            raise BadSettings(key, "", "no '=' in the line")
+            raise SettingsError(key, "", "no '=' in the line")
         found[key.strip()] = value.strip()
     return found
 
 
-def address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     """The IP number and the port of "ip:port".
 
     Raises:
         ValueError: it is no such address.
     """
     ip, colon, port = text.rpartition(":")
-    if not colon or not _is_ip(ip) or not _whole(port, 65535) or int(port) == 0:
+    if not colon or not _is_ip(ip) or not _is_number(port, 65535) or int(port) == 0:
         raise ValueError("not an address ip:port")
     return ip, int(port)
 
@@ -205,7 +205,7 @@
         if key.startswith(ZONES):
             zones[key[len(ZONES) :]] = value
         elif table == BOUNDS and value.lower() in SWITCHES:
-            continue  # danger: a process that refuses to start for a rule it does not use serves nobody
+            continue  # a process must not refuse to start because of a rule that it does not use
         elif table in tables:
             tables[table][name] = _items(value) if key in LISTS else value
     for path in TABLES:  # after the fields: a field that bears a table's name does not hide it
@@ -220,22 +220,22 @@
     return [item.strip() for item in value.split(",") if item.strip()]
 
 
-def _named(message: str, values: dict[str, str]) -> BadSettings:
+def _named(message: str, values: dict[str, str]) -> SettingsError:
     """msgspec's complaint ("... - at `$.Self.Init`") told with the file's own key and value."""
     why, _, path = message.partition(" - at `$")
     key = path.strip(".`").partition("[")[0]
-    lost, _, name = why.partition("missing required field `")
+    problem, _, name = why.partition("missing required field `")
     if name:
-        return BadSettings(f"{key}.{name.rstrip('`')}", "", "is missing")
-    return BadSettings(key, values.get(key, ""), lost)
+        return SettingsError(f"{key}.{name.rstrip('`')}", "", "is missing")
+    return SettingsError(key, values.get(key, ""), problem)
 
 
-def _check(boot: Boot) -> None:
+def _check(boot: NodeSettings) -> None:
     if not _is_ip(boot.own.ip):
-        raise BadSettings("Self.Ip", boot.own.ip, "not an IP number")
+        raise SettingsError("Self.Ip", boot.own.ip, "not an IP number")
     first, last = boot.net.port_range
     if not 0 < first <= last <= 65535:
-        raise BadSettings("Net.PortRange", f"{first},{last}", "not a range of ports")
+        raise SettingsError("Net.PortRange", f"{first},{last}", "not a range of ports")
     _check_bounds(boot.terms.bounds)
     bind = boot.net.bind
     _check_address("Self.Upstream", boot.own.upstream)
@@ -250,23 +250,23 @@
 def _check_bounds(bounds: Bounds) -> None:
     for name, key in zip(bounds.__struct_fields__, bounds.__struct_encode_fields__, strict=True):
         figure = getattr(bounds, name)
-        if not isfinite(figure) or figure < 0:  # danger: NaN compares false with everything
-            raise BadSettings(f"{BOUNDS}.{key}", str(figure), "not a figure of 0 or more")
+        if not isfinite(figure) or figure < 0:  # NaN compares false with everything
+            raise SettingsError(f"{BOUNDS}.{key}", str(figure), "not a figure of 0 or more")
 
 
 def _check_address(key: str, value: str) -> None:
     if not value:
         return
     try:
-        address(value)
+        parse_address(value)
     except ValueError as err:
-        raise BadSettings(key, value, str(err)) from None
+        raise SettingsError(key, value, str(err)) from None
 
 
 def _is_ip(text: str) -> bool:
-    parts = text.split(".")
-    return len(parts) == 4 and all(_whole(part, 255) for part in parts)
+    octets = text.split(".")
+    return len(octets) == 4 and all(_is_number(octet, 255) for octet in octets)
 
 
-def _whole(text: str, most: int) -> bool:
-    return text.isascii() and text.isdigit() and len(text) <= 5 and int(text) <= most
+def _is_number(text: str, maximum: int) -> bool:
+    return text.isascii() and text.isdigit() and len(text) <= 5 and int(text) <= maximum
--- a/minthitch/mesh/control/allowance_leases.py
+++ b/minthitch/mesh/control/allowance_leases.py
@@ -4,7 +4,7 @@
 
 from typing import Any, Protocol
 
-from minthitch.mesh.configuration.boot import Bounds
+from minthitch.mesh.configuration.settings import Bounds
 from minthitch.mesh.limits.lease import Lease, Lender, Report
 from minthitch.mesh.raft.node import RaftNode
 
--- a/minthitch/mesh/control/consensus.py
+++ b/minthitch/mesh/control/consensus.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from minthitch.mesh.configuration.boot import Boot
+from minthitch.mesh.configuration.settings import NodeSettings
 from minthitch.mesh.control.disk_health import DiskHealth
 from minthitch.mesh.control.shutdown import GracefulShutdown
 from minthitch.mesh.control.snapshots import SnapshotSchedule, SnapshotTaker
@@ -47,7 +47,7 @@
     def fail(self, error: BaseException) -> None: ...
 
 
-def data_file_bytes(boot: Boot) -> int:
+def data_file_bytes(boot: NodeSettings) -> int:
     """The limit of the data file."""
     return int(max(boot.own.limits.disk_mb, MIN_DISK_MB) * FILE_FRACTION) * 1024 * 1024
 
@@ -56,7 +56,7 @@
     """Carries out the actions of a RaftNode and reports to it what has happened."""
 
     def __init__(
-        self, host: Host, boot: Boot, store: Store | None, make_writer: MakeWriter, clock: Clock
+        self, host: Host, boot: NodeSettings, store: Store | None, make_writer: MakeWriter, clock: Clock
     ) -> None:
         """Open the data folder and start the core.
 
@@ -178,7 +178,7 @@
         self.writer.stop()
 
 
-def _start_raft(boot: Boot, store: Store, now: float) -> RaftNode:
+def _start_raft(boot: NodeSettings, store: Store, now: float) -> RaftNode:
     """The consensus core with what the disk has.
 
     Raises:
--- a/minthitch/mesh/control/handlers.py
+++ b/minthitch/mesh/control/handlers.py
@@ -7,7 +7,7 @@
 from msgspec import DecodeError
 from msgspec.json import encode
 
-from minthitch.mesh.configuration.calls import find, methods, read_beat
+from minthitch.mesh.configuration.calls import decode_heartbeat, find_call, known_methods
 from minthitch.mesh.configuration.errors import REPLIES, ErrorKind
 from minthitch.mesh.control.heartbeats import is_deregistered, is_heartbeat_applied
 from minthitch.mesh.control.server import ControlServer
@@ -55,9 +55,9 @@
 
     def handle(self, client: ClientConnection, request: Incoming) -> None:
         """Answer a request, now or later."""
-        found = find(request.method, request.target)
+        found = find_call(request.method, request.target)
         if found is None:
-            kind = ErrorKind.METHOD if methods(request.target) else ErrorKind.UNKNOWN_CALL
+            kind = ErrorKind.METHOD if known_methods(request.target) else ErrorKind.UNKNOWN_CALL
             self._respond_error(client, client.token, kind, "")
             return
         call, ident = found
@@ -94,7 +94,7 @@
             is_applied = is_deregistered(records, server_id)
         else:
             try:
-                is_applied = is_heartbeat_applied(records, server_id, read_beat(body))
+                is_applied = is_heartbeat_applied(records, server_id, decode_heartbeat(body))
             except DecodeError as error:
                 self.log_client_error(f"beat of {server_id[:40]}: {error}")
                 client.respond(client.token, REPLIES[ErrorKind.BAD_REQUEST].status, JSON, b"{}")
--- a/minthitch/mesh/control/heartbeats.py
+++ b/minthitch/mesh/control/heartbeats.py
@@ -10,11 +10,11 @@
 
 from collections.abc import Iterable
 
-from minthitch.mesh.configuration.calls import Beat
+from minthitch.mesh.configuration.calls import Heartbeat
 from minthitch.mesh.registry.records import ServerState, SidecarRecord
 
 
-def is_heartbeat_applied(records: Iterable[SidecarRecord], server_id: str, heartbeat: Beat) -> bool:
+def is_heartbeat_applied(records: Iterable[SidecarRecord], server_id: str, heartbeat: Heartbeat) -> bool:
     """Whether the sidecar beside the server at that address reports the state of the heartbeat."""
     address = heartbeat.addr.rpartition(":")[0]
     return any(
--- a/minthitch/mesh/control/program.py
+++ b/minthitch/mesh/control/program.py
@@ -5,7 +5,7 @@
 import asyncio
 import signal
 
-from minthitch.mesh.configuration.boot import Boot
+from minthitch.mesh.configuration.settings import NodeSettings
 from minthitch.mesh.control.handlers import ControlHandlers
 from minthitch.mesh.control.server import ControlServer
 from minthitch.mesh.events.events import Event, log_event
@@ -21,12 +21,12 @@
 EXIT_OK, EXIT_ADDRESS, EXIT_DISK = 0, 1, 3
 
 
-def required_settings(boot: Boot) -> tuple[tuple[str, str], ...]:
+def required_settings(boot: NodeSettings) -> tuple[tuple[str, str], ...]:
     """Key and value of each setting that a control node needs."""
     return (("Self.Datadir", boot.own.datadir), ("Net.Bind.Ctl", boot.net.bind.ctl))
 
 
-async def serve(boot: Boot) -> int:
+async def serve(boot: NodeSettings) -> int:
     """Serve until SIGTERM. Returns the exit code."""
     loop = asyncio.get_running_loop()
     try:
--- a/minthitch/mesh/control/server.py
+++ b/minthitch/mesh/control/server.py
@@ -6,7 +6,7 @@
 import time
 from typing import Any
 
-from minthitch.mesh.configuration.boot import Boot
+from minthitch.mesh.configuration.settings import NodeSettings
 from minthitch.mesh.control.allowance_leases import AllowanceLeases
 from minthitch.mesh.control.claim_expiry import ClaimExpiry
 from minthitch.mesh.control.configuration_calls import ConfigurationCalls, OnResult
@@ -50,7 +50,7 @@
 
     def __init__(
         self,
-        boot: Boot,
+        boot: NodeSettings,
         store: Store | None = None,
         writer: MakeWriter = StorageWriter,
         clock: Clock = time.monotonic,
--- a/minthitch/mesh/control/snapshots.py
+++ b/minthitch/mesh/control/snapshots.py
@@ -79,8 +79,8 @@
     def take_early(self, index: int) -> None:
         """The disk refuses a write: a snapshot that drops much of the log may make space for it."""
         schedule = self.schedule
-        is_worth_it = schedule.applied_bytes >= max(MIN_EARLY_BYTES, schedule.size)
-        if self.next_step is None and is_worth_it:
+        is_useful = schedule.applied_bytes >= max(MIN_EARLY_BYTES, schedule.size)
+        if self.next_step is None and is_useful:
             self._begin(index)
 
     def on_restored(self, index: int, size: int) -> None:
--- a/minthitch/mesh/control/state_machine.py
+++ b/minthitch/mesh/control/state_machine.py
@@ -9,7 +9,8 @@
 import msgpack
 
 from minthitch.mesh.configuration.errors import ErrorKind
-from minthitch.mesh.configuration.items import ROUTE, ROUTES, Items
+from minthitch.mesh.configuration.items import Items
+from minthitch.mesh.configuration.schema import ROUTE_DECODER, ROUTES
 from minthitch.mesh.idempotency.claims import Claim, ClaimCommand, ClaimTable
 
 CONFIG, CLAIM, ROTATE, TIME = 1, 2, 3, 4  # kinds of commands, as stored
@@ -89,7 +90,7 @@
 
     def longest_route_timeout(self) -> float:
         """Seconds that a request may take at most by the present routes: so late its claim may come."""
-        return max((ROUTE.decode(body).tmo_s for _, body in self.items.standing(ROUTES)), default=0.0)
+        return max((ROUTE_DECODER.decode(body).tmo_s for _, body in self.items.present(ROUTES)), default=0.0)
 
     def snapshot(self) -> bytes:
         """Everything, in msgpack."""
--- a/minthitch/mesh/http/runtime.py
+++ b/minthitch/mesh/http/runtime.py
@@ -8,30 +8,31 @@
 
 import uvloop
 
-from minthitch.mesh.configuration.boot import BadSettings, Boot, load
+from minthitch.mesh.configuration.settings import NodeSettings, SettingsError, load_settings
 from minthitch.mesh.events.events import Event, log_event, open_log
 
 
 def seeds() -> tuple[str, ...]:
     """The seeds' IP numbers as the settings file has them now; none where it can't be used."""
     try:
-        return tuple(seed.rpartition(":")[0] for seed in load().net.seeds)
-    except BadSettings as err:  # caught half written, or wrong: what is known stays
+        return tuple(seed.rpartition(":")[0] for seed in load_settings().net.seeds)
+    except SettingsError as err:  # caught half written, or wrong: what is known stays
         log_event(Event.SETTINGS, key=err.key, value=err.value, why=err.why)
         return ()
 
 
 def run(
-    serve: Callable[[Boot], Coroutine[Any, Any, int]], needs: Callable[[Boot], Iterable[tuple[str, str]]]
+    serve: Callable[[NodeSettings], Coroutine[Any, Any, int]],
+    needs: Callable[[NodeSettings], Iterable[tuple[str, str]]],
 ) -> int:
     """Gives 2 for settings that can't be used, `needs` (key, value) too; else ends with `serve`'s code."""
     open_log()
     try:
-        boot = load()
+        boot = load_settings()
         for key, value in needs(boot):
             if not value:
-                raise BadSettings(key, "", "is missing")
-    except BadSettings as err:
+                raise SettingsError(key, "", "is missing")
+    except SettingsError as err:
         log_event(Event.SETTINGS, key=err.key, value=err.value, why=err.why)
         return 2
     code = uvloop.run(serve(boot))
--- a/minthitch/mesh/idempotency/operations.py
+++ b/minthitch/mesh/idempotency/operations.py
@@ -96,7 +96,7 @@
                 operation.body = b""
                 operation.fields = ()
 
-    def mark_not_run(self, operation: Operation) -> None:
+    def record_not_run(self, operation: Operation) -> None:
         """It never ran and never will under this claim. Has no effect on one that has ended already."""
         if operation.state is not OperationState.IN_PROGRESS:
             return
@@ -104,7 +104,7 @@
         if self.by_key.get(operation.key) is operation:
             del self.by_key[operation.key]
 
-    def mark_unknown(self, operation: Operation) -> None:
+    def record_unknown(self, operation: Operation) -> None:
         """It ended without an answer: it may have run, so it is never run again."""
         self._finish(operation, OperationState.UNKNOWN)
 
--- a/minthitch/mesh/raft/election.py
+++ b/minthitch/mesh/raft/election.py
@@ -187,8 +187,8 @@
     def on_request_vote(self, now: float, source: str, message: RequestVote) -> None:
         """Vote for the sender, unless this member voted for another in that term. Sent once durable."""
         member = self._member
-        lease_may_hold = not message.leadership_transfer and self.hears_live_leader(now)
-        if message.term < member.term or lease_may_hold:
+        lease_may_be_valid = not message.leadership_transfer and self.hears_live_leader(now)
+        if message.term < member.term or lease_may_be_valid:
             member.send(source, RequestVoteResponse(member.term, False))
             return
         if message.term > member.term:
--- a/minthitch/mesh/raft/node.py
+++ b/minthitch/mesh/raft/node.py
@@ -92,7 +92,14 @@
         self._shutdown = self.shutdown_type(
             self._member, self.leader_state, self.transfer, self._shutdown_state, now
         )
-        self._handlers: dict[type[Message], Handler] = {
+        self._handlers = self._message_handlers()
+        self._member.election_timer.reset(now)
+        self._member.update_role(now)
+        if persisted is not None and persisted.snapshot.index:
+            self._member.actions.append(Restore(persisted.snapshot.index, persisted.snapshot.data))
+
+    def _message_handlers(self) -> dict[type[Message], Handler]:
+        return {
             PreVote: self.election.on_pre_vote,
             PreVoteResponse: self.election.on_pre_vote_response,
             RequestVote: self.election.on_request_vote,
@@ -105,10 +112,6 @@
             ForwardedJoin: self.reconfiguration.on_forwarded_join,
             ShutdownNotice: self._shutdown.on_notice,
         }
-        self._member.election_timer.reset(now)
-        self._member.update_role(now)
-        if persisted is not None and persisted.snapshot.index:
-            self._member.actions.append(Restore(persisted.snapshot.index, persisted.snapshot.data))
 
     # State ----------------------------------------------------------------------------------------
 
--- a/minthitch/mesh/sidecar/admission.py
+++ b/minthitch/mesh/sidecar/admission.py
@@ -14,7 +14,7 @@
 from minthitch.mesh.limits.gate import Gate, Waiting
 from minthitch.engine.calls import Message
 from minthitch.interface import Status
-from minthitch.mesh.configuration.calls import Beat, read_beat
+from minthitch.mesh.configuration.calls import Heartbeat, decode_heartbeat
 from minthitch.mesh.transport import ops
 from minthitch.mesh.events.events import Event, log_event
 from minthitch.mesh.http.upstream import NOT_RUN, RAN, UpstreamCall, Outcome, ServerPool, Upstream
@@ -83,7 +83,7 @@
     def beat(self, life: str, body: bytes) -> None:
         """Raises ValueError where it can't be read."""
         try:
-            beat = read_beat(body)
+            beat = decode_heartbeat(body)
         except msgspec.DecodeError as err:
             raise ValueError(f"beat of {life[:40]}: {err}") from None
         if life in self.past:
@@ -98,7 +98,7 @@
         if beat.stat.state != self.state:
             self._be(beat.stat.state)
 
-    def _new_life(self, life: str, beat: Beat) -> None:
+    def _new_life(self, life: str, beat: Heartbeat) -> None:
         self._turn_away_queue("another life")
         if self.life:
             self.past.append(self.life)
@@ -112,7 +112,7 @@
         self.cold_until = self.loop.time() + beat.stat.cold_s
 
     def _be(self, state: str) -> None:
-        log_event(Event.SERVER, life=self.life, service=self.service, state=state)
+        log_event(Event.SERVER, server_id=self.life, service=self.service, state=state)
         self.state = state
         if state != "up":
             self._turn_away_queue(state)
--- a/minthitch/mesh/sidecar/front.py
+++ b/minthitch/mesh/sidecar/front.py
@@ -12,7 +12,7 @@
 from minthitch.mesh.limits.nested import Nested
 from minthitch.engine.calls import Rejected
 from minthitch.net.callers import Incoming
-from minthitch.mesh.configuration.boot import Boot
+from minthitch.mesh.configuration.settings import NodeSettings
 from minthitch.mesh.configuration.errors import REPLIES, ErrorKind
 from minthitch.mesh.configuration.routes import Table
 from minthitch.mesh.transport import ops
@@ -40,7 +40,7 @@
 class Front:
     """Everything that one sidecar holds, on the running loop."""
 
-    def __init__(self, boot: Boot, epoch: int, shelf: ServerPool | None = None) -> None:
+    def __init__(self, boot: NodeSettings, epoch: int, shelf: ServerPool | None = None) -> None:
         """`epoch` is larger for each life; `shelf` is given by models, else the server's connections."""
         self.boot, self.epoch = boot, epoch
         self.loop = asyncio.get_running_loop()
--- a/minthitch/mesh/sidecar/handlers.py
+++ b/minthitch/mesh/sidecar/handlers.py
@@ -7,7 +7,7 @@
 from msgspec.json import encode
 
 from minthitch.net.callers import Incoming
-from minthitch.mesh.configuration.calls import find, methods
+from minthitch.mesh.configuration.calls import find_call, known_methods
 from minthitch.mesh.configuration.errors import REPLIES, ErrorKind
 from minthitch.mesh.events.events import Event, log_event
 from minthitch.mesh.http.listener import ClientConnection
@@ -44,9 +44,9 @@
         log_event(Event.CLIENT_ERROR, text=text)
 
     def handle(self, client: ClientConnection, request: Incoming) -> None:
-        found = find(request.method, request.target)
+        found = find_call(request.method, request.target)
         if found is None:
-            kind = ErrorKind.METHOD if methods(request.target) else ErrorKind.UNKNOWN_CALL
+            kind = ErrorKind.METHOD if known_methods(request.target) else ErrorKind.UNKNOWN_CALL
             client.respond(client.token, REPLIES[kind].status, (), b"")
             return
         call, ident = found
--- a/minthitch/mesh/sidecar/keys.py
+++ b/minthitch/mesh/sidecar/keys.py
@@ -61,10 +61,10 @@
             if verdict == GRANTED:
                 trip.go(operation)
             elif verdict != HELD:
-                self.operations.mark_not_run(operation)
+                self.operations.record_not_run(operation)
                 trip.fail(ErrorKind.NO_LEADER)
             elif digest != operation.request_digest:
-                self.operations.mark_not_run(operation)
+                self.operations.record_not_run(operation)
                 trip.fail(ErrorKind.KEY_DIFFERS)
             else:
                 self._elsewhere(trip, operation, owner, claim, turns)
@@ -77,7 +77,7 @@
 
         def told(message: ops.Message | None) -> None:
             if message is None:  # its owner can't be reached: perhaps the next repeat can
-                self.operations.mark_not_run(operation)
+                self.operations.record_not_run(operation)
                 trip.fail(ErrorKind.KEY_UNKNOWN)
                 return
             state = message[2]
@@ -87,10 +87,10 @@
             elif state == OperationState.NOT_RUN and turns > 0 and self.loop.time() < trip.deadline:
                 self._claim(trip, operation, claim, turns - 1)
             elif state == OperationState.NOT_RUN:
-                self.operations.mark_not_run(operation)
+                self.operations.record_not_run(operation)
                 trip.fail(ErrorKind.BUSY)
             else:  # danger: it may have run, and must not run again
-                self.operations.mark_unknown(operation)
+                self.operations.record_unknown(operation)
                 trip.fail(ErrorKind.KEY_UNKNOWN)
 
         self.ask(owner, claim, trip.deadline, told)
--- a/minthitch/mesh/sidecar/program.py
+++ b/minthitch/mesh/sidecar/program.py
@@ -7,7 +7,7 @@
 import time
 from weakref import WeakSet
 
-from minthitch.mesh.configuration.boot import Boot
+from minthitch.mesh.configuration.settings import NodeSettings
 from minthitch.mesh.transport.connection import Connection
 from minthitch.mesh.events.events import Event, log_event
 from minthitch.mesh.http.runtime import run, seeds
@@ -25,7 +25,7 @@
 BACKLOG = 256
 
 
-def needs(boot: Boot) -> tuple[tuple[str, str], ...]:
+def needs(boot: NodeSettings) -> tuple[tuple[str, str], ...]:
     """What a sidecar can't do without, by key."""
     return (
         ("Self.Upstream", boot.own.upstream),
@@ -36,7 +36,7 @@
     )
 
 
-async def serve(boot: Boot) -> int:
+async def serve(boot: NodeSettings) -> int:
     """Serves until SIGTERM has been answered. Gives the exit code."""
     loop = asyncio.get_running_loop()
     front = Front(boot, int(time.time() * 1000))
--- a/minthitch/mesh/sidecar/trip.py
+++ b/minthitch/mesh/sidecar/trip.py
@@ -314,13 +314,13 @@
 
     def _refuse(self, kind: ErrorKind) -> None:
         if self.operation is not None:
-            self.front.keys.operations.mark_not_run(self.operation)
+            self.front.keys.operations.record_not_run(self.operation)
         self._respond_error(kind)
         self._close()
 
     def _end_unknown(self, kind: ErrorKind) -> None:
         if self.operation is not None:
-            self.front.keys.operations.mark_unknown(self.operation)
+            self.front.keys.operations.record_unknown(self.operation)
         self._respond_error(kind)
         self._close()
 
--- a/rigs/hollow/crowd.py
+++ b/rigs/hollow/crowd.py
@@ -19,7 +19,7 @@
 
 import uvloop
 
-from minthitch.mesh.configuration.boot import read
+from minthitch.mesh.configuration.settings import parse_settings
 from minthitch.mesh.registry.merged_views import MergedViews
 from minthitch.mesh.registry.registry import RegistryDelta
 from minthitch.mesh.sidecar.front import Front
@@ -125,7 +125,7 @@
 
     def __init__(self, settings: list[str], thin: bool) -> None:
         self.loop, self.thin = asyncio.get_running_loop(), thin
-        self.boots = [read(text) for text in settings]
+        self.boots = [parse_settings(text) for text in settings]
         self.fronts: list[HollowSidecar | None] = [None] * len(settings)
         self.lives = [0] * len(settings)
         self.claims: ClaimLoad | None = None
--- a/rigs/simulation/mesh.py
+++ b/rigs/simulation/mesh.py
@@ -10,8 +10,17 @@
 from minthitch.mesh.storage.writer import StorageWriter
 from minthitch.mesh.control.server import ControlServer
 from minthitch.mesh.control.state_machine import StateMachine
-from minthitch.mesh.configuration.boot import Bind, Boot, Bounds, Infra, Net, SelfPart, Terms, Tolerate
-from minthitch.mesh.configuration.items import ROUTES
+from minthitch.mesh.configuration.settings import (
+    Bind,
+    NodeSettings,
+    Bounds,
+    Infra,
+    Net,
+    SelfSettings,
+    Terms,
+    Tolerate,
+)
+from minthitch.mesh.configuration.schema import ROUTES
 from minthitch.mesh.transport.connection import Connection
 from minthitch.mesh.sidecar.front import Front
 from minthitch.mesh.sidecar.links import Claimed
@@ -49,9 +58,9 @@
         site.network.add(ip, zone_of(ip), self.machine)
         self.starts = 0
 
-    def boot(self, own: SelfPart) -> Boot:
+    def boot(self, own: SelfSettings) -> NodeSettings:
         seeds = tuple(f"{ip}:8000" for ip in CONTROLS)
-        return Boot(
+        return NodeSettings(
             own=own,
             net=Net(port_range=(PORT, PORT + 9), seeds=seeds, bind=Bind()),
             infra=Infra(),
@@ -86,7 +95,7 @@
         self.writer: SimWriter | None = None
 
     def begin(self) -> None:
-        own = SelfPart(
+        own = SelfSettings(
             node=self.ip, mclass="core", ip=self.ip, az=zone_of(self.ip), region="r", init=self.starts == 1
         )
         server = self.server = self.site.make_hall(
@@ -168,7 +177,7 @@
         self.clients: dict[Any, None] = {}  # in the order in which they came
 
     def begin(self) -> None:
-        own = SelfPart(
+        own = SelfSettings(
             node=self.ip,
             mclass="sidecar",
             ip=self.ip,
@@ -207,7 +216,7 @@
 
     def _table(self, front: Front) -> None:
         rows = {
-            row.name: (row.ver, row.body is not None)
+            row.name: (row.version, row.body is not None)
             for row in front.controls.replica._rows.values()
             if row.section == ROUTES
         }
--- a/rigs/simulation/planted.py
+++ b/rigs/simulation/planted.py
@@ -19,7 +19,7 @@
 from minthitch.mesh.control.proposals import Proposals
 from minthitch.mesh.control.server import ControlServer
 from minthitch.mesh.control.state_machine import CONFIG, ROTATE, StateMachine
-from minthitch.mesh.configuration.items import Items, Replica, _DELTA
+from minthitch.mesh.configuration.items import Items, Replica, _DELTA_DECODER
 from minthitch.mesh.transport import ops
 from minthitch.mesh.transport.control_messages import ForwardedResult
 from minthitch.mesh.idempotency.operations import OperationTable
@@ -117,7 +117,7 @@
 
 
 def _older(replica: Replica, delta: bytes) -> bool:
-    new = _DELTA.decode(delta)
+    new = _DELTA_DECODER.decode(delta)
     for row in new.rows:
         replica._rows[row.section, row.name] = row
     replica.index = new.index
@@ -161,14 +161,14 @@
     "agreed before it is synced": lambda: [mock.patch.object(SimWriter, "submit", _unsynced)],
     "a commit counted before its sync": lambda: [mock.patch.object(consensus_module, "RaftNode", Counting)],
     "an image without the last entries": lambda: [mock.patch.object(StateMachine, "snapshot", _dump)],
-    "a version that goes back": lambda: [mock.patch.object(Items, "_prevails", lambda *args: True)],
+    "a version that goes back": lambda: [mock.patch.object(Items, "_wins", lambda *args: True)],
     "a wiped disk that keeps its vote": lambda: [mock.patch.object(SimStore, "initialize", _same_name)],
     "a new leader that rotates too soon": lambda: [
         mock.patch.object(ControlServer, "_expire_claims", _rotate)
     ],
     "a vote forgotten": lambda: [mock.patch.object(consensus_module, "RaftNode", Forgetful)],
     "a key freed that may have run": lambda: [
-        mock.patch.object(OperationTable, "mark_unknown", OperationTable.mark_not_run)
+        mock.patch.object(OperationTable, "record_unknown", OperationTable.record_not_run)
     ],
     "a claim of a life before taken for free": lambda: [mock.patch.object(Keys, "asked", _asked_free)],
     "keys not claimed": lambda: [mock.patch.object(ControlLinks, "claim", _unclaimed)],
@@ -282,7 +282,7 @@
 def _refuses_equal(items: Items, row: Any) -> bool:
     """Takes the same order for a rival of itself."""
     held = items._rows.get((row.section, row.name))
-    return held is not None and row.ver == held.ver
+    return held is not None and row.version == held.version
 
 
 def _short_log(store: SimStore) -> Any:
@@ -318,8 +318,8 @@
         "ready with what a peer fed it": lambda: [mock.patch.object(Front, "ready", _ready_when_fed)],
     },
     ONE_ORDER: {
-        "both orders confirmed": lambda: [mock.patch.object(Items, "_clashes", lambda *args: False)],
-        "a taken order refused": lambda: [mock.patch.object(Items, "_clashes", _refuses_equal)],
+        "both orders confirmed": lambda: [mock.patch.object(Items, "_conflicts", lambda *args: False)],
+        "a taken order refused": lambda: [mock.patch.object(Items, "_conflicts", _refuses_equal)],
         "a result without its number checked": lambda: [
             mock.patch.object(Proposals, "on_forwarded_result", _any_result)
         ],
--- a/rigs/simulation/points.py
+++ b/rigs/simulation/points.py
@@ -9,7 +9,7 @@
 from typing import Any, NamedTuple
 from unittest import mock
 
-from minthitch.mesh.configuration.items import ROUTES
+from minthitch.mesh.configuration.schema import ROUTES
 from rigs.simulation import linearizability, order_checks, people
 from rigs.simulation.cuts import MODES, WAYS, Cut, RefusingNetwork, cut_off, restart
 from rigs.simulation.ctl import ControlClient
@@ -317,7 +317,7 @@
     acked = [order for order in linearizability.operations(site.history)[0] if order.status == 200]
     newest = max((row.ver for order in acked for row in order.rows if row.key[1] == "p0"), default=0)
     held = front.controls.replica._rows.get((ROUTES, "p0")) if front is not None else None
-    state = {"held": held.ver if held is not None else 0, "acked": newest}
+    state = {"held": held.version if held is not None else 0, "acked": newest}
     if front is not None and front.table is not None and front.controls.replica.index and not front.ready():
         site.say("fed", ip, **state)
     if front is not None and front.ready():
--- a/tests/mesh/test_configuration.py
+++ b/tests/mesh/test_configuration.py
@@ -9,7 +9,7 @@
 
 from msgspec import json
 
-from minthitch.mesh.configuration import boot, calls, items
+from minthitch.mesh.configuration import calls, items, settings
 from minthitch.mesh.configuration.errors import REPLIES, ErrorKind
 from minthitch.mesh.configuration.items import Items, Replica, Verdict
 from minthitch.mesh.configuration.routes import Route, Table
@@ -228,7 +228,7 @@
         held, _ = state(first(route()))
         copy, late = Replica(), Replica()
         self.assertTrue(copy.merge(held.since(0)) and late.merge(held.since(0)))
-        with mock.patch.object(items, "MOST_DROPPED", 2):
+        with mock.patch.object(items, "MAX_TOMBSTONES", 2):
             for index, name in enumerate(("r-1", "x", "y", "z"), 2):
                 held.apply(call(drop={"Routes": [gone(name, index + 10)]}), index)
                 self.assertTrue(copy.merge(held.since(copy.index)))
@@ -241,7 +241,7 @@
 class Copies(unittest.TestCase):
     def test_copies_fed_in_any_order_never_go_back_and_end_equal(self) -> None:
         for seed in range(60):
-            with self.subTest(seed=seed), mock.patch.object(items, "MOST_DROPPED", 4):
+            with self.subTest(seed=seed), mock.patch.object(items, "MAX_TOMBSTONES", 4):
                 self.history(random.Random(seed))
 
     def history(self, rng: random.Random) -> None:
@@ -289,22 +289,24 @@
 
 class Settings(unittest.TestCase):
     def test_fields_lists_zones_and_what_is_left_out(self) -> None:
-        told = boot.read(SETTINGS)
+        told = settings.parse_settings(SETTINGS)
         self.assertEqual(told.net.azs, {"lahore-hall": "punjab", "far.east": "sindh"})
         self.assertEqual((told.net.port_range, told.net.bind.inner), ((7620, 7635), "10.1.0.8:8300"))
         self.assertEqual(told.net.seeds, ("10.1.0.14:8306", "10.2.0.10:8306"))
         self.assertEqual((told.own.serves, told.own.datadir, told.net.bind.ctl), (("sidecar",), "", ""))
         self.assertEqual((told.own.init, told.own.quorum, told.own.limits.cpu), (True, False, 0.86))
         self.assertEqual((told.terms.slo, told.terms.bounds.revert_s), (("base", "keys"), 0.25))
-        self.assertEqual(boot.address(told.own.upstream), ("10.1.0.8", 8301))
+        self.assertEqual(settings.parse_address(told.own.upstream), ("10.1.0.8", 8301))
 
     def test_bounds_are_whole_numbers_fractions_true_or_false(self) -> None:
         lines = ("GraceS=7", "LostS=0.25", "RetryRatio=1e-1", "SkewS=true", "RetrySlack=False", "New=true")
-        bounds = boot.read(SETTINGS + "".join(f"Terms.Bnd.{line}\n" for line in lines)).terms.bounds
+        bounds = settings.parse_settings(
+            SETTINGS + "".join(f"Terms.Bnd.{line}\n" for line in lines)
+        ).terms.bounds
         self.assertEqual((bounds.grace_s, bounds.lost_s, bounds.retry_ratio), (7.0, 0.25, 0.1))
-        plain = boot.Bounds()  # true or false says nothing of a figure: as if it were left out
+        plain = settings.Bounds()  # true or false says nothing of a figure: as if it were left out
         self.assertEqual((bounds.skew_s, bounds.retry_slack), (plain.skew_s, plain.retry_slack))
-        self.assertFalse(boot.read(SETTINGS + "Self.Quorum=False").own.quorum)
+        self.assertFalse(settings.parse_settings(SETTINGS + "Self.Quorum=False").own.quorum)
 
     def test_what_can_not_be_used_is_named(self) -> None:
         for key, value, connection in [
@@ -320,14 +322,14 @@
             ("Net.Bind.In", "10.1.0.8:0", "Net.Bind.In=10.1.0.8:0"),
             ("Self.Upst", "", "Self.Upst"),
         ]:
-            with self.subTest(connection=connection), self.assertRaises(boot.BadSettings) as caught:
-                boot.read(SETTINGS + connection)
+            with self.subTest(connection=connection), self.assertRaises(settings.SettingsError) as caught:
+                settings.parse_settings(SETTINGS + connection)
             self.assertEqual((caught.exception.key, caught.exception.value), (key, value))
-        with self.assertRaises(boot.BadSettings) as caught:
-            boot.read(SETTINGS.replace("Self.Node", "Self.Nod"))
+        with self.assertRaises(settings.SettingsError) as caught:
+            settings.parse_settings(SETTINGS.replace("Self.Node", "Self.Nod"))
         self.assertEqual((caught.exception.key, caught.exception.why), ("Self.Node", "is missing"))
-        with mock.patch.dict("os.environ", {boot.VARIABLE: "/none/such"}):
-            self.assertRaises(boot.BadSettings, boot.load)
+        with mock.patch.dict("os.environ", {settings.VARIABLE: "/none/such"}):
+            self.assertRaises(settings.SettingsError, settings.load_settings)
 
 
 class Routes(unittest.TestCase):
@@ -368,7 +370,7 @@
 
 class Calls(unittest.TestCase):
     def test_calls_are_found_with_their_ids(self) -> None:
-        found = calls.find(b"POST", b"/Instances.Heartbeat/i-7f?x")
+        found = calls.find_call(b"POST", b"/Instances.Heartbeat/i-7f?x")
         self.assertEqual(found and (found[0].name, found[1]), ("beat", "i-7f"))
         for method, path in (
             (b"GET", b"/Config.Patch"),
@@ -376,8 +378,10 @@
             (b"GET", b"/"),
             (b"POST", b"/Instances.Heartbeat/a/b"),
         ):
-            self.assertIsNone(calls.find(method, path))
-        self.assertEqual((calls.methods(b"/Config.Patch"), calls.methods(b"/x")), ((b"POST",), ()))
+            self.assertIsNone(calls.find_call(method, path))
+        self.assertEqual(
+            (calls.known_methods(b"/Config.Patch"), calls.known_methods(b"/x")), ((b"POST",), ())
+        )
 
     def test_every_error_has_an_answer_and_keeps_the_protocols_promises(self) -> None:
         self.assertEqual(set(REPLIES), set(ErrorKind))
--- a/tests/mesh/test_golden.py
+++ b/tests/mesh/test_golden.py
@@ -11,7 +11,7 @@
 
 import msgpack
 
-from minthitch.mesh.configuration.boot import read
+from minthitch.mesh.configuration.settings import parse_settings
 from minthitch.mesh.configuration.items import Replica
 from minthitch.mesh.control.state_machine import StateMachine
 from minthitch.mesh.events.events import Event
@@ -76,7 +76,7 @@
         self.assertEqual(replica.since(0), data)
 
     def test_a_settings_file_is_read_with_fields_that_are_not_known(self) -> None:
-        boot = read((GOLDEN / "node.conf").read_text())
+        boot = parse_settings((GOLDEN / "node.conf").read_text())
         self.assertEqual(
             (boot.own.node, boot.own.svc, boot.own.upstream), ("sidecar-north-3", "fares", "10.9.0.3:9100")
         )
--- a/tests/mesh/test_keys.py
+++ b/tests/mesh/test_keys.py
@@ -61,10 +61,10 @@
             operations.record_answer(operation, 200, (), body)
             self.settle(200, (), body)
         elif fate == "not run":
-            operations.mark_not_run(operation)
+            operations.record_not_run(operation)
             self.fail(ErrorKind.BUSY)
         else:
-            operations.mark_unknown(operation)
+            operations.record_unknown(operation)
             self.fail(ErrorKind.MAY_HAVE_RUN)
 
     def settle(self, status: int, fields: Any, body: bytes) -> None:
@@ -164,7 +164,7 @@
     def test_a_lost_run_told_as_free_is_found(self) -> None:
         def plant(world: World) -> None:
             for keys in world.keys.values():
-                keys.operations.mark_unknown = keys.operations.mark_not_run  # type: ignore[method-assign]
+                keys.operations.record_unknown = keys.operations.record_not_run  # type: ignore[method-assign]
 
         self.assertTrue(self._found(plant))
 
--- a/tests/mesh/test_pages_beats.py
+++ b/tests/mesh/test_pages_beats.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from minthitch.mesh.configuration.calls import read_beat
+from minthitch.mesh.configuration.calls import decode_heartbeat
 from minthitch.mesh.sidecar.handlers import Counter
 
 MOST_ANSWER = 4 * 1024  # bytes of an answer that still counts as an acknowledgement
@@ -29,9 +29,11 @@
             body(stat='"State":"up","Seq":4,"ColdS":0.0,"Load":[1]', more=',"Tags":{"a":null}'),
         ):
             with self.subTest(sent=sent):
-                beat = read_beat(sent)
+                beat = decode_heartbeat(sent)
                 self.assertEqual((beat.summary.cap, beat.stat.seq, beat.stat.cold_s), (9, 4, 0.0))
-        self.assertEqual(read_beat(body(stat='"State":"draining","Seq":5,"ColdS":2.5')).stat.cold_s, 2.5)
+        self.assertEqual(
+            decode_heartbeat(body(stat='"State":"draining","Seq":5,"ColdS":2.5')).stat.cold_s, 2.5
+        )
 
     def test_what_says_no_state_slots_or_number_is_no_beat(self) -> None:
         for sent in (
@@ -43,7 +45,7 @@
             b"{}",
         ):
             with self.subTest(sent=sent), self.assertRaises(msgspec.DecodeError):
-                read_beat(sent)
+                decode_heartbeat(sent)
 
 
 class Client:
@@ -64,7 +66,7 @@
 
     def beat(self, life: str, sent: bytes) -> None:
         try:
-            read_beat(sent)
+            decode_heartbeat(sent)
         except msgspec.DecodeError as err:
             raise ValueError(str(err)) from None
         self.heard.append((life, len(self.client.answers)))
--- a/tests/mesh/test_pages_configuration.py
+++ b/tests/mesh/test_pages_configuration.py
@@ -14,6 +14,7 @@
 from msgspec import json
 
 from minthitch.mesh.configuration import items
+from minthitch.mesh.configuration.call_parser import Row
 from minthitch.mesh.configuration.errors import ErrorKind
 from minthitch.mesh.configuration.items import Items, Verdict
 
@@ -123,19 +124,19 @@
                 self.assertEqual(verdicts[1].kind, ErrorKind.CONFIG_CONFLICT)
 
     def test_planted_an_equal_version_taken_anew_is_found(self) -> None:
-        def prevails(held: Items, row: items.Row) -> bool:
+        def prevails(held: Items, row: Row) -> bool:
             before = held._rows.get((row.section, row.name))
-            return before is None or row.ver >= before.ver
+            return before is None or row.version >= before.version
 
-        with mock.patch.object(Items, "_prevails", prevails):
+        with mock.patch.object(Items, "_wins", prevails):
             self.assertTrue(Day(1).play(5))
 
     def test_planted_a_repeat_taken_for_other_content_is_found(self) -> None:
-        with mock.patch.object(items, "_same", lambda one, other: one is other):
+        with mock.patch.object(items, "same_content", lambda one, other: one is other):
             self.assertTrue(Day(1).play(5))
 
     def test_planted_tombstones_forgotten_at_once_are_found(self) -> None:
-        with mock.patch.object(items, "MOST_DROPPED", 1):
+        with mock.patch.object(items, "MAX_TOMBSTONES", 1):
             self.assertTrue(Day(1).play(10))
 
 
--- a/tests/mesh/test_pages_seeds.py
+++ b/tests/mesh/test_pages_seeds.py
@@ -8,7 +8,7 @@
 
 from msgspec import structs
 
-from minthitch.mesh.configuration.boot import Boot
+from minthitch.mesh.configuration.settings import NodeSettings
 from minthitch.mesh.raft.node import RaftNode
 from rigs.simulation.mesh import ControlNode, Node, Site
 from rigs.simulation.people import Operators, People
@@ -22,7 +22,7 @@
 def told(node: ControlNode, *seeds: str) -> None:
     """From its next start on its settings name these."""
 
-    def boot(own: Any) -> Boot:
+    def boot(own: Any) -> NodeSettings:
         plain = Node.boot(node, own)
         return structs.replace(plain, net=structs.replace(plain.net, seeds=seeds))
 
--- a/tests/mesh/test_pages_sighup.py
+++ b/tests/mesh/test_pages_sighup.py
@@ -6,7 +6,7 @@
 import unittest
 from unittest import mock
 
-from minthitch.mesh.configuration import boot
+from minthitch.mesh.configuration import settings
 from minthitch.mesh.http import runtime
 
 SETTINGS = """
@@ -24,7 +24,7 @@
     def test_seeds_as_the_file_has_them_now(self) -> None:
         with (
             tempfile.NamedTemporaryFile("w+") as file,
-            mock.patch.dict("os.environ", {boot.VARIABLE: file.name}),
+            mock.patch.dict("os.environ", {settings.VARIABLE: file.name}),
         ):
             for text, found in (
                 (SETTINGS % "10.1.0.14:8306", ("10.1.0.14",)),
@@ -35,7 +35,7 @@
                 file.truncate()
                 file.write(text)
                 file.flush()
-                with mock.patch.object(runtime, "say") as said:
+                with mock.patch.object(runtime, "log_event") as said:
                     self.assertEqual(runtime.seeds(), found)
                 self.assertEqual(said.called, not found)
 
--- a/tests/mesh/test_parts.py
+++ b/tests/mesh/test_parts.py
@@ -154,12 +154,12 @@
         operations, heard = OperationTable(60.0), list[str]()
         operation = operations.begin(b"k", b"c", b"d", 0.0)
         operation.listeners.append(lambda op: heard.append(op.state))
-        operations.mark_unknown(operation)
-        operations.mark_not_run(operation)
+        operations.record_unknown(operation)
+        operations.record_not_run(operation)
         self.assertEqual((heard, operation.state), ([OperationState.UNKNOWN], OperationState.UNKNOWN))
         self.assertIs(operations.by_key[b"k"], operation, "no repeat begins it anew")
         other = operations.begin(b"x", b"y", b"d", 0.0)
-        operations.mark_not_run(other)
+        operations.record_not_run(other)
         self.assertEqual((other.state, operations.by_key.get(b"x")), (OperationState.NOT_RUN, None))
 
     def test_answers_are_bounded_in_bytes_and_forgotten_ones_are_unknown(self) -> None:
