--- a/bench/embedded.py
+++ b/bench/embedded.py
@@ -23,8 +23,8 @@
 import uvloop
 
 from minthitch import Client, Config, Effect, RequestClass, Served, Settings, configure
-from minthitch.httpx_transport import BalancedTransport
 from minthitch.engine import Answer, Call, Engine, LoopClock, Message, Request
+from minthitch.httpx_transport import BalancedTransport
 from minthitch.interface import MILLISECOND, SECOND, ListKind
 from minthitch.listing import static_listing
 from minthitch.net.servers import Pool
--- a/bench/mesh.py
+++ b/bench/mesh.py
@@ -17,8 +17,8 @@
 
 from rigs.simulation.checks import delays
 from rigs.simulation.faults import Fault, drawn
-from rigs.simulation.play import Day, Played, play, shrink
 from rigs.simulation.planted import PLANTED, planted
+from rigs.simulation.play import Day, Played, play, shrink
 from rigs.simulation.storms import STORM, schedule, storm
 
 DAYS, QUICK_DAYS = 1_000, 60
--- a/bench/meshsize.py
+++ b/bench/meshsize.py
@@ -17,10 +17,10 @@
 
 from minthitch.mesh.control.server import FULL_UPDATE_INTERVAL_S
 from minthitch.mesh.control.sidecar_updates import BATCH_INTERVAL_S
+from minthitch.mesh.events.events import LOG
 from minthitch.mesh.registry.merged_views import MergedViews
 from minthitch.mesh.registry.records import SidecarRecord
 from minthitch.mesh.registry.registry import Registry, RegistryDelta
-from minthitch.mesh.events.events import LOG
 from rigs.simulation.size import SPREAD, Crowd, Used
 
 SIZES, QUICK_SIZES = (20, 100, 1_000), (20, 100)
@@ -93,7 +93,8 @@
 
 def pure(count: int) -> tuple[float, float, float]:
     """Microseconds for one record that changed: at a control node's list, to find it there, at a sidecar's
-    list."""
+    list.
+    """
 
     def record(n: int, seq: int) -> SidecarRecord:
         return SidecarRecord(
--- a/bench/powerloss.py
+++ b/bench/powerloss.py
@@ -83,7 +83,8 @@
 
 def share(history: Sequence[Event], since: float, seconds: range, cls: str = "", most: bool = False) -> float:
     """Of what was asked for in these seconds after `since`, what was served in its aim. With `most`, where
-    servers that started at `since` can do less than that, of what they can do."""
+    servers that started at `since` can do less than that, of what they can do.
+    """
     asked = {
         e.call: e for e in history if e.what == "asked" and e.call == want_of(e.call) and cls in ("", e.cls)
     }
--- a/minthitch/cli/change.py
+++ b/minthitch/cli/change.py
@@ -1,5 +1,6 @@
 """A configuration file on its way to the control nodes: judged offline, compared with what stands, sent,
-fetched."""
+fetched.
+"""
 
 from __future__ import annotations
 
@@ -68,7 +69,8 @@
 
 def faults(body: bytes) -> list[str]:
     """One line, with key and value, for each error that the control nodes would find, whatever stands there
-    now."""
+    now.
+    """
     found = parts(body)
     lines = [line for part in found if (line := _fault(part))]
     if lines:
@@ -79,7 +81,8 @@
 
 def _judge(body: bytes, brought: list[Part]) -> Verdict:
     """What the control nodes would say if the services that its routes name, and it does not bring, stood
-    there."""
+    there.
+    """
     own = {part.name for part in brought if part.section == SERVICES}
     named = {
         name for part in brought if part.section == ROUTES and not part.drops for name in _services(part.item)
--- a/minthitch/cli/folder.py
+++ b/minthitch/cli/folder.py
@@ -11,11 +11,6 @@
 import msgpack
 from msgspec import DecodeError, json
 
-from minthitch.mesh.raft.actions import PersistedState
-from minthitch.mesh.raft.log import DATA, MEMBERS, Entry
-from minthitch.mesh.storage.errors import StoreError
-from minthitch.mesh.storage.records import Header
-from minthitch.mesh.storage.store import Condition, Store
 from minthitch.config import ConfigError
 from minthitch.mesh.control.state_machine import (
     ALREADY_CLAIMED,
@@ -28,6 +23,11 @@
     StateMachine,
 )
 from minthitch.mesh.idempotency.claims import ClaimCommand
+from minthitch.mesh.raft.actions import PersistedState
+from minthitch.mesh.raft.log import DATA, MEMBERS, Entry
+from minthitch.mesh.storage.errors import StoreError
+from minthitch.mesh.storage.records import Header
+from minthitch.mesh.storage.store import Condition, Store
 
 FILE = "data.mdb"
 LEAST_MAP = 16 * 1024 * 1024  # bytes
--- a/minthitch/cli/mesh.py
+++ b/minthitch/cli/mesh.py
@@ -14,10 +14,10 @@
 from msgspec import json
 from rich.console import Console
 
-from minthitch.mesh.storage.store import Condition
 from minthitch.cli import ask, catalogue, change, folder, settings, shown
 from minthitch.config import ConfigError
 from minthitch.mesh.configuration.settings import SettingsError, parse_settings
+from minthitch.mesh.storage.store import Condition
 
 Folder = Annotated[Path, cappa.Arg(value_name="DIR", help="Self.Datadir of a control node that is stopped")]
 Address = Annotated[str, cappa.Arg(value_name="IP:PORT", help="Net.Bind.Ctl of any control node")]
@@ -137,7 +137,8 @@
 @dataclass
 class Trace:
     """Let sidecars keep the course of each request for a while, for `mesh explain`: it costs time and
-    memory."""
+    memory.
+    """
 
     addresses: Addresses
     seconds: Annotated[int, cappa.Arg(long=True, value_name="N", help="for so long; 0 ends it now")] = 60
--- a/minthitch/cli/record.py
+++ b/minthitch/cli/record.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 from minthitch.config import ConfigError
-from minthitch.record.model import Word
 from minthitch.record.choose import POSTGRES, open_store
+from minthitch.record.model import Word
 from minthitch.record.shown import as_json
 from minthitch.record.store import Store, StoreError
 
--- a/minthitch/cli/settings.py
+++ b/minthitch/cli/settings.py
@@ -8,8 +8,8 @@
 from msgspec import Struct
 from msgspec.structs import fields
 
-from minthitch.mesh.control import program as control
 from minthitch.mesh.configuration import settings
+from minthitch.mesh.control import program as control
 from minthitch.mesh.sidecar import program as sidecar
 
 NEEDS = {"sidecar": sidecar.needs, "ctl": control.required_settings}  # by what a process serves
--- a/minthitch/cli/shown.py
+++ b/minthitch/cli/shown.py
@@ -1,5 +1,6 @@
 """What running control nodes and sidecars told, as short tables for people, and the course of one request
-as lines."""
+as lines.
+"""
 
 from __future__ import annotations
 
--- a/minthitch/config.py
+++ b/minthitch/config.py
@@ -10,7 +10,7 @@
 
 from minthitch import interface as api
 from minthitch import settings
-from minthitch.listing import Listing, ListError, parse_address, parse_listing, static_listing
+from minthitch.listing import ListError, Listing, parse_address, parse_listing, static_listing
 
 NO_SERVERS = Listing(0, True, ())
 MOST_SOCKETS = 1024
--- a/minthitch/lab/deeds.py
+++ b/minthitch/lab/deeds.py
@@ -162,7 +162,8 @@
 
     def _nodes_turn(self, deed: Deed, last: int) -> None:
         """All nodes are restarted one after another over `spread`, each by SIGTERM: the front leaves it at
-        once, it answers what it has, ends, and comes back with the list that it held."""
+        once, it answers what it has, ends, and comes back with the list that it held.
+        """
         tier = self._tier(deed)
         step = int(deed.spread * SECOND) // max(len(tier.nodes), 1)
         for number in range(len(tier.nodes)):
--- a/minthitch/lab/meshdays.py
+++ b/minthitch/lab/meshdays.py
@@ -223,7 +223,7 @@
     if "to_zone" in row or "one_zone" in str(row.get("how", "")):
         row["to_zone"] = rng.choice(drawn.zones)
     free = kind not in drawn.planned and not {"service", "on", "to_zone"} & set(row)
-    if "zone" in row or free and rng.random() < PLACED:
+    if "zone" in row or (free and rng.random() < PLACED):
         row["zone"] = rng.choice(drawn.zones)
     hows = drawn.hows.get(kind, ())
     if hows and rng.random() < NEW_HOW:
--- a/minthitch/lab/statistics.py
+++ b/minthitch/lab/statistics.py
@@ -24,7 +24,7 @@
     @property
     def word(self) -> str:
         """`better`, `worse` or `no difference`, as the interval has it."""
-        if self.pairs < 2 or self.low <= NOTHING and self.high >= -NOTHING:
+        if self.pairs < 2 or (self.low <= NOTHING and self.high >= -NOTHING):
             return "no difference"
         return "better" if self.mean > 0 else "worse"
 
--- a/minthitch/mesh/configuration/settings.py
+++ b/minthitch/mesh/configuration/settings.py
@@ -18,6 +18,8 @@
 SWITCHES = frozenset({"true", "false"})  # in place of a bound: it says nothing of the figure
 TABLES = ("Self", "Self.Limits", "Net", "Net.Bind", "Infra", "Terms", "Terms.Tolerate", BOUNDS)
 LISTS = frozenset({"Self.Serves", "Net.PortRange", "Net.Seeds", "Terms.Slo"})
+MAX_PORT, MAX_OCTET, IP_OCTETS = 65535, 255, 4
+MAX_DIGITS = 5  # of a port: longer texts are no numbers of ours
 
 
 class SettingsError(Exception):
@@ -174,8 +176,7 @@
         SettingsError: a line has no "=".
     """
     found: dict[str, str] = {}
-    for line in text.splitlines():
-        line = line.strip()
+    for line in map(str.strip, text.splitlines()):
         if not line or line.startswith("#"):
             continue
         key, equals, value = line.partition("=")
@@ -192,7 +193,7 @@
         ValueError: it is no such address.
     """
     ip, colon, port = text.rpartition(":")
-    if not colon or not _is_ip(ip) or not _is_number(port, 65535) or int(port) == 0:
+    if not colon or not _is_ip(ip) or not _is_number(port, MAX_PORT) or int(port) == 0:
         raise ValueError("not an address ip:port")
     return ip, int(port)
 
@@ -221,7 +222,7 @@
 
 
 def _named(message: str, values: dict[str, str]) -> SettingsError:
-    """msgspec's complaint ("... - at `$.Self.Init`") told with the file's own key and value."""
+    """The complaint of msgspec ("... - at `$.Self.Init`") told with the file's own key and value."""
     why, _, path = message.partition(" - at `$")
     key = path.strip(".`").partition("[")[0]
     problem, _, name = why.partition("missing required field `")
@@ -234,7 +235,7 @@
     if not _is_ip(boot.own.ip):
         raise SettingsError("Self.Ip", boot.own.ip, "not an IP number")
     first, last = boot.net.port_range
-    if not 0 < first <= last <= 65535:
+    if not 0 < first <= last <= MAX_PORT:
         raise SettingsError("Net.PortRange", f"{first},{last}", "not a range of ports")
     _check_bounds(boot.terms.bounds)
     bind = boot.net.bind
@@ -265,8 +266,8 @@
 
 def _is_ip(text: str) -> bool:
     octets = text.split(".")
-    return len(octets) == 4 and all(_is_number(octet, 255) for octet in octets)
+    return len(octets) == IP_OCTETS and all(_is_number(octet, MAX_OCTET) for octet in octets)
 
 
 def _is_number(text: str, maximum: int) -> bool:
-    return text.isascii() and text.isdigit() and len(text) <= 5 and int(text) <= maximum
+    return text.isascii() and text.isdigit() and len(text) <= MAX_DIGITS and int(text) <= maximum
--- a/minthitch/mesh/control/configuration_calls.py
+++ b/minthitch/mesh/control/configuration_calls.py
@@ -1,5 +1,4 @@
-"""Configuration calls at the control node that received them: each is answered once, before its caller
-times out.
+"""Configuration calls at the control node that received them, each answered once and in time.
 
 Callers of `Ctl` go to another node after a second without an answer. A call without a result after
 RESULT_TIMEOUT_S is answered as unclear instead: it may have been committed, so it is never rejected, and
@@ -34,8 +33,11 @@
     clock: Callable[[], float]
 
     @property
-    def disk_healthy(self) -> bool: ...
-    def propose(self, kind: int, data: bytes, on_result: OnResult) -> None: ...
+    def disk_healthy(self) -> bool:
+        """Whether its disk can be relied on."""
+
+    def propose(self, kind: int, data: bytes, on_result: OnResult) -> None:
+        """Propose a command."""
 
 
 def call_timeout(body_bytes: int) -> float:
@@ -80,9 +82,9 @@
         """Change the configuration.
 
         Args:
-            body: the call as sent. on_result: gets a ConfigurationResult; None at once where no majority
-            can be reached, and after the
-                timeout where the outcome is unclear.
+            body: the call as sent.
+            on_result: gets a ConfigurationResult; None at once where no majority can be reached, and after
+                the timeout where the outcome is unclear.
         """
         if self._reaches_quorum():
             self._host.propose(CONFIG, body, self._pending(on_result, len(body)))
--- a/minthitch/mesh/control/consensus.py
+++ b/minthitch/mesh/control/consensus.py
@@ -40,11 +40,20 @@
 
     loop: asyncio.AbstractEventLoop
 
-    def send(self, action: Send) -> None: ...
-    def on_applied(self, entry: Entry, result: tuple[Any, ...]) -> None: ...
-    def on_state_changed(self) -> None: ...
-    def on_leader_changed(self) -> None: ...
-    def fail(self, error: BaseException) -> None: ...
+    def send(self, action: Send) -> None:
+        """Send a message to another member."""
+
+    def on_applied(self, entry: Entry, result: tuple[Any, ...]) -> None:
+        """A committed entry was applied."""
+
+    def on_state_changed(self) -> None:
+        """The configuration or the voters have changed."""
+
+    def on_leader_changed(self) -> None:
+        """There is another leader, or other voters."""
+
+    def fail(self, error: BaseException) -> None:
+        """End the process."""
 
 
 def data_file_bytes(boot: NodeSettings) -> int:
--- a/minthitch/mesh/control/peer_links.py
+++ b/minthitch/mesh/control/peer_links.py
@@ -21,8 +21,11 @@
 
     raft: RaftNode
 
-    def carry_out(self, actions: list[Action]) -> None: ...
-    def time(self) -> float: ...
+    def carry_out(self, actions: list[Action]) -> None:
+        """Do what the consensus core asks for."""
+
+    def time(self) -> float:
+        """The loop's time in seconds."""
 
 
 class PeerLinks:
--- a/minthitch/mesh/control/proposals.py
+++ b/minthitch/mesh/control/proposals.py
@@ -10,9 +10,9 @@
 from minthitch.mesh.raft.actions import Action
 from minthitch.mesh.raft.log import Entry
 from minthitch.mesh.raft.node import RaftNode
+from minthitch.mesh.transport import ops
 from minthitch.mesh.transport.connection import Connection
 from minthitch.mesh.transport.control_messages import ForwardedProposal, ForwardedResult, encode_result
-from minthitch.mesh.transport import ops
 
 PROPOSAL_TIMEOUT_S = 3.0  # after which a proposal is forgotten: sidecars repeat their claims
 MAX_PROPOSALS = 20_000  # that wait for their result
@@ -25,10 +25,17 @@
     peer_links: PeerLinks
 
     @property
-    def disk_healthy(self) -> bool: ...
-    def carry_out(self, actions: list[Action]) -> None: ...
-    def propose(self, kind: int, data: bytes, on_result: OnResult) -> None: ...
-    def time(self) -> float: ...
+    def disk_healthy(self) -> bool:
+        """Whether its disk can be relied on."""
+
+    def carry_out(self, actions: list[Action]) -> None:
+        """Do what the consensus core asks for."""
+
+    def propose(self, kind: int, data: bytes, on_result: OnResult) -> None:
+        """Propose a command."""
+
+    def time(self) -> float:
+        """The loop's time in seconds."""
 
 
 class LogPosition(NamedTuple):
--- a/minthitch/mesh/control/shutdown.py
+++ b/minthitch/mesh/control/shutdown.py
@@ -17,14 +17,22 @@
     """What is asked of the consensus core."""
 
     @property
-    def is_leader(self) -> bool: ...
+    def is_leader(self) -> bool:
+        """Whether it leads."""
+
     @property
-    def name(self) -> str: ...
+    def name(self) -> str:
+        """This member's name."""
+
     @property
-    def leader(self) -> str | None: ...
+    def leader(self) -> str | None:
+        """The leader's name, as far as known."""
+
+    def begin_shutdown(self, now: float) -> list[Action]:
+        """Hand leadership over."""
 
-    def begin_shutdown(self, now: float) -> list[Action]: ...
-    def may_end(self, now: float) -> bool: ...
+    def may_end(self, now: float) -> bool:
+        """Whether the others have what this member has."""
 
 
 class GracefulShutdown:
--- a/minthitch/mesh/control/sidecar_updates.py
+++ b/minthitch/mesh/control/sidecar_updates.py
@@ -28,7 +28,8 @@
     state: StateMachine
     loop: asyncio.AbstractEventLoop
 
-    def is_up_to_date(self, now: float) -> bool: ...
+    def is_up_to_date(self, now: float) -> bool:
+        """Whether everything committed is applied here."""
 
 
 class Subscriber:
--- a/minthitch/mesh/events/events.py
+++ b/minthitch/mesh/events/events.py
@@ -48,6 +48,7 @@
 
     @property
     def number(self) -> int:
+        """The number in the log line, which never changes."""
         return int(self.value[0])
 
 
--- a/minthitch/mesh/raft/election.py
+++ b/minthitch/mesh/raft/election.py
@@ -54,7 +54,7 @@
         self._next_request_at = 0.0
         member.step_down_listeners.append(self._reset)
 
-    def _reset(self, term_has_risen: bool) -> None:
+    def _reset(self, _term_has_risen: bool) -> None:
         self.phase = Phase.NONE
 
     def hears_live_leader(self, now: float) -> bool:
--- a/minthitch/mesh/raft/leader.py
+++ b/minthitch/mesh/raft/leader.py
@@ -31,11 +31,11 @@
         self.elected_at = now
         self.max_batch_bytes = CHUNK_BYTES
         # Called with the time and the previous commit index once the commit index has risen.
-        self.commit_listener: Callable[[float, int], None] = lambda now, previous: None
+        self.commit_listener: Callable[[float, int], None] = lambda _now, _previous: None
         self._next_heartbeat_at = now
         member.step_down_listeners.append(self._reset)
 
-    def _reset(self, term_has_risen: bool) -> None:
+    def _reset(self, _term_has_risen: bool) -> None:
         self.peers.clear()
 
     def start(self, now: float) -> None:
--- a/minthitch/mesh/raft/leadership_transfer.py
+++ b/minthitch/mesh/raft/leadership_transfer.py
@@ -26,7 +26,7 @@
         self.successor_notified = False  # from then on this leader has no lease in its term
         member.step_down_listeners.append(self._reset)
 
-    def _reset(self, term_has_risen: bool) -> None:
+    def _reset(self, _term_has_risen: bool) -> None:
         self.started_at = None
         self.successor_notified = False
 
--- a/minthitch/mesh/raft/log.py
+++ b/minthitch/mesh/raft/log.py
@@ -43,6 +43,7 @@
         self._checksum: int | None = None
 
     def __eq__(self, other: object) -> bool:
+        """The same data for the same position and voters."""
         if not isinstance(other, Snapshot):
             return NotImplemented
         same_position = (self.index, self.term, self.voters) == (other.index, other.term, other.voters)
--- a/minthitch/mesh/raft/placement.py
+++ b/minthitch/mesh/raft/placement.py
@@ -1,5 +1,4 @@
-"""Voters in zones and regions: whether a group tolerates the loss of whole ones, and which swap improves
-that.
+"""Voters in zones and regions: which losses a group tolerates, and which swap improves that.
 
 Pure functions. A group of n voters tolerates the loss of any z zones if the z zones with most voters have
 fewer than half of them: the rest is then a majority.
--- a/minthitch/mesh/raft/shutdown.py
+++ b/minthitch/mesh/raft/shutdown.py
@@ -39,8 +39,7 @@
             self._send_notice(now)
 
     def may_end(self, now: float) -> bool:
-        """Whether the process may end: it does not lead, and a majority of the others has what it
-        acknowledged.
+        """Whether the process may end: it does not lead, and others have what it acknowledged.
 
         That is so once an entry beyond those that it acknowledges is committed. Without the others this is
         never reached, so SHUTDOWN_TIMEOUT_S bounds the wait.
--- a/minthitch/mesh/sidecar/admission.py
+++ b/minthitch/mesh/sidecar/admission.py
@@ -1,5 +1,6 @@
 """The gate in front of the one server beside this sidecar: what the mesh's callers ask of it, and its
-beats."""
+beats.
+"""
 
 from __future__ import annotations
 
@@ -11,13 +12,13 @@
 
 import msgspec
 
-from minthitch.mesh.limits.gate import Gate, Waiting
 from minthitch.engine.calls import Message
 from minthitch.interface import Status
 from minthitch.mesh.configuration.calls import Heartbeat, decode_heartbeat
-from minthitch.mesh.transport import ops
 from minthitch.mesh.events.events import Event, log_event
-from minthitch.mesh.http.upstream import NOT_RUN, RAN, UpstreamCall, Outcome, ServerPool, Upstream
+from minthitch.mesh.http.upstream import NOT_RUN, RAN, Outcome, ServerPool, Upstream, UpstreamCall
+from minthitch.mesh.limits.gate import Gate, Waiting
+from minthitch.mesh.transport import ops
 
 PAST = 16  # lives of servers that are over and remembered: their late beats mean nothing
 LOWEST = 99  # a rank behind which nobody waits
--- a/minthitch/mesh/sidecar/asks.py
+++ b/minthitch/mesh/sidecar/asks.py
@@ -1,5 +1,6 @@
 """What sidecars ask each other beside calls: what became of a key, and what those without control nodes
-need."""
+need.
+"""
 
 from __future__ import annotations
 
@@ -7,9 +8,9 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
+from minthitch.mesh.sidecar.links import NO_LEADER, Peer
 from minthitch.mesh.transport import ops
 from minthitch.mesh.transport.connection import Connection
-from minthitch.mesh.sidecar.links import NO_LEADER, Peer
 
 if TYPE_CHECKING:
     from minthitch.mesh.sidecar.front import Front
@@ -77,7 +78,8 @@
 
     def relay(self, message: ops.Message) -> bool:
         """Danger: cut off from all control nodes, no key could be claimed; another sidecar hands the claim
-        on."""
+        on.
+        """
         up = self.front.copies.up()
         if not up:
             return False
--- a/minthitch/mesh/sidecar/copies.py
+++ b/minthitch/mesh/sidecar/copies.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from minthitch.mesh.transport import ops
 from minthitch.mesh.events.events import Event, log_event
 from minthitch.mesh.sidecar.choice import Target
 from minthitch.mesh.sidecar.links import Peer
 from minthitch.mesh.sidecar.offers import OfferSender
 from minthitch.mesh.sidecar.trip import Attempt, Trip
+from minthitch.mesh.transport import ops
 
 if TYPE_CHECKING:
     from minthitch.mesh.sidecar.front import Front
--- a/minthitch/mesh/sidecar/front.py
+++ b/minthitch/mesh/sidecar/front.py
@@ -9,26 +9,26 @@
 from collections.abc import Callable
 from typing import Any
 
-from minthitch.mesh.limits.nested import Nested
 from minthitch.engine.calls import Rejected
-from minthitch.net.callers import Incoming
-from minthitch.mesh.configuration.settings import NodeSettings
 from minthitch.mesh.configuration.errors import REPLIES, ErrorKind
 from minthitch.mesh.configuration.routes import Table
-from minthitch.mesh.transport import ops
-from minthitch.mesh.transport.connection import Connection
+from minthitch.mesh.configuration.settings import NodeSettings
 from minthitch.mesh.events.events import Event, log_event
-from minthitch.mesh.http.upstream import ServerPool
 from minthitch.mesh.http.listener import ClientConnection
+from minthitch.mesh.http.upstream import ServerPool
+from minthitch.mesh.limits.nested import Nested
+from minthitch.mesh.sidecar.admission import Admission
 from minthitch.mesh.sidecar.asks import Asks, say_on
 from minthitch.mesh.sidecar.choice import Choice
 from minthitch.mesh.sidecar.copies import Copies
-from minthitch.mesh.sidecar.admission import Admission
 from minthitch.mesh.sidecar.keys import Keys, digest_of, hashed
 from minthitch.mesh.sidecar.links import ControlLinks
 from minthitch.mesh.sidecar.offers import OfferReceiver
 from minthitch.mesh.sidecar.retry_budget import RetryBudget
 from minthitch.mesh.sidecar.trip import Trip
+from minthitch.mesh.transport import ops
+from minthitch.mesh.transport.connection import Connection
+from minthitch.net.callers import Incoming
 
 MOST_SERVER_LINES = 256  # connections to the own server: its slots bound them, this is a guard
 MOST_DEADLINE = 600.0  # seconds: a longer one is cut
--- a/minthitch/mesh/sidecar/handlers.py
+++ b/minthitch/mesh/sidecar/handlers.py
@@ -6,13 +6,13 @@
 
 from msgspec.json import encode
 
-from minthitch.net.callers import Incoming
 from minthitch.mesh.configuration.calls import find_call, known_methods
 from minthitch.mesh.configuration.errors import REPLIES, ErrorKind
 from minthitch.mesh.events.events import Event, log_event
 from minthitch.mesh.http.listener import ClientConnection
 from minthitch.mesh.idempotency.operations import MAX_ANSWER_BYTES, MAX_OPERATIONS
 from minthitch.mesh.sidecar.front import Front
+from minthitch.net.callers import Incoming
 
 if TYPE_CHECKING:
     from minthitch.mesh.sidecar.tracing import Tracer
--- a/minthitch/mesh/sidecar/keys.py
+++ b/minthitch/mesh/sidecar/keys.py
@@ -9,9 +9,9 @@
 from typing import Protocol
 
 from minthitch.mesh.configuration.errors import ErrorKind
-from minthitch.mesh.transport import ops
 from minthitch.mesh.idempotency.operations import Operation, OperationState, OperationTable
 from minthitch.mesh.sidecar.links import GRANTED, HELD, ControlLinks
+from minthitch.mesh.transport import ops
 
 KEPT = 2.2  # windows for which an operation is kept here: longer than any repeat can come
 TURNS = 3  # times a key may be free elsewhere and taken by others before this one gives up
--- a/minthitch/mesh/sidecar/links.py
+++ b/minthitch/mesh/sidecar/links.py
@@ -1,5 +1,6 @@
 """The lines of a sidecar: to every control node it knows of, and to the sidecars beside the servers that it
-calls."""
+calls.
+"""
 
 from __future__ import annotations
 
@@ -10,14 +11,14 @@
 import msgpack
 
 from minthitch.mesh.configuration.items import Replica
-from minthitch.mesh.transport import ops
-from minthitch.mesh.transport.connection import Connection
-from minthitch.mesh.transport.link import Link
-from minthitch.mesh.transport.compression import opened
+from minthitch.mesh.events.events import Event, log_event
 from minthitch.mesh.registry.merged_views import MergedViews
 from minthitch.mesh.registry.records import SidecarRecord, published_fields
 from minthitch.mesh.registry.registry import RegistryDelta
-from minthitch.mesh.events.events import Event, log_event
+from minthitch.mesh.transport import ops
+from minthitch.mesh.transport.compression import opened
+from minthitch.mesh.transport.connection import Connection
+from minthitch.mesh.transport.link import Link
 
 REPORT_EVERY = 0.5  # seconds between two looks at what this sidecar would report
 SURELY = 2.0  # seconds after which it is reported unchanged, too: the line's beat says that it is alive
--- a/minthitch/mesh/sidecar/offers.py
+++ b/minthitch/mesh/sidecar/offers.py
@@ -1,5 +1,6 @@
 """Calls with large bodies are offered to the receiving sidecar before their bodies are sent: both sides of
-it."""
+it.
+"""
 
 from __future__ import annotations
 
--- a/minthitch/mesh/sidecar/program.py
+++ b/minthitch/mesh/sidecar/program.py
@@ -8,12 +8,12 @@
 from weakref import WeakSet
 
 from minthitch.mesh.configuration.settings import NodeSettings
-from minthitch.mesh.transport.connection import Connection
 from minthitch.mesh.events.events import Event, log_event
-from minthitch.mesh.http.runtime import run, seeds
 from minthitch.mesh.http.listener import Listener
-from minthitch.mesh.sidecar.handlers import Counter
+from minthitch.mesh.http.runtime import run, seeds
 from minthitch.mesh.sidecar.front import Front
+from minthitch.mesh.sidecar.handlers import Counter
+from minthitch.mesh.transport.connection import Connection
 
 LINGER = 2.5  # seconds after SIGTERM in which clients may still come: the platform looks once a second
 SHUT_PART = 0.58  # of GraceS after which what still comes is refused: where most nodes leave, clients stay
--- a/minthitch/mesh/sidecar/retry_budget.py
+++ b/minthitch/mesh/sidecar/retry_budget.py
@@ -7,9 +7,9 @@
 from collections.abc import Iterator
 from typing import Any
 
+from minthitch.mesh.configuration.settings import Bounds
 from minthitch.mesh.limits.budget import EARLY, Budget
 from minthitch.mesh.limits.lease import IDLE, Holder, Lease
-from minthitch.mesh.configuration.settings import Bounds
 from minthitch.mesh.sidecar.admission import Admission
 
 LOOK = 0.25  # seconds between two looks at the time, and
--- a/minthitch/mesh/sidecar/tracing.py
+++ b/minthitch/mesh/sidecar/tracing.py
@@ -37,10 +37,10 @@
 from minthitch.mesh.sidecar.trip import Attempt, Fields, Trip
 
 if TYPE_CHECKING:
-    from minthitch.net.callers import Incoming
     from minthitch.mesh.configuration.routes import Route
     from minthitch.mesh.http.listener import ClientConnection
     from minthitch.mesh.sidecar.front import Front
+    from minthitch.net.callers import Incoming
 
 LONGEST = 3600  # seconds for which requests can be traced by one call
 KEPT = 300.0  # seconds for which what was traced can still be asked
--- a/minthitch/mesh/sidecar/trip.py
+++ b/minthitch/mesh/sidecar/trip.py
@@ -5,20 +5,20 @@
 import asyncio
 from typing import TYPE_CHECKING, Any
 
-from minthitch.mesh.limits.budget import Charge
 from minthitch.mesh.configuration.errors import REPLIES, ErrorKind
-from minthitch.mesh.transport import ops
 from minthitch.mesh.idempotency.operations import Operation
-from minthitch.mesh.sidecar.choice import Target
+from minthitch.mesh.limits.budget import Charge
 from minthitch.mesh.sidecar.admission import ONCE, REPEAT
+from minthitch.mesh.sidecar.choice import Target
 from minthitch.mesh.sidecar.retry_budget import steady
+from minthitch.mesh.transport import ops
 
 if TYPE_CHECKING:
-    from minthitch.net.callers import Incoming
     from minthitch.mesh.configuration.routes import Route
     from minthitch.mesh.http.listener import ClientConnection
     from minthitch.mesh.sidecar.front import Front
     from minthitch.mesh.sidecar.links import Peer
+    from minthitch.net.callers import Incoming
 
 RACE_MOST = 3  # copies of one call that are sent at once, at most
 LEAST_LEFT = 0.01  # seconds below which nothing is sent any more
--- a/minthitch/mesh/storage/store.py
+++ b/minthitch/mesh/storage/store.py
@@ -14,7 +14,7 @@
 import lmdb
 import msgpack
 
-from minthitch.mesh.raft.actions import PersistedState, Persist
+from minthitch.mesh.raft.actions import Persist, PersistedState
 from minthitch.mesh.raft.log import Snapshot
 from minthitch.mesh.storage import lmdb_meta
 from minthitch.mesh.storage.errors import (
@@ -44,6 +44,8 @@
 RESERVE_DIVISOR = 4
 REUSE_COMMITS = 2  # further commits after which LMDB reuses the pages that a commit has freed
 FIRST_PAGES_BYTES = 4 * 4096
+META_PAGES = 2
+MIN_HEADER_FIELDS = 2  # name and version of the format
 
 
 class Condition(Enum):
@@ -261,7 +263,7 @@
 
     def _open_previous(self, metas: list[lmdb_meta.MetaPage]) -> Condition:
         self.close()
-        if len(metas) < 2 or metas[1].transaction_id + 1 != metas[0].transaction_id:
+        if len(metas) < META_PAGES or metas[1].transaction_id + 1 != metas[0].transaction_id:
             return Condition.TORN
         if not lmdb_meta.has_valid_roots(self.file, metas[1]):
             return Condition.TORN
@@ -290,7 +292,7 @@
             if value is None:
                 return _condition_without_header(transaction)
             fields = msgpack.unpackb(verified(HEADER_KEY, value))
-            if not isinstance(fields, list) or len(fields) < 2 or fields[0] != FORMAT_NAME:
+            if not isinstance(fields, list) or len(fields) < MIN_HEADER_FIELDS or fields[0] != FORMAT_NAME:
                 return Condition.FOREIGN
             if fields[1] != FORMAT_VERSION:
                 return Condition.NEWER
--- a/minthitch/net/callers.py
+++ b/minthitch/net/callers.py
@@ -13,8 +13,8 @@
 import httptools
 
 from minthitch import interface as api
-from minthitch.engine.calls import Answer, Call, Refused, Rejected, Served
 from minthitch.engine.attempts import Request
+from minthitch.engine.calls import Answer, Call, Refused, Rejected, Served
 from minthitch.engine.fields import MOST_BODY, NOT_FORWARDED
 from minthitch.engine.stream import Stream
 from minthitch.net.crowd import victim
--- a/minthitch/net/discovery.py
+++ b/minthitch/net/discovery.py
@@ -11,7 +11,7 @@
 
 from minthitch.engine.core import Engine
 from minthitch.interface import SECOND, ListKind
-from minthitch.listing import Listing, ListError, decode, parse_address
+from minthitch.listing import ListError, Listing, decode, parse_address
 
 BLIND_PART = 6  # where lists are pushed, calls begin so often within the grace of a drain,
 BLIND_LEAST, BLIND_MOST = 0.05, 0.25  # but at least and at most so many seconds apart
--- a/minthitch/record/attach.py
+++ b/minthitch/record/attach.py
@@ -9,9 +9,9 @@
 from minthitch.config import ConfigError, RecordConfig
 from minthitch.engine import Engine
 from minthitch.interface import MILLISECOND
+from minthitch.record.choose import open_store, shown
 from minthitch.record.keeper import RecordKeeper
 from minthitch.record.life import Life, Need, Terms
-from minthitch.record.choose import open_store, shown
 from minthitch.record.page import RecordPage
 from minthitch.record.store import Store, StoreError
 from minthitch.record.writer import Results, Writer
--- a/minthitch/recovery/attach.py
+++ b/minthitch/recovery/attach.py
@@ -173,7 +173,8 @@
 
     def ready(self) -> bool:
         """Whether callers may be sent here. Beside a server, which the tier above takes for ready by this
-        node's word, once the tier below is reached."""
+        node's word, once the tier below is reached.
+        """
         within = self.config.ready_within
         return not within or self.phases.servable(self.engine.clock.now(), within)
 
--- a/minthitch/recovery/plot.py
+++ b/minthitch/recovery/plot.py
@@ -23,7 +23,8 @@
 
 def page(logs: Mapping[str, Sequence[Line]], by_start: bool = False) -> str:
     """HTML without anything from elsewhere. `by_start` puts the nodes' starts together and not their clocks,
-    which need not agree."""
+    which need not agree.
+    """
     first = min((line.at - 1_000 for lines in logs.values() for line in lines), default=0)
     placed = {
         name: [(max(line.up if by_start else line.at - first, 0) // 1_000, line) for line in lines]
--- a/minthitch/recovery/seconds.py
+++ b/minthitch/recovery/seconds.py
@@ -17,7 +17,8 @@
 
 class Line(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A second: when it ended (Unix ms), since the start (ms), the phase then; by class what was served,
-    refused and failed in it."""
+    refused and failed in it.
+    """
 
     at: int
     up: int
@@ -57,7 +58,8 @@
 
 def read(lines: Iterable[str]) -> Mapping[str, list[Line]]:
     """Of each node, the seconds that its log tells, as they came. Other lines are passed over, as are those
-    that a crash has cut."""
+    that a crash has cut.
+    """
     found: dict[str, list[Line]] = {}
     for text in lines:
         name, mark, rest = text.partition(": " + MARK)
--- a/rigs/cluster/schedule.py
+++ b/rigs/cluster/schedule.py
@@ -31,7 +31,8 @@
 @dataclass(frozen=True, slots=True)
 class Fault:
     """Seconds from the start; `node` and `server` number who is struck. A link of a node leads to its clients
-    (`end` = client), to discovery, or to the server."""
+    (`end` = client), to discovery, or to the server.
+    """
 
     at: float
     what: str
--- a/rigs/cluster/search.py
+++ b/rigs/cluster/search.py
@@ -131,7 +131,7 @@
         self.sent[server].append(self.now)
         window = [at for at in self.sent[server] if at > self.now - SETTINGS.cold_window]
         bears = SETTINGS.cold_multiple * RATE * warmth * SETTINGS.cold_window / SECOND
-        self.pushed = self.pushed or warmth < 1.0 and len(window) > bears
+        self.pushed = self.pushed or (warmth < 1.0 and len(window) > bears)
         self._later(
             self.free[server],
             node,
--- a/rigs/hollow/__init__.py
+++ b/rigs/hollow/__init__.py
@@ -1,2 +1,3 @@
 """Real control processes on loopback with hollow sidecars: whole sidecars without HTTP listeners, many in a
-process."""
+process.
+"""
--- a/rigs/hollow/channel.py
+++ b/rigs/hollow/channel.py
@@ -1,5 +1,6 @@
 """The measurer's line to a child: requests come as lines of JSON on standard input, answers go to standard
-output. When the measurer ends, for whatever reason, its children end too."""
+output. When the measurer ends, for whatever reason, its children end too.
+"""
 
 from __future__ import annotations
 
--- a/rigs/mesh_demo/__init__.py
+++ b/rigs/mesh_demo/__init__.py
@@ -1,2 +1,3 @@
 """A small mesh on loopback: real control nodes and sidecars, stand-in servers, an operator, clients, a
-loss."""
+loss.
+"""
--- a/rigs/mesh_demo/load.py
+++ b/rigs/mesh_demo/load.py
@@ -1,5 +1,6 @@
 """Clients at every sidecar: a bounded load of repeatable, keyed and long requests, tried again as
-promised."""
+promised.
+"""
 
 from __future__ import annotations
 
--- a/rigs/mesh_demo/operator.py
+++ b/rigs/mesh_demo/operator.py
@@ -1,5 +1,6 @@
 """The operator: sends a configuration to one control node after the other until one takes it, and reads it
-back."""
+back.
+"""
 
 from __future__ import annotations
 
--- a/rigs/mesh_demo/play.py
+++ b/rigs/mesh_demo/play.py
@@ -1,5 +1,6 @@
 """The demo's course: start, first configuration, load, a change, control nodes killed and started again,
-the end."""
+the end.
+"""
 
 from __future__ import annotations
 
--- a/rigs/simulation/checks.py
+++ b/rigs/simulation/checks.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from rigs.simulation.history import Event, History
-from rigs.simulation.mesh import KEY_WINDOW, RATIO, SERVICES, SLACK, SIDECARS, WINDOW
+from rigs.simulation.mesh import KEY_WINDOW, RATIO, SERVICES, SIDECARS, SLACK, WINDOW
 
 CONTACT, APPLY, DRAIN, LATE, LOST_S = 3.0, 2.0, 2.0, 0.1, 0.2  # seconds
 REFUSALS = (408, 421, 429, 503)
@@ -110,7 +110,8 @@
 
 def answered(history: History) -> list[str]:
     """One answer to each, in time where its sidecar was not in trouble; none that no rule of ours
-    explains."""
+    explains.
+    """
     found, calm = [], Calm(history)
     told: dict[str, list[Event]] = defaultdict(list)
     early = {e.data["id"] for e in history.of("gave up") if e.data["early"]}
@@ -133,7 +134,8 @@
 def lost(history: History) -> list[str]:
     """A sidecar that leaves in order answers what it has read, where no trouble came before it or meanwhile
     at
-    itself, at the core or at the machines that the request may have gone to."""
+    itself, at the core or at the machines that the request may have gone to.
+    """
     asked, left = _asked(history), {(e.who, e.at) for e in history.of("left")}
     calm, found = Calm(history, "leave-sidecar"), []
     for event in history.of("unheard"):
@@ -273,7 +275,8 @@
 
 def synced(history: History) -> list[str]:
     """Where the core was calm for SYNC, each control node votes and holds what was agreed: a disk may be
-    lost."""
+    lost.
+    """
     calm = Calm(history)
     return [
         f"SYNC: not whole again at {e.at:.3f}"
--- a/rigs/simulation/faults.py
+++ b/rigs/simulation/faults.py
@@ -8,7 +8,7 @@
 
 from minthitch.mesh.storage.store import Condition
 from rigs.simulation.history import Event
-from rigs.simulation.mesh import GRACE, ControlNode, Site, SidecarNode
+from rigs.simulation.mesh import GRACE, ControlNode, SidecarNode, Site
 
 RESTART = 0.3  # seconds until a killed process is started again, at least
 SYNC_S = 4.0  # seconds that a control node without its disk has to catch up
@@ -317,7 +317,8 @@
 
     def _at_write(self, fault: Fault) -> None:
         """The leader has a write under way: it freezes, and the write is done when it wakes or before; or
-        its power is lost."""
+        its power is lost.
+        """
         writes, until = self.site.writes, self.loop.now + WAITS
 
         def ear(control: ControlNode) -> None:
--- a/rigs/simulation/linearizability.py
+++ b/rigs/simulation/linearizability.py
@@ -77,7 +77,8 @@
 
 def operations(history: History) -> tuple[list[Order], list[Read]]:
     """What the callers of a simulated day did. Orders of callers whose attempts are not noted one by one may
-    take effect at any time after they were sent."""
+    take effect at any time after they were sent.
+    """
     orders = [
         Order(event.at, float("inf"), rows_of(event.data["call"]), None, event.who)
         for event in history.of("sent")
--- a/rigs/simulation/mesh.py
+++ b/rigs/simulation/mesh.py
@@ -1,31 +1,32 @@
 """The machines of a small site with their real programs: three control nodes, six sidecars with a server
-each."""
+each.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Any, cast
 
-from minthitch.mesh.storage.store import Store
-from minthitch.mesh.storage.writer import StorageWriter
-from minthitch.mesh.control.server import ControlServer
-from minthitch.mesh.control.state_machine import StateMachine
+from minthitch.mesh.configuration.schema import ROUTES
 from minthitch.mesh.configuration.settings import (
     Bind,
-    NodeSettings,
     Bounds,
     Infra,
     Net,
+    NodeSettings,
     SelfSettings,
     Terms,
     Tolerate,
 )
-from minthitch.mesh.configuration.schema import ROUTES
-from minthitch.mesh.transport.connection import Connection
+from minthitch.mesh.control.server import ControlServer
+from minthitch.mesh.control.state_machine import StateMachine
 from minthitch.mesh.sidecar.front import Front
 from minthitch.mesh.sidecar.links import Claimed
 from minthitch.mesh.sidecar.program import ANSWERED, LAST, LINGER, SHUT_PART
-from rigs.simulation.disk import SimStore, SimDisk, SimWriter
+from minthitch.mesh.storage.store import Store
+from minthitch.mesh.storage.writer import StorageWriter
+from minthitch.mesh.transport.connection import Connection
+from rigs.simulation.disk import SimDisk, SimStore, SimWriter
 from rigs.simulation.history import History
 from rigs.simulation.loop import Machine, VirtualLoop
 from rigs.simulation.network import Network
--- a/rigs/simulation/order_checks.py
+++ b/rigs/simulation/order_checks.py
@@ -1,5 +1,6 @@
 """Checks of orders at control nodes that hold during a fault, too: acknowledged in time, kept by a majority,
-in force where a sidecar is in touch, and how long one call was kept waiting."""
+in force where a sidecar is in touch, and how long one call was kept waiting.
+"""
 
 from __future__ import annotations
 
@@ -80,7 +81,8 @@
 
 def in_force(history: History) -> list[str]:
     """Where the core is settled, a cut included, each sidecar without trouble has it APPLY after its
-    acknowledgement."""
+    acknowledgement.
+    """
     settled, calm, tables = Settled(history), Calm(history), Tables(history)
     found = []
     for at, name, ver, _ in _acks(history):
--- a/rigs/simulation/people.py
+++ b/rigs/simulation/people.py
@@ -7,9 +7,9 @@
 from typing import Any, cast
 
 from minthitch.engine.calls import Rejected
-from minthitch.net.callers import Incoming
 from minthitch.mesh.http.listener import ClientConnection
-from rigs.simulation.mesh import HOST, KEY_WINDOW, SERVICES, ControlNode, Site, SidecarNode
+from minthitch.net.callers import Incoming
+from rigs.simulation.mesh import HOST, KEY_WINDOW, SERVICES, ControlNode, SidecarNode, Site
 
 KINDS = (
     ("idempotent", "/i/", "shop", 0.4),
--- a/rigs/simulation/planted.py
+++ b/rigs/simulation/planted.py
@@ -9,26 +9,26 @@
 
 from msgspec import structs
 
-from minthitch.mesh.raft.actions import Action
-from minthitch.mesh.raft.leader import Leader
-from minthitch.mesh.raft.messages import AppendEntriesResponse, Message, PreVote, RequestVote
-from minthitch.mesh.raft.node import RaftNode
-from minthitch.mesh.limits.budget import Budget, Charge
-from minthitch.mesh.limits.lease import Holder
+from minthitch.mesh.configuration.items import _DELTA_DECODER, Items, Replica
 from minthitch.mesh.control import consensus as consensus_module
 from minthitch.mesh.control.proposals import Proposals
 from minthitch.mesh.control.server import ControlServer
 from minthitch.mesh.control.state_machine import CONFIG, ROTATE, StateMachine
-from minthitch.mesh.configuration.items import Items, Replica, _DELTA_DECODER
-from minthitch.mesh.transport import ops
-from minthitch.mesh.transport.control_messages import ForwardedResult
 from minthitch.mesh.idempotency.operations import OperationTable
+from minthitch.mesh.limits.budget import Budget, Charge
+from minthitch.mesh.limits.lease import Holder
+from minthitch.mesh.raft.actions import Action
+from minthitch.mesh.raft.leader import Leader
+from minthitch.mesh.raft.messages import AppendEntriesResponse, Message, PreVote, RequestVote
+from minthitch.mesh.raft.node import RaftNode
 from minthitch.mesh.sidecar.admission import Admission
 from minthitch.mesh.sidecar.copies import Copies
 from minthitch.mesh.sidecar.front import Front
 from minthitch.mesh.sidecar.keys import Keys
 from minthitch.mesh.sidecar.links import GRANTED, ControlLinks
 from minthitch.mesh.sidecar.trip import Attempt
+from minthitch.mesh.transport import ops
+from minthitch.mesh.transport.control_messages import ForwardedResult
 from rigs.simulation import mesh
 from rigs.simulation.disk import SimStore, SimWriter
 from rigs.simulation.mesh import SLACK
--- a/rigs/simulation/play.py
+++ b/rigs/simulation/play.py
@@ -10,12 +10,12 @@
 from typing import Any, NamedTuple
 from unittest import mock
 
-from minthitch.mesh.raft import leader as leader_module
-from minthitch.mesh.raft import log as log_module
 from minthitch.mesh.control import consensus as consensus_module
 from minthitch.mesh.control import server as server_module
 from minthitch.mesh.control.server import ControlServer
 from minthitch.mesh.events.events import LOG
+from minthitch.mesh.raft import leader as leader_module
+from minthitch.mesh.raft import log as log_module
 from minthitch.mesh.sidecar.front import Front
 from rigs.simulation import mesh
 from rigs.simulation.checks import violations
--- a/rigs/simulation/points.py
+++ b/rigs/simulation/points.py
@@ -1,6 +1,7 @@
 """Schedules of the hard points of the control plane, each drawn from a seed and played with callers of `ctl`:
 orders under one number, a machine cut off for twenty seconds, a second loss after a repair, and hundreds of
-changes. `Point.play` gives the history with every rule that it breaks."""
+changes. `Point.play` gives the history with every rule that it breaks.
+"""
 
 from __future__ import annotations
 
@@ -11,8 +12,8 @@
 
 from minthitch.mesh.configuration.schema import ROUTES
 from rigs.simulation import linearizability, order_checks, people
-from rigs.simulation.cuts import MODES, WAYS, Cut, RefusingNetwork, cut_off, restart
 from rigs.simulation.ctl import ControlClient
+from rigs.simulation.cuts import MODES, WAYS, Cut, RefusingNetwork, cut_off, restart
 from rigs.simulation.faults import SYNC_S, Fault
 from rigs.simulation.history import History
 from rigs.simulation.mesh import CONTROLS, SPARES, ControlNode, Site
@@ -428,7 +429,8 @@
 
 def many_changes_day(seed: int, changes: int = CHANGES, routes: int = BIG_LIST) -> Played:
     """So many changes of a big list of routes; then a member is restarted, wiped or replaced, or all power
-    is lost. `caught up` in the history: when each node held the newest again."""
+    is lost. `caught up` in the history: when each node held the newest again.
+    """
     draw = random.Random(seed ^ 0x4C0)
     script = Script(seed, lost=0.0)
     end, struck = ENDS[seed % len(ENDS)], FIRST + changes * CHANGE_EVERY + 1.0
--- a/rigs/simulation/servers.py
+++ b/rigs/simulation/servers.py
@@ -1,5 +1,6 @@
 """Servers beside the sidecars: they run what comes, slowly, not at all, or without an answer; and they
-beat."""
+beat.
+"""
 
 from __future__ import annotations
 
@@ -8,11 +9,11 @@
 from typing import TYPE_CHECKING, Any
 
 from minthitch import interface as api
-from minthitch.mesh.http.upstream import NOT_RUN, UpstreamCall, Outcome, judge
+from minthitch.mesh.http.upstream import NOT_RUN, Outcome, UpstreamCall, judge
 from rigs.simulation.loop import Machine, VirtualLoop
 
 if TYPE_CHECKING:
-    from rigs.simulation.mesh import Site, SidecarNode
+    from rigs.simulation.mesh import SidecarNode, Site
 
 SLOTS = 4
 BEAT_S = 0.5
--- a/rigs/simulation/size.py
+++ b/rigs/simulation/size.py
@@ -19,12 +19,12 @@
 from unittest import mock
 
 from minthitch.mesh.control.server import ControlServer
-from minthitch.mesh.transport import ops
-from minthitch.mesh.transport.connection import Connection
-from minthitch.mesh.transport.framing import PIECE
 from minthitch.mesh.registry.merged_views import MergedViews
 from minthitch.mesh.registry.registry import RegistryDelta
 from minthitch.mesh.sidecar.links import ControlLinks, Peer
+from minthitch.mesh.transport import ops
+from minthitch.mesh.transport.connection import Connection
+from minthitch.mesh.transport.framing import PIECE
 from rigs.simulation.history import History
 from rigs.simulation.loop import VirtualLoop, _Due
 from rigs.simulation.mesh import CONTROLS, PORT, ZONES, ControlNode, Node, Site, zone_of
--- a/tests/mesh/chaos.py
+++ b/tests/mesh/chaos.py
@@ -95,7 +95,8 @@
 
     def lost(self, *more: Machine) -> int:
         """Copies that the newest agreed table lacks once `more` are lost too: voters whose disk doesn't hold
-        it, or not under the name in it, or that are gone for good, and places that nobody has."""
+        it, or not under the name in it, or that are gone for good, and places that nobody has.
+        """
         if not self.table:
             return self.count
         entry = self.agreed[self.table]
--- a/tests/mesh/test_admission.py
+++ b/tests/mesh/test_admission.py
@@ -13,14 +13,14 @@
 import msgspec
 
 from minthitch.engine.calls import Message
-from minthitch.net.callers import Incoming
+from minthitch.interface import Status
 from minthitch.mesh.configuration.routes import Route
-from minthitch.mesh.transport import ops
-from minthitch.mesh.http.upstream import NOT_RUN, RAN, UNKNOWN, UpstreamCall, Outcome, Upstream
+from minthitch.mesh.http.upstream import NOT_RUN, RAN, UNKNOWN, Outcome, Upstream, UpstreamCall
 from minthitch.mesh.http.upstream import ServerPool as RealShelf
-from minthitch.interface import Status
 from minthitch.mesh.sidecar.admission import ONCE, REPEAT, REPEAT_WAITS, Admission
 from minthitch.mesh.sidecar.trip import Trip
+from minthitch.mesh.transport import ops
+from minthitch.net.callers import Incoming
 from rigs.simulation.loop import Machine, VirtualLoop
 
 
--- a/tests/mesh/test_budget.py
+++ b/tests/mesh/test_budget.py
@@ -1,5 +1,6 @@
 """The shared budget: sidecars and control nodes in virtual time, every window of the history counted
-afterwards."""
+afterwards.
+"""
 
 from __future__ import annotations
 
--- a/tests/mesh/test_cli.py
+++ b/tests/mesh/test_cli.py
@@ -16,14 +16,14 @@
 import lmdb
 import msgpack
 
-from minthitch.mesh.raft.log import DATA, MEMBERS, NOOP, Entry, Snapshot, pack_members
-from minthitch.mesh.raft.actions import Persist
-from minthitch.mesh.storage.records import FORMAT_NAME, FORMAT_VERSION, HEADER_KEY, checksummed
-from minthitch.mesh.storage.store import Store
 from minthitch.cli import shown
 from minthitch.cli.commands import main
 from minthitch.mesh.control.state_machine import CLAIM, CONFIG, StateMachine, pack_command
 from minthitch.mesh.idempotency.claims import ClaimCommand
+from minthitch.mesh.raft.actions import Persist
+from minthitch.mesh.raft.log import DATA, MEMBERS, NOOP, Entry, Snapshot, pack_members
+from minthitch.mesh.storage.records import FORMAT_NAME, FORMAT_VERSION, HEADER_KEY, checksummed
+from minthitch.mesh.storage.store import Store
 from tests.mesh.test_configuration import SETTINGS, first, route, service
 from tests.mesh.test_configuration import call as config
 
--- a/tests/mesh/test_control_orders.py
+++ b/tests/mesh/test_control_orders.py
@@ -13,9 +13,9 @@
     call_timeout,
 )
 from minthitch.mesh.raft.actions import Timing
-from tests.mesh.founded import FoundedSite
 from rigs.simulation.mesh import ControlNode, Site
 from rigs.simulation.size import items
+from tests.mesh.founded import FoundedSite
 
 CALLER_WAITS = 1.0  # seconds of silence after which callers of `Ctl` go to another node
 Answer = tuple[float, tuple[Any, ...] | None]
--- a/tests/mesh/test_control_retirement.py
+++ b/tests/mesh/test_control_retirement.py
@@ -7,14 +7,14 @@
 from typing import Any, cast
 
 from minthitch.mesh.control.handlers import ControlHandlers
-from minthitch.mesh.control.shutdown import SHUTDOWN_TIMEOUT_S, GracefulShutdown
 from minthitch.mesh.control.server import ControlServer
+from minthitch.mesh.control.shutdown import SHUTDOWN_TIMEOUT_S, GracefulShutdown
 from minthitch.mesh.http.listener import ClientConnection
 from minthitch.mesh.raft.actions import Action
 from minthitch.net.callers import Incoming
-from tests.mesh.founded import FoundedSite
 from rigs.simulation.mesh import ControlNode, Site
 from rigs.simulation.size import items
+from tests.mesh.founded import FoundedSite
 
 
 class StubCore:
--- a/tests/mesh/test_delivery_http.py
+++ b/tests/mesh/test_delivery_http.py
@@ -19,8 +19,16 @@
 
 from minthitch.engine.calls import Message
 from minthitch.mesh.http import upstream as upstream_module
-from minthitch.mesh.http.upstream import NOT_RUN, RAN, UNKNOWN, Outcome, ServerConnection, ServerPool
-from minthitch.mesh.http.upstream import Upstream, UpstreamCall
+from minthitch.mesh.http.upstream import (
+    NOT_RUN,
+    RAN,
+    UNKNOWN,
+    Outcome,
+    ServerConnection,
+    ServerPool,
+    Upstream,
+    UpstreamCall,
+)
 from rigs.simulation.loop import VirtualLoop
 
 FAR = 3600 * 10**9  # nanoseconds until a deadline that is never reached
--- a/tests/mesh/test_explain.py
+++ b/tests/mesh/test_explain.py
@@ -9,7 +9,6 @@
 from typing import Any, cast
 
 from minthitch.cli import shown
-from minthitch.net.callers import Incoming
 from minthitch.mesh.http.listener import ClientConnection
 from minthitch.mesh.sidecar.course import (
     LONGEST,
@@ -25,6 +24,7 @@
 from minthitch.mesh.sidecar.handlers import Counter
 from minthitch.mesh.sidecar.tracing import Tracer, unescaped
 from minthitch.mesh.sidecar.trip import Trip
+from minthitch.net.callers import Incoming
 from rigs.simulation import servers
 from rigs.simulation.mesh import Site
 from rigs.simulation.people import Operators, People
--- a/tests/mesh/test_glossary.py
+++ b/tests/mesh/test_glossary.py
@@ -72,7 +72,7 @@
             for start in range(len(parts) - size + 1):
                 phrase = parts[start : start + size]
                 scope = self.allowed.get(" ".join(phrase), "")
-                if phrase in self.withdrawn and not (scope == "all" or scope and f"/{scope}/" in where):
+                if phrase in self.withdrawn and not (scope == "all" or (scope and f"/{scope}/" in where)):
                     return " ".join(phrase)
         return ""
 
--- a/tests/mesh/test_golden.py
+++ b/tests/mesh/test_golden.py
@@ -11,8 +11,8 @@
 
 import msgpack
 
-from minthitch.mesh.configuration.settings import parse_settings
 from minthitch.mesh.configuration.items import Replica
+from minthitch.mesh.configuration.settings import parse_settings
 from minthitch.mesh.control.state_machine import StateMachine
 from minthitch.mesh.events.events import Event
 from minthitch.mesh.raft.log import DATA, NOOP, Entry
--- a/tests/mesh/test_http.py
+++ b/tests/mesh/test_http.py
@@ -7,10 +7,9 @@
 import unittest
 
 from minthitch.engine.calls import Message
+from minthitch.mesh.http.listener import ClientConnection, Listener
+from minthitch.mesh.http.upstream import NOT_RUN, RAN, UNKNOWN, Outcome, ServerPool, Upstream, UpstreamCall
 from minthitch.net.callers import Incoming
-from minthitch.mesh.http.upstream import NOT_RUN, RAN, UNKNOWN, UpstreamCall, Outcome, ServerPool, Upstream
-from minthitch.mesh.http.listener import Listener, ClientConnection
-
 
 SEAL = b"X-Server-Seal: s\r\n"
 CUT = b"cut:"  # in front of a reply after which the connection ends
--- a/tests/mesh/test_keys.py
+++ b/tests/mesh/test_keys.py
@@ -1,5 +1,6 @@
 """Keyed requests through the real `Keys` of several sidecars and the control nodes' real claims, in drawn
-orders."""
+orders.
+"""
 
 from __future__ import annotations
 
@@ -9,16 +10,17 @@
 from collections.abc import Callable
 from typing import Any
 
-from minthitch.mesh.control.state_machine import CLAIM, StateMachine, pack_command
 from minthitch.mesh.configuration.errors import REPLIES, ErrorKind
-from minthitch.mesh.idempotency.operations import Operation
+from minthitch.mesh.control.state_machine import CLAIM, StateMachine, pack_command
 from minthitch.mesh.idempotency.claims import ClaimCommand
+from minthitch.mesh.idempotency.operations import Operation
 from minthitch.mesh.sidecar.keys import Keys, hashed
 
 
 class ControlLinks:
     """Stands for the lines to the control nodes: each claim is applied, and told, at a drawn moment, or is
-    lost."""
+    lost.
+    """
 
     def __init__(self, world: World) -> None:
         self.world = world
--- a/tests/mesh/test_linearizable.py
+++ b/tests/mesh/test_linearizable.py
@@ -4,8 +4,8 @@
 
 import unittest
 
-from rigs.simulation.linearizability import DROPPED, Order, Read, Row, operations, rows_of, violations
 from rigs.simulation.history import History
+from rigs.simulation.linearizability import DROPPED, Order, Read, Row, operations, rows_of, violations
 
 A, B = ("Routes", "a"), ("Routes", "b")
 
--- a/tests/mesh/test_parts.py
+++ b/tests/mesh/test_parts.py
@@ -5,14 +5,14 @@
 import random
 import unittest
 
+from minthitch.mesh.idempotency.claims import Claim, ClaimCommand, ClaimTable
+from minthitch.mesh.idempotency.operations import MAX_ANSWER_BYTES, OperationState, OperationTable
 from minthitch.mesh.limits.gate import MOST_QUEUED, Gate, Waiting
-from minthitch.mesh.transport.framing import LONGEST, MOST_OPEN, PIECE, Broken, Inbox, Outbox
 from minthitch.mesh.registry.merged_views import MergedViews
 from minthitch.mesh.registry.records import SidecarRecord
 from minthitch.mesh.registry.registry import EXPIRY_S, Registry, RegistryDelta
-from minthitch.mesh.idempotency.operations import MAX_ANSWER_BYTES, OperationState, OperationTable
-from minthitch.mesh.idempotency.claims import Claim, ClaimCommand, ClaimTable
 from minthitch.mesh.sidecar.choice import Choice
+from minthitch.mesh.transport.framing import LONGEST, MOST_OPEN, PIECE, Broken, Inbox, Outbox
 
 
 class Pieces(unittest.TestCase):
--- a/tests/mesh/test_points.py
+++ b/tests/mesh/test_points.py
@@ -1,6 +1,7 @@
 """The hard points of the control plane as schedules in virtual time: orders under one number, a machine cut
 off for twenty seconds, a second loss after a repair, and many changes. `python -m bench.control` plays more
-of them, and looks for all planted faults."""
+of them, and looks for all planted faults.
+"""
 
 from __future__ import annotations
 
--- a/tests/mesh/test_raft.py
+++ b/tests/mesh/test_raft.py
@@ -1,5 +1,6 @@
 """The agreement among control nodes: named troubles, schedules drawn from seeds, planted faults that are
-found."""
+found.
+"""
 
 from __future__ import annotations
 
--- a/tests/mesh/test_raft_membership.py
+++ b/tests/mesh/test_raft_membership.py
@@ -477,7 +477,8 @@
 
     def helped_up_and_replaced(self, node_type: type[RaftNode]) -> None:
         """n0 leads. n2 helps n1 up in a newer term, n0 hears of neither and has the learner n3 at hand: if it
-        commits with that one alone, two leaders agree on different things."""
+        commits with that one alone, two leaders agree on different things.
+        """
         with mock.patch.object(chaos, "GONE", 0.3):
             walk = Chaos(1, 3, 1, node_type)
         old, new, helper, learner = walk.machines.values()
--- a/tests/mesh/test_size.py
+++ b/tests/mesh/test_size.py
@@ -9,16 +9,16 @@
 
 from minthitch.mesh.control import sidecar_updates
 from minthitch.mesh.control.sidecar_updates import BATCH_INTERVAL_S
-from minthitch.mesh.transport import compression, ops
-from minthitch.mesh.transport.connection import DEAD
-from minthitch.mesh.transport.link import STALE
-from minthitch.mesh.transport.framing import PIECE, Broken
+from minthitch.mesh.events.events import LOG
 from minthitch.mesh.registry.merged_views import MergedViews
 from minthitch.mesh.registry.records import SidecarRecord, is_newer, published_fields
 from minthitch.mesh.registry.registry import EXPIRY_S, Registry, RegistryDelta
-from minthitch.mesh.events.events import LOG
 from minthitch.mesh.sidecar import links
 from minthitch.mesh.sidecar.links import DOUBT_ONCE, HOLD, PROBE, Peer, _acted_on
+from minthitch.mesh.transport import compression, ops
+from minthitch.mesh.transport.connection import DEAD
+from minthitch.mesh.transport.framing import PIECE, Broken
+from minthitch.mesh.transport.link import STALE
 from rigs.simulation.mesh import CONTROLS
 from rigs.simulation.size import SPREAD, Crowd
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -61,7 +61,8 @@
 
 def test_a_cold_server_earns_calls_by_its_own_answers() -> None:
     """Filled by what warm ones answer alone, six new ones got 5 calls each in 2 s while four old ones had 17
-    out, where 8 make them slow for long (join+vast, c585365e)."""
+    out, where 8 make them slow for long (join+vast, c585365e).
+    """
     assert sent_to_cold(Status.OK, 50 * MS) >= 8
     assert sent_to_cold(Status.ERROR, 50 * MS) <= 4, "an error earns nothing"
     assert sent_to_cold(Status.OK, 900 * MS) <= 4, "nor does a late answer"
@@ -69,7 +70,8 @@
 
 def test_a_cold_server_is_not_starved_while_the_warm_ones_are_crowded() -> None:
     """What answers had earned once was held against it for ever: new servers with 20 calls in 1.5 s
-    got one then, while the old ones had 27 out each (join+vast, seed 17, 7a29cb9f)."""
+    got one then, while the old ones had 27 out each (join+vast, seed 17, 7a29cb9f).
+    """
     node, sent = Node(settings(siblings=7, tier=1), 3), []
     node.listed(4)
     for _ in range(10):
--- a/tests/test_fleet_hard.py
+++ b/tests/test_fleet_hard.py
@@ -43,7 +43,8 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_servers_that_refused_connections_are_used_again_once_they_are_back(seed: int) -> None:
     """That some refuse as they die says nothing of those that start: on the full fleet no node sent one call
-    to a returned server for the 11 s to the day's end (zone+mass, seed 11: 0 of 24,632 sends)."""
+    to a returned server for the 11 s to the day's end (zone+mass, seed 11: 0 of 24,632 sends).
+    """
     fleet = crew(seed, 20, 30)
     fleet.run(6 * SECOND, 0.4 * WARM * 30, CLASSES)
     lost = range(1, 11)
@@ -66,7 +67,8 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_zone_that_vanishes_without_a_word_and_returns_cold(seed: int) -> None:
     """Every request is answered in time, what may have run is not sent again (the referees see to both), and
-    the cold servers are filled, though others of their kind were silent, and not pushed over."""
+    the cold servers are filled, though others of their kind were silent, and not pushed over.
+    """
     fleet = crew(seed, 7, 10)
     fleet.run(6 * SECOND, 0.4 * WARM * 10, CLASSES)
     zone = [n for n in fleet.machines if n % 2]
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -13,8 +13,8 @@
 import pytest
 import uvloop
 
-from minthitch.interface import SetTimer, TimerFired
 from minthitch.engine import Server
+from minthitch.interface import SetTimer, TimerFired
 from minthitch.net.servers import Connection, Pool
 from tests.net import OK, PATIENCE, SETTINGS, Seen, call, reply, reset, rig, serve_ok
 
--- a/tests/test_odd_lists.py
+++ b/tests/test_odd_lists.py
@@ -8,7 +8,7 @@
 
 from minthitch.engine.fleet import Fleet
 from minthitch.interface import SECOND, ListKind, ListUpdate, ServerEntry, State
-from minthitch.listing import Listing, ListError, parse_listing
+from minthitch.listing import ListError, Listing, parse_listing
 from minthitch.policy import Balancer
 from tests.rules import settings
 
--- a/tests/test_powerloss.py
+++ b/tests/test_powerloss.py
@@ -80,7 +80,8 @@
 
 def test_what_is_too_much_for_cold_servers_is_refused_at_once() -> None:
     """Requests that wait for a server count as a crowd; held to half of their time, all came at once when the
-    servers were warm, and the two seconds behind that were lost."""
+    servers were warm, and the two seconds behind that were lost.
+    """
     fleet = cold_crew(1, 6, 12, 6)
     fleet.run(4 * SECOND, 4 * SHARE * WARM * 12, CLASSES)
     held = sum(len(held) for node in fleet.nodes for held in node.balancer.held)
--- a/tests/test_silent_discovery.py
+++ b/tests/test_silent_discovery.py
@@ -17,9 +17,9 @@
 from minthitch.net.discovery import Discovery
 from minthitch.settings import from_object
 from rigs.discovery import entry
+from rigs.settings import settings_with
 from rigs.simulation.loop import Machine, VirtualLoop
 from rigs.simulation.network import Network
-from rigs.settings import settings_with
 
 GRACE = 0.5  # seconds, as in the settings
 NODE, AGENT, PORT = "10.0.0.1", "10.0.0.2", 8500
@@ -140,7 +140,8 @@
 @pytest.mark.parametrize("start", [0.0, 5.0], ids=["watched", "started in the silence"])
 def test_a_drain_that_is_told_as_silence_ends_is_heard_within_half_its_grace(seed: int, start: float) -> None:
     """A call that met the silence hung for 2 s of the drain's grace of 0.5 s (herd+mass, seed 525645978087:
-    all 58 nodes, 159 sends 0.57 s after)."""
+    all 58 nodes, 159 sends 0.57 s after).
+    """
     play = Play(seed)
     play.at(start, play.start, play.node)
     play.at(2.0, play.agent.fall_silent)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -12,8 +12,6 @@
 import pytest
 
 from minthitch import benchlink
-from minthitch.policy import Balancer
-from minthitch.settings import SettingsError, read_settings
 from minthitch.interface import (
     Action,
     AttemptEnded,
@@ -44,6 +42,8 @@
     Tell,
     TimerFired,
 )
+from minthitch.policy import Balancer
+from minthitch.settings import SettingsError, read_settings
 
 SERVER = 0x0A124A07 << 16 | 0x2BC3
 CLASS = {"objectiveNs": 10**9, "deadlineNs": 3 * 10**9, "effect": "repeatable"}
