--- a/rigs/mesh_demo/machines.py
+++ b/rigs/mesh_demo/machines.py
@@ -57,6 +57,7 @@
         self.name, self.program, self.ip, self.zone, self.settings = name, program, ip, zone, settings
         self.process: asyncio.subprocess.Process | None = None
         self.reader: asyncio.Task[None] | None = None
+        self.root = ROOT  # the checkout that it runs; another one tries a rolling upgrade
         self.lines: list[tuple[float, str]] = []  # when each came, seconds of the loop
 
     async def start(self) -> None:
@@ -65,7 +66,7 @@
             sys.executable,
             "-m",
             f"minthitch.mesh.{self.program}",
-            cwd=ROOT,
+            cwd=self.root,
             stderr=asyncio.subprocess.PIPE,
             env=environ | {"MINTHITCH_BOOT": str(self.settings)},
         )
--- a/rigs/mesh_demo/play.py
+++ b/rigs/mesh_demo/play.py
@@ -8,6 +8,7 @@
 import os
 import tempfile
 from collections import Counter
+from collections.abc import Mapping
 from pathlib import Path
 
 from rigs.mesh_demo import load, machines, operator
@@ -263,10 +264,18 @@
     return min(times, default=None)
 
 
-async def main(drill: str, logs: bool) -> int:
-    """Plays the demo. Exit code 1 where a promise was broken."""
+async def main(drill: str, logs: bool, others: Mapping[str, Path] | None = None) -> int:
+    """Plays the demo. Exit code 1 where a promise was broken.
+
+    Args:
+        drill: which control nodes are killed.
+        logs: whether to print the processes' logs at the end.
+        others: by the names of machines, the checkout that they run in place of this one.
+    """
     with tempfile.TemporaryDirectory(prefix="meshdemo-") as folder:
         demo = Demo(Path(folder), drill)
+        for machine in demo.all:
+            machine.root = (others or {}).get(machine.name, machine.root)
         try:
             await demo.play()
         except RuntimeError as err:
--- a/tests/mesh/chaos.py
+++ b/tests/mesh/chaos.py
@@ -20,10 +20,10 @@
 from tests.mesh.cluster import Disk, Wrong
 
 TIMING = Timing(0.1, 0.6)
-MOST = 80  # messages under way; the oldest are lost
+MAX_IN_FLIGHT = 80  # messages under way; the oldest are lost
 TAIL = 3  # entries kept before an image
 CALM = 60  # steps between two changes of who reaches whom, about
-GONE = 2.0  # seconds after which a machine's place goes to a spare
+UNRESPONSIVE_S = 2.0  # seconds after which a machine's place goes to a spare
 
 
 class Machine:
@@ -34,7 +34,7 @@
         self.pending: Persist | None = None
         self.now = 0.0
         self.applied: list[bytes] = []
-        self.gone = False  # for good
+        self.removed = False  # for good
 
     @property
     def name(self) -> str:
@@ -66,7 +66,7 @@
         self.acknowledged: dict[int, bytes] = {}
         self.table = 0  # place of the newest table that was agreed
         self.value, self.losses = 0, 0
-        self.side: set[str] = set()  # between these and the others nothing arrives for now
+        self.isolated: set[str] = set()  # between these and the others nothing arrives for now
         for machine in self.machines.values():
             self.start(machine)
 
@@ -83,7 +83,7 @@
             TIMING,
             self.random.getrandbits(40),
             machine.now,
-            GroupPolicy(self.count, GONE),
+            GroupPolicy(self.count, UNRESPONSIVE_S),
         )
         machine.core.log.retained_entries = TAIL
         self.act(machine, machine.core.drain())
@@ -102,11 +102,11 @@
         entry = self.agreed[self.table]
         names = msgpack.unpackb(entry.data)
         absent = {address_of(name) for name in names if self.machines[address_of(name)].name != name}
-        absent |= {m.ip for m in self.machines.values() if m.gone or not m.holds(entry.index, entry.term)}
+        absent |= {m.ip for m in self.machines.values() if m.removed or not m.holds(entry.index, entry.term)}
         absent |= {machine.ip for machine in more}
         return sum(address_of(name) in absent for name in names) + self.count - len(names)
 
-    def wipe(self, machine: Machine) -> bool:
+    def lose_disk(self, machine: Machine) -> bool:
         """Its disk is lost, if so many may be."""
         if self.lost(machine) > self.bears:
             return False
@@ -117,8 +117,8 @@
 
     def lose(self, machine: Machine) -> None:
         """It is gone for good, where a spare one is there to take its place."""
-        if sum(m.gone for m in self.machines.values()) < self.spares and self.lost(machine) <= self.bears:
-            machine.core, machine.pending, machine.gone = None, None, True
+        if sum(m.removed for m in self.machines.values()) < self.spares and self.lost(machine) <= self.bears:
+            machine.core, machine.pending, machine.removed = None, None, True
 
     # What happens
 
@@ -144,7 +144,7 @@
                 entries = [entry for index, entry in sorted(self.agreed.items()) if index <= action.index]
                 if machine.applied != [entry.data for entry in entries if entry.kind == DATA]:
                     raise Wrong(f"{machine.name}: image {action.index} is not what was agreed")
-        del self.wire[:-MOST]
+        del self.wire[:-MAX_IN_FLIGHT]
 
     def apply(self, machine: Machine, entry: Entry) -> None:
         known = self.agreed.setdefault(entry.index, entry)
@@ -197,14 +197,14 @@
     def step(self) -> None:
         draw = self.random
         if draw.random() < 1.0 / CALM:
-            self.side = set(draw.sample(sorted(self.machines), draw.choice((0, 0, 1, self.bears))))
-        machine = draw.choice([m for m in self.machines.values() if not m.gone])
+            self.isolated = set(draw.sample(sorted(self.machines), draw.choice((0, 0, 1, self.bears))))
+        machine = draw.choice([m for m in self.machines.values() if not m.removed])
         odd = draw.random()
         if odd < 0.5:
             if self.wire:
-                place = draw.randrange(len(self.wire))
-                item = self.wire[place] if draw.random() < 0.1 else self.wire.pop(place)
-                apart = (address_of(item[0]) in self.side) != (address_of(item[1]) in self.side)
+                applied_index = draw.randrange(len(self.wire))
+                item = self.wire[applied_index] if draw.random() < 0.1 else self.wire.pop(applied_index)
+                apart = (address_of(item[0]) in self.isolated) != (address_of(item[1]) in self.isolated)
                 if not apart and draw.random() > 0.05:
                     self.arrive(*item)
         elif odd < 0.68:
@@ -221,19 +221,19 @@
         elif odd < 0.985:
             self.stop(machine)
         elif draw.random() < 0.4:
-            self.wipe(machine)
+            self.lose_disk(machine)
         elif draw.random() < 0.03:
             self.lose(machine)
 
     def play(self, steps: int) -> None:
         for _ in range(steps):
             self.step()
-        self.settle()
+        self.recover_and_check()
 
-    def round(self) -> None:
+    def advance(self) -> None:
         """Everything arrives in order, all is synced, time goes on alike."""
         for machine in self.machines.values():
-            if not machine.gone:
+            if not machine.removed:
                 self.tick(machine, 0.05)
         for machine in self.machines.values():
             self.sync(machine)
@@ -244,8 +244,8 @@
             for machine in self.machines.values():
                 self.sync(machine)
 
-    def whole(self) -> bool:
-        live = [m for m in self.machines.values() if not m.gone]
+    def is_consistent(self) -> bool:
+        live = [m for m in self.machines.values() if not m.removed]
         core = next((m.core for m in live if m.core and m.core.is_leader and m.core.has_lease(m.now)), None)
         if (
             core is None
@@ -260,26 +260,26 @@
             and all(m.core is not None and m.core.last_applied == core.commit_index for m in live)
         )
 
-    def settle(self, rounds: int = 400) -> None:
+    def recover_and_check(self, rounds: int = 400) -> None:
         """All that is not gone for good is well again: it agrees, and has all that was acknowledged."""
         for machine in self.machines.values():
-            if machine.core is None and not machine.gone:
+            if machine.core is None and not machine.removed:
                 self.start(machine)
         for _ in range(rounds):
-            if self.whole():
+            if self.is_consistent():
                 break
-            self.round()
+            self.advance()
         else:
             raise Wrong(f"not whole again: {self.shown()}")
         for machine in self.machines.values():
-            if not machine.gone and not set(self.acknowledged.values()) <= set(machine.applied):
+            if not machine.removed and not set(self.acknowledged.values()) <= set(machine.applied):
                 raise Wrong(f"{machine.name} lacks what was acknowledged")
 
     def shown(self) -> list[Any]:
         return [
             (
                 m.name,
-                m.gone,
+                m.removed,
                 m.core and (m.core.role, m.core.term, m.core.commit_index, m.core.last_index, m.core.voters),
             )
             for m in self.machines.values()
--- a/tests/mesh/cluster.py
+++ b/tests/mesh/cluster.py
@@ -23,9 +23,9 @@
 from minthitch.mesh.raft.placement import Location, Tolerated
 from minthitch.mesh.raft.reconfiguration import UNRESPONSIVE_AFTER_S, GroupPolicy
 
-TICK, JOIN, TROUBLE = 0.04, 0.5, 0.5  # seconds
+TICK, JOIN, DISK_TIMEOUT = 0.04, 0.5, 0.5  # seconds
 RETIRE_LOOK = 0.02  # seconds between two looks whether a process may end
-IMAGE_EVERY = 30  # entries
+SNAPSHOT_EVERY = 30  # entries
 
 
 class Wrong(AssertionError):
@@ -57,13 +57,13 @@
         self.ip, self.node_type = ip, node_type
         self.disk, self.incarnation = Disk(), 0
         self.core: RaftNode | None = None
-        self.life = 0  # of the process: what an earlier life waits for never comes
+        self.epoch = 0  # of the process: what an earlier life waits for never comes
         self.frozen, self.waiting = False, list[Callable[[], None]]()
         self.pending: tuple[float, Persist] | None = None
         self.applied: list[bytes] = []
-        self.place = 0
-        self.knock_at = 0.0
-        self.wiped = False
+        self.applied_index = 0
+        self.next_join_request_at = 0.0
+        self.disk_lost = False
 
     @property
     def name(self) -> str:
@@ -92,7 +92,7 @@
     ) -> None:
         self.random = random.Random(seed)
         self.now, self.order = 0.0, 0
-        self.image_every, self.tail, self.loading = IMAGE_EVERY, 512, True
+        self.snapshot_every, self.tail, self.loading = SNAPSHOT_EVERY, 512, True
         self.unresponsive_after, self.tolerated = unresponsive_after, tolerated
         self.locations = locations or {}
         self.heap: list[tuple[float, int, Callable[[], None]]] = []
@@ -100,7 +100,7 @@
         self.founders = tuple(f"n{i}#0" for i in range(count))
         self.wanted = count
         self.loss, self.sync, self.delay, self.timing = loss, sync, delay, timing
-        self.cuts: set[tuple[str, str]] = set()
+        self.disconnected: set[tuple[str, str]] = set()
         self.agreed: dict[int, Entry] = {}
         self.values: list[tuple[int, bytes]] = []  # DATA entries agreed, in order
         self.leaders: dict[int, str] = {}
@@ -136,12 +136,12 @@
     # --- machines ---
 
     def start(self, node: Node, first: bool = False) -> None:
-        node.life += 1
+        node.epoch += 1
         node.frozen, node.waiting, node.pending = False, [], None
-        node.applied, node.place = [], 0
+        node.applied, node.applied_index = [], 0
         saved = node.disk.saved
-        fresh = saved is None and (node.incarnation == 0)
-        founders = self.founders if fresh and node.name in self.founders else ()
+        is_first_start = saved is None and (node.incarnation == 0)
+        founders = self.founders if is_first_start and node.name in self.founders else ()
         node.core = node.node_type(
             node.name,
             saved,
@@ -153,7 +153,7 @@
         )
         node.core.reconfiguration.locations = self.locations
         node.core.log.retained_entries = self.tail
-        self.at(0.0 if first else self.random.uniform(0, TICK), partial(self.tick, node, node.life))
+        self.at(0.0 if first else self.random.uniform(0, TICK), partial(self.tick, node, node.epoch))
 
     def kill(self, node: Node) -> None:
         """The process ends, or power is lost: a write under way has come to the disk whole, or not at all."""
@@ -164,11 +164,11 @@
     def retire(self, node: Node, back_after: float | None = None) -> None:
         """It is told to end, and ends once its core says that it may; `back_after` starts it again."""
 
-        def watch(life: int) -> None:
-            if node.life != life or node.core is None:
+        def watch(epoch: int) -> None:
+            if node.epoch != epoch or node.core is None:
                 return
             if node.frozen or not node.core.may_end(self.now):
-                self.at(RETIRE_LOOK, lambda: watch(life))
+                self.at(RETIRE_LOOK, lambda: watch(epoch))
                 return
             if node.pending is not None:  # the writer ends what it began
                 node.disk.write(node.pending[1])
@@ -177,20 +177,20 @@
             if back_after is not None:
                 self.at(back_after, lambda: self.start(node) if node.core is None else None)
 
-        self.on(node, node.life, lambda core: core.begin_shutdown(self.now))
-        watch(node.life)
+        self.on(node, node.epoch, lambda core: core.begin_shutdown(self.now))
+        watch(node.epoch)
 
     def power(self, node: Node) -> None:
         """Power is lost, and none of what was not synced remains."""
         node.core, node.pending = None, None
-        node.life += 1
+        node.epoch += 1
 
-    def wipe(self, node: Node) -> None:
+    def lose_disk(self, node: Node) -> None:
         """The disk is lost with the power."""
         self.power(node)
         node.disk = Disk()
         node.incarnation += 1
-        node.wiped = True
+        node.disk_lost = True
 
     def freeze(self, node: Node) -> None:
         node.frozen = True
@@ -201,21 +201,21 @@
         for call in waiting:
             call()
 
-    def cut(self, src: str, dst: str, both: bool = False) -> None:
-        self.cuts.add((src, dst))
+    def disconnect(self, src: str, dst: str, both: bool = False) -> None:
+        self.disconnected.add((src, dst))
         if both:
-            self.cuts.add((dst, src))
+            self.disconnected.add((dst, src))
 
-    def isolate(self, ip: str, hears: bool = False, heard: bool = False) -> None:
+    def isolate(self, ip: str, receives: bool = False, reaches: bool = False) -> None:
         for other in self.nodes:
-            if other != ip and not heard:
-                self.cuts.add((ip, other))
-            if other != ip and not hears:
-                self.cuts.add((other, ip))
+            if other != ip and not reaches:
+                self.disconnected.add((ip, other))
+            if other != ip and not receives:
+                self.disconnected.add((other, ip))
 
     def heal(self) -> None:
         """All is well again: links, disks, processes."""
-        self.cuts.clear()
+        self.disconnected.clear()
         self.loss = 0.0
         for node in self.nodes.values():
             node.disk.hung_until = 0.0
@@ -226,33 +226,33 @@
 
     # --- the shell of a core ---
 
-    def on(self, node: Node, life: int, call: Callable[[RaftNode], list[Action]]) -> None:
-        if node.life != life or node.core is None:
+    def on(self, node: Node, epoch: int, call: Callable[[RaftNode], list[Action]]) -> None:
+        if node.epoch != epoch or node.core is None:
             return
         if node.frozen:
-            node.waiting.append(lambda: self.on(node, life, call))
+            node.waiting.append(lambda: self.on(node, epoch, call))
             return
         self.act(node, call(node.core))
         self.check(node)
 
-    def tick(self, node: Node, life: int) -> None:
-        if node.life != life or node.core is None:
+    def tick(self, node: Node, epoch: int) -> None:
+        if node.epoch != epoch or node.core is None:
             return
-        self.at(TICK, lambda: self.tick(node, life))
+        self.at(TICK, lambda: self.tick(node, epoch))
         if node.frozen:
             return
         core = node.core
-        self.on(node, life, lambda c: c.tick(self.now))
-        hung = node.pending is not None and self.now - node.pending[0] > TROUBLE
+        self.on(node, epoch, lambda c: c.tick(self.now))
+        hung = node.pending is not None and self.now - node.pending[0] > DISK_TIMEOUT
         if hung == core.disk_healthy:
-            self.on(node, life, lambda c: c.set_disk_health(self.now, not hung))
-        if core.role is Role.LEARNER and self.now >= node.knock_at:
-            node.knock_at = self.now + JOIN
+            self.on(node, epoch, lambda c: c.set_disk_health(self.now, not hung))
+        if core.role is Role.LEARNER and self.now >= node.next_join_request_at:
+            node.next_join_request_at = self.now + JOIN
             for ip in self.nodes:
-                self.post(node, ip, self.knocker(node.name))
-        if core.last_applied - core.log.snapshot.index > self.image_every:
+                self.post(node, ip, self.join_requester(node.name))
+        if core.last_applied - core.log.snapshot.index > self.snapshot_every:
             snapshot = msgpack.packb(node.applied)
-            self.on(node, life, lambda c: c.compact(c.last_applied, snapshot))
+            self.on(node, epoch, lambda c: c.compact(c.last_applied, snapshot))
 
     def act(self, node: Node, actions: list[Action]) -> None:
         for action in actions:
@@ -266,7 +266,7 @@
             else:
                 self.restore(node, action)
 
-    def knocker(self, src: str) -> Callable[[RaftNode], list[Action]]:
+    def join_requester(self, src: str) -> Callable[[RaftNode], list[Action]]:
         return lambda core: core.add_learner(self.now, src)
 
     def receiver(self, src: str, packed: bytes) -> Callable[[RaftNode], list[Action]]:
@@ -277,13 +277,13 @@
     def post(self, node: Node, ip: str, call: Callable[[RaftNode], list[Action]], to: str = "") -> None:
         if ip == node.ip or ip not in self.nodes:
             return
-        if (node.ip, ip) in self.cuts or self.random.random() < self.loss:
+        if (node.ip, ip) in self.disconnected or self.random.random() < self.loss:
             return
         target = self.nodes[ip]
 
         def arrive() -> None:
-            if (node.ip, ip) not in self.cuts and (not to or to == target.name):
-                self.on(target, target.life, call)
+            if (node.ip, ip) not in self.disconnected and (not to or to == target.name):
+                self.on(target, target.epoch, call)
 
         self.at(self.random.uniform(0.0005, self.delay), arrive)
 
@@ -291,25 +291,25 @@
         if node.pending is not None:
             raise Wrong("two Persists at once")
         node.pending = (self.now, persist)
-        life = node.life
-        self.at(self.random.uniform(*self.sync), lambda: self.landed(node, life, persist))
+        epoch = node.epoch
+        self.at(self.random.uniform(*self.sync), lambda: self.landed(node, epoch, persist))
 
-    def landed(self, node: Node, life: int, persist: Persist) -> None:
-        if node.life != life:
+    def landed(self, node: Node, epoch: int, persist: Persist) -> None:
+        if node.epoch != epoch:
             return
         if self.now < node.disk.hung_until:
-            self.at(node.disk.hung_until - self.now, lambda: self.landed(node, life, persist))
+            self.at(node.disk.hung_until - self.now, lambda: self.landed(node, epoch, persist))
             return
         node.disk.write(persist)
         node.pending = None
-        self.on(node, life, lambda c: c.persisted(self.now, persist.write_id))
+        self.on(node, epoch, lambda c: c.persisted(self.now, persist.write_id))
 
     # --- what is seen, and checked ---
 
     def apply(self, node: Node, entry: Entry) -> None:
-        if entry.index != node.place + 1:
-            raise Wrong(f"{node.name} applies {entry.index} after {node.place}")
-        node.place = entry.index
+        if entry.index != node.applied_index + 1:
+            raise Wrong(f"{node.name} applies {entry.index} after {node.applied_index}")
+        node.applied_index = entry.index
         known = self.agreed.setdefault(entry.index, entry)
         if known != entry:
             raise Wrong(f"{node.name} applies {entry}, another has applied {known}")
@@ -318,7 +318,7 @@
             if len(self.values) < len(node.applied):
                 self.values.append((entry.index, entry.data))
         asked = self.proposed.get((entry.index, entry.term))
-        if asked is not None and asked[:2] == (node.name, node.life):
+        if asked is not None and asked[:2] == (node.name, node.epoch):
             if asked[2] != entry.data:
                 raise Wrong("an index and term stand for two values")
             if self.acknowledged:
@@ -327,7 +327,7 @@
             self.ack_time = self.now
 
     def restore(self, node: Node, action: Restore) -> None:
-        node.applied, node.place = msgpack.unpackb(action.data), action.index
+        node.applied, node.applied_index = msgpack.unpackb(action.data), action.index
         expected = [data for index, data in self.values if index <= action.index]
         if node.applied != expected:
             raise Wrong(f"{node.name}: image {action.index} differs from what was agreed")
@@ -351,7 +351,7 @@
         data = b"%d" % self.value
         got = node.live.propose(self.now, data)
         if got is not None:
-            self.proposed[got] = (node.name, node.life, data)
+            self.proposed[got] = (node.name, node.epoch, data)
         self.act(node, node.live.drain())
 
     def load(self, every: float, seconds: float) -> None:
@@ -376,7 +376,7 @@
         assert node is not None
         return node
 
-    def whole(self) -> bool:
+    def is_consistent(self) -> bool:
         """One leads, all voters are present names and hold all, and all have applied the same."""
         node = self.leader()
         if node is None or node.core is None:
@@ -385,7 +385,7 @@
         return (
             len(core.voters) == self.wanted
             and set(core.voters) <= names
-            and all(n.core is not None and n.place == core.last_index for n in self.nodes.values())
+            and all(n.core is not None and n.applied_index == core.last_index for n in self.nodes.values())
             and all(
                 core.leader_state.peers[v].match_index == core.last_index
                 for v in core.voters
@@ -410,13 +410,13 @@
             )
         )
 
-    def settle(self) -> None:
+    def recover_and_check(self) -> None:
         """Heal, wait until whole, and look for all that was acknowledged."""
         self.loading = False
         self.heal()
-        self.until(self.whole)
+        self.until(self.is_consistent)
         for node in self.nodes.values():
-            node.wiped = False
+            node.disk_lost = False
             have = dict(self.values)
             if node.applied != [data for _, data in self.values]:
                 raise Wrong(f"{node.name} ends with another state")
@@ -463,11 +463,11 @@
         )
         self.end = seconds
         self.cluster.tail = self.random.choice((0, 5, 512))
-        self.troubles = [
+        self.faults = [
             self.restart,
             self.restart,
             self.outage,
-            self.cut,
+            self.disconnect,
             self.isolate,
             self.freeze,
             self.hang,
@@ -477,16 +477,16 @@
         ]
         if storm:  # elections and losses of power close together, on slow disks
             self.cluster.sync, self.cluster.timing = (0.02, 0.3), Timing(0.05, 0.2)
-            self.troubles = [self.restart, self.restart, self.outage, self.cut]
+            self.faults = [self.restart, self.restart, self.outage, self.disconnect]
 
     def play(self) -> Cluster:
         cluster = self.cluster
         cluster.run(self.random.uniform(0.5, 1.5))
         cluster.load(self.random.choice((0.01, 0.04, 0.1)), self.end)
         while cluster.now < self.end:
-            self.random.choice(self.troubles)()
+            self.random.choice(self.faults)()
             cluster.run(self.random.choice((0.01, 0.03, 0.1, 0.3, 1.0)))
-        cluster.settle()
+        cluster.recover_and_check()
         return cluster
 
     def pick(self) -> Node:
@@ -519,15 +519,15 @@
             lost(node)
             self.later(partial(self.back, node))
 
-    def cut(self) -> None:
+    def disconnect(self) -> None:
         src, dst = self.random.sample(sorted(self.cluster.nodes), 2)
-        self.cluster.cut(src, dst, both=self.random.random() < 0.3)
-        self.later(self.cluster.cuts.clear)
+        self.cluster.disconnect(src, dst, both=self.random.random() < 0.3)
+        self.later(self.cluster.disconnected.clear)
 
     def isolate(self) -> None:
-        hears, heard = self.random.choice(((False, False), (True, False), (False, True)))
-        self.cluster.isolate(self.pick().ip, hears, heard)
-        self.later(self.cluster.cuts.clear)
+        receives, reaches = self.random.choice(((False, False), (True, False), (False, True)))
+        self.cluster.isolate(self.pick().ip, receives, reaches)
+        self.later(self.cluster.disconnected.clear)
 
     def freeze(self) -> None:
         node = self.pick()
@@ -540,13 +540,13 @@
     def lose(self) -> None:
         """A disk, if none is lost already: until the machine is taken in again, that is the one tolerated."""
         nodes = self.cluster.nodes.values()
-        if any(n.wiped for n in nodes) or not self.cluster.taken_in():
+        if any(n.disk_lost for n in nodes) or not self.cluster.taken_in():
             return
         node = self.pick()
-        self.cluster.wipe(node)
+        self.cluster.lose_disk(node)
         self.later(lambda: self.back(node))
 
     def rejoin(self) -> None:
         if self.cluster.taken_in():
             for node in self.cluster.nodes.values():
-                node.wiped = False
+                node.disk_lost = False
--- a/tests/mesh/test_configuration.py
+++ b/tests/mesh/test_configuration.py
@@ -42,7 +42,7 @@
 
 def route(name: str = "r-1", ver: int = 7, **fields: Any) -> Item:
     """A proper route; a field given as None is left out."""
-    whole = {
+    complete = {
         "Name": name,
         "Host": "a.example",
         "Pfx": f"/{name}/",
@@ -54,14 +54,14 @@
         "Tries": 2,
         "Ver": f"{ver:08x}",
     } | fields
-    return {key: value for key, value in whole.items() if value is not None}
+    return {key: value for key, value in complete.items() if value is not None}
 
 
 def service(name: str = "s-1", ver: int = 7, **fields: Any) -> Item:
     return {"Name": name, "Hc": "/healthz", "Maxconn": 110, "Dedup": False, "Ver": f"{ver:08x}"} | fields
 
 
-def gone(name: str, ver: int) -> Item:
+def deleted(name: str, ver: int) -> Item:
     return {"Name": name, "Ver": f"{ver:08x}"}
 
 
@@ -74,20 +74,20 @@
 
 
 def state(*bodies: bytes) -> tuple[Items, list[Verdict]]:
-    held = Items()
-    return held, [held.apply(body, index) for index, body in enumerate(bodies, 1)]
+    machine = Items()
+    return machine, [machine.apply(body, index) for index, body in enumerate(bodies, 1)]
 
 
 class Refusals(unittest.TestCase):
-    def refused(self, body: bytes, *said: str) -> None:
-        held, _ = state(first(route()))
-        before = held.fetch()
-        verdict = held.apply(body, 2)
+    def refused(self, body: bytes, *verdict_texts: str) -> None:
+        machine, _ = state(first(route()))
+        before = machine.fetch()
+        verdict = machine.apply(body, 2)
         self.assertEqual((verdict.ok, verdict.changed, verdict.kind), (False, False, ErrorKind.BAD_CONFIG))
         self.assertNotIn("\n", verdict.why)
-        for word in said:
-            self.assertIn(word, verdict.why)
-        self.assertEqual(held.fetch(), before)
+        for text in verdict_texts:
+            self.assertIn(text, verdict.why)
+        self.assertEqual(machine.fetch(), before)
 
     def test_a_route_that_is_not_proper_names_item_and_key(self) -> None:
         for key, value in [
@@ -116,17 +116,17 @@
             ("Split", [{"Svc": "s-1", "Wt": 1}]),
         ]:
             with self.subTest(key=key, value=value):
-                fresh = call({"Routes": [route("r-9", 9, **{key: value}), route("r-8", 9)]})
-                self.refused(fresh, "r-9", key)
+                new_copy = call({"Routes": [route("r-9", 9, **{key: value}), route("r-8", 9)]})
+                self.refused(new_copy, "r-9", key)
 
     def test_a_split_that_is_not_proper(self) -> None:
-        share = {"Svc": "s-1", "Wt": 1}
+        weight = {"Svc": "s-1", "Wt": 1}
         unknown = {"Svc": "none-such", "Wt": 0}
         for split in (
             [],
-            [share | {"Wt": 0}],
-            [share | {"Wt": 3}, share | {"Wt": -1}],
-            [share, unknown],
+            [weight | {"Wt": 0}],
+            [weight | {"Wt": 3}, weight | {"Wt": -1}],
+            [weight, unknown],
             [{"Svc": "s-1"}],
             "s-1",
         ):
@@ -143,18 +143,18 @@
         self.refused(call({"Tenants": [{"Name": "t"}]}), "Tenants 't'", "Ver")
         self.refused(call({"Tenants": [{"Name": "", "Ver": "00000001"}]}), "Tenants item 0", "Name")
         self.refused(call(drop={"Routes": [{"Name": "r-1"}]}), "r-1", "Ver")
-        held, _ = state(call({"Tenants": [gone("t", 1)]}))
-        self.assertFalse(held.apply(call({"Tenants": {"Ver": "00000002"}}), 2).ok, "a list and one item")
+        machine, _ = state(call({"Tenants": [deleted("t", 1)]}))
+        self.assertFalse(machine.apply(call({"Tenants": {"Ver": "00000002"}}), 2).ok, "a list and one item")
 
     def test_a_call_that_can_not_be_read_in_full(self) -> None:
-        whole = call({"Routes": [route("r-9", 9)]})
-        for cut in range(len(whole)):
-            self.refused(whole[:cut], "call")
+        complete = call({"Routes": [route("r-9", 9)]})
+        for truncated in range(len(complete)):
+            self.refused(complete[:truncated], "call")
         for body in (
             b"[]",
             b"{}",
             b"5",
-            whole + b"x",
+            complete + b"x",
             b"\xff",
             b'{"Upsert":null}',
             b'{"Upsert":{"T":5}}',
@@ -163,79 +163,79 @@
         ):
             self.refused(body)
 
-    def test_what_would_stand_is_judged_as_a_whole(self) -> None:
+    def test_the_resulting_configuration_is_checked_completely(self) -> None:
         same = route("r-9", 9, Host="A.Example", Pfx="/r-1/")
         self.refused(call({"Routes": [same]}), "r-1", "r-9", "Pfx")
-        self.refused(call(drop={"Svcs": [gone("s-1", 9)]}), "r-1", "s-1")
+        self.refused(call(drop={"Svcs": [deleted("s-1", 9)]}), "r-1", "s-1")
         again = Items()
         again.restore(state(first(route()))[0].snapshot())
-        self.assertFalse(again.apply(call(drop={"Svcs": [gone("s-1", 9)]}), 2).ok)
+        self.assertFalse(again.apply(call(drop={"Svcs": [deleted("s-1", 9)]}), 2).ok)
         self.refused(call({"Routes": [route("r-9", 9), route("r-9", 9, Prio=1)]}), "r-9", "twice")
-        self.refused(call({"Routes": [route("r-9", 9)]}, {"Routes": [gone("r-9", 8)]}), "r-9", "twice")
+        self.refused(call({"Routes": [route("r-9", 9)]}, {"Routes": [deleted("r-9", 8)]}), "r-9", "twice")
         # With the other route dropped, or the service no longer used, in the same call, both are proper.
-        held, _ = state(first(route()))
-        self.assertTrue(held.apply(call({"Routes": [same]}, {"Routes": [gone("r-1", 8)]}), 2).changed)
-        drop = {"Routes": [gone("r-9", 10)], "Svcs": [gone("s-1", 10)]}
-        self.assertTrue(held.apply(call(drop=drop), 3).changed)
-        self.assertEqual(json.decode(held.fetch()), {"Routes": [], "Svcs": []})
+        machine, _ = state(first(route()))
+        self.assertTrue(machine.apply(call({"Routes": [same]}, {"Routes": [deleted("r-1", 8)]}), 2).changed)
+        drop = {"Routes": [deleted("r-9", 10)], "Svcs": [deleted("s-1", 10)]}
+        self.assertTrue(machine.apply(call(drop=drop), 3).changed)
+        self.assertEqual(json.decode(machine.fetch()), {"Routes": [], "Svcs": []})
 
     def test_a_stale_item_is_judged_for_its_form_only(self) -> None:
-        held, _ = state(first(route()))
-        self.assertEqual(held.apply(call({"Routes": [route(ver=6, Svc="none-such")]}), 2), Verdict(True))
-        self.assertFalse(held.apply(call({"Routes": [route(ver=6, TmoS=0)]}), 3).ok)
+        machine, _ = state(first(route()))
+        self.assertEqual(machine.apply(call({"Routes": [route(ver=6, Svc="none-such")]}), 2), Verdict(True))
+        self.assertFalse(machine.apply(call({"Routes": [route(ver=6, TmoS=0)]}), 3).ok)
 
 
 class Versions(unittest.TestCase):
-    def test_a_repeat_changes_nothing_in_whatever_order_its_keys_stand(self) -> None:
+    def test_a_repeat_changes_nothing_in_whatever_order_its_keys_come(self) -> None:
         turned = dict(reversed(route().items()))
-        held, verdicts = state(first(route()), first(route()), first(turned))
+        machine, verdicts = state(first(route()), first(route()), first(turned))
         self.assertEqual([verdict.changed for verdict in verdicts], [True, False, False])
         self.assertTrue(all(verdict.ok for verdict in verdicts))
-        self.assertEqual(held.index, 3)
+        self.assertEqual(machine.index, 3)
 
     def test_the_highest_version_prevails_and_a_dropped_name_stays_dropped(self) -> None:
-        drop = call(drop={"Routes": [gone("r-1", 9)]})
+        drop = call(drop={"Routes": [deleted("r-1", 9)]})
         for order in ([first(route()), drop], [drop, first(route())]):
-            held, verdicts = state(*order)
+            machine, verdicts = state(*order)
             self.assertTrue(all(verdict.ok for verdict in verdicts))
-            self.assertEqual(json.decode(held.fetch())["Routes"], [])
-        self.assertTrue(held.apply(call({"Routes": [route(ver=0xA)]}), 3).changed)
-        self.assertEqual(json.decode(held.fetch())["Routes"], [route(ver=0xA)])
+            self.assertEqual(json.decode(machine.fetch())["Routes"], [])
+        self.assertTrue(machine.apply(call({"Routes": [route(ver=0xA)]}), 3).changed)
+        self.assertEqual(json.decode(machine.fetch())["Routes"], [route(ver=0xA)])
 
     def test_of_opposite_changes_at_one_version_the_first_stands(self) -> None:
         changed = call({"Routes": [route(ver=9, Prio=0)], "Svcs": [service("s-2")]})
-        dropped = call({"Svcs": [service("s-3")]}, {"Routes": [gone("r-1", 9)]})
+        dropped = call({"Svcs": [service("s-3")]}, {"Routes": [deleted("r-1", 9)]})
         for one, other, left in ((changed, dropped, 1), (dropped, changed, 0)):
-            held, verdicts = state(first(route()), one, other, one)
+            machine, verdicts = state(first(route()), one, other, one)
             self.assertEqual([verdict.ok for verdict in verdicts], [True, True, False, True])
             self.assertEqual(verdicts[2].kind, ErrorKind.CONFIG_CONFLICT)
             self.assertIn("r-1", verdicts[2].why)
-            stands = json.decode(held.fetch())
+            stands = json.decode(machine.fetch())
             self.assertEqual((len(stands["Routes"]), len(stands["Svcs"])), (left, 2))
 
     def test_what_is_not_known_here_is_given_back_as_it_was_sent(self) -> None:
         odd = b'{"Name":"t", "Ver":"0000000C","Quota":1.50,"Big":123456789012345678901234567890,"N":null}'
         body = b'{"Upsert":{"Tenants":[' + odd + b'],"Limits":{"Ver":"00000001","New":[1e2]}}}'
-        held, verdicts = state(first(route(New={"a": 1})), body)
+        machine, verdicts = state(first(route(New={"a": 1})), body)
         self.assertTrue(verdicts[1].changed)
-        back = held.fetch()
+        back = machine.fetch()
         self.assertIn(odd, back)
         self.assertIn(b'"Limits":{"Ver":"00000001","New":[1e2]}', back)
         self.assertIn(b'"New":{"a":1}', back)
-        self.assertTrue(held.apply(call(drop={"Tenants": [gone("t", 13)]}), 3).changed)
+        self.assertTrue(machine.apply(call(drop={"Tenants": [deleted("t", 13)]}), 3).changed)
 
     def test_tombstones_are_bounded_and_a_copy_behind_still_learns_of_the_drop(self) -> None:
-        held, _ = state(first(route()))
+        machine, _ = state(first(route()))
         copy, late = Replica(), Replica()
-        self.assertTrue(copy.merge(held.since(0)) and late.merge(held.since(0)))
+        self.assertTrue(copy.merge(machine.since(0)) and late.merge(machine.since(0)))
         with mock.patch.object(items, "MAX_TOMBSTONES", 2):
             for index, name in enumerate(("r-1", "x", "y", "z"), 2):
-                held.apply(call(drop={"Routes": [gone(name, index + 10)]}), index)
-                self.assertTrue(copy.merge(held.since(copy.index)))
-            self.assertTrue(late.merge(held.since(late.index)))
-        self.assertEqual((late.fetch(), copy.fetch()), (held.fetch(), held.fetch()))
-        self.assertFalse(held.apply(call(drop={"Routes": [gone("z", 3)]}), 9).changed)
-        self.assertTrue(held.apply(call({"Routes": [route()]}), 10).changed, "forgotten")
+                machine.apply(call(drop={"Routes": [deleted(name, index + 10)]}), index)
+                self.assertTrue(copy.merge(machine.since(copy.index)))
+            self.assertTrue(late.merge(machine.since(late.index)))
+        self.assertEqual((late.fetch(), copy.fetch()), (machine.fetch(), machine.fetch()))
+        self.assertFalse(machine.apply(call(drop={"Routes": [deleted("z", 3)]}), 9).changed)
+        self.assertTrue(machine.apply(call({"Routes": [route()]}), 10).changed, "forgotten")
 
 
 class Copies(unittest.TestCase):
@@ -245,19 +245,19 @@
                 self.history(random.Random(seed))
 
     def history(self, rng: random.Random) -> None:
-        held, copies, deltas = Items(), [Replica(), Replica(), Replica()], []
-        shown = [held.fetch()]  # by index: a copy must show exactly what the state was at its index
-        held.apply(call({"Svcs": [service(f"s-{n}") for n in range(3)]}), 1)
-        shown.append(held.fetch())
+        machine, copies, deltas = Items(), [Replica(), Replica(), Replica()], []
+        shown = [machine.fetch()]  # by index: a copy must show exactly what the state was at its index
+        machine.apply(call({"Svcs": [service(f"s-{n}") for n in range(3)]}), 1)
+        shown.append(machine.fetch())
         for index in range(2, 60):
-            self.assertTrue(held.apply(self.change(rng, index), index).kind != ErrorKind.BAD_CONFIG)
-            shown.append(held.fetch())
+            self.assertTrue(machine.apply(self.change(rng, index), index).kind != ErrorKind.BAD_CONFIG)
+            shown.append(machine.fetch())
             if rng.random() < 0.2:
-                snapshot = held.snapshot()
-                held = Items()
-                held.restore(snapshot)
-                self.assertEqual(held.snapshot(), snapshot)
-            source = rng.choice([held, *copies])
+                snapshot = machine.snapshot()
+                machine = Items()
+                machine.restore(snapshot)
+                self.assertEqual(machine.snapshot(), snapshot)
+            source = rng.choice([machine, *copies])
             deltas.append(source.since(rng.choice([0, rng.choice(copies).index, rng.randrange(index)])))
             copy = rng.choice(copies)
             before = copy.index
@@ -265,8 +265,8 @@
             self.assertGreaterEqual(copy.index, before)
             self.assertEqual(copy.fetch(), shown[copy.index])
         for copy in copies:
-            self.assertTrue(copy.merge(held.since(copy.index)))
-            self.assertEqual((copy.index, copy.fetch()), (held.index, held.fetch()))
+            self.assertTrue(copy.merge(machine.since(copy.index)))
+            self.assertEqual((copy.index, copy.fetch()), (machine.index, machine.fetch()))
 
     @staticmethod
     def change(rng: random.Random, index: int) -> bytes:
@@ -277,28 +277,28 @@
         split = rng.randrange(4)
         return call(
             {"Routes": sets[:split]},
-            {"Routes": [gone(one["Name"], int(one["Ver"], 16)) for one in sets[split:]]},
+            {"Routes": [deleted(one["Name"], int(one["Ver"], 16)) for one in sets[split:]]},
         )
 
     def test_a_delta_with_a_gap_before_it_is_not_taken(self) -> None:
-        held, _ = state(first(route()), call({"Routes": [route("r-2", 9)]}))
+        machine, _ = state(first(route()), call({"Routes": [route("r-2", 9)]}))
         copy = Replica()
-        self.assertFalse(copy.merge(held.since(1)))
+        self.assertFalse(copy.merge(machine.since(1)))
         self.assertEqual((copy.index, copy.fetch()), (0, Items().fetch()))
 
 
 class Settings(unittest.TestCase):
     def test_fields_lists_zones_and_what_is_left_out(self) -> None:
-        told = settings.parse_settings(SETTINGS)
-        self.assertEqual(told.net.azs, {"lahore-hall": "punjab", "far.east": "sindh"})
-        self.assertEqual((told.net.port_range, told.net.bind.inner), ((7620, 7635), "10.1.0.8:8300"))
-        self.assertEqual(told.net.seeds, ("10.1.0.14:8306", "10.2.0.10:8306"))
-        self.assertEqual((told.own.serves, told.own.datadir, told.net.bind.ctl), (("sidecar",), "", ""))
-        self.assertEqual((told.own.init, told.own.quorum, told.own.limits.cpu), (True, False, 0.86))
-        self.assertEqual((told.terms.slo, told.terms.bounds.revert_s), (("base", "keys"), 0.25))
-        self.assertEqual(settings.parse_address(told.own.upstream), ("10.1.0.8", 8301))
-
-    def test_bounds_are_whole_numbers_fractions_true_or_false(self) -> None:
+        parsed = settings.parse_settings(SETTINGS)
+        self.assertEqual(parsed.net.azs, {"lahore-hall": "punjab", "far.east": "sindh"})
+        self.assertEqual((parsed.net.port_range, parsed.net.bind.inner), ((7620, 7635), "10.1.0.8:8300"))
+        self.assertEqual(parsed.net.seeds, ("10.1.0.14:8306", "10.2.0.10:8306"))
+        self.assertEqual((parsed.own.serves, parsed.own.datadir, parsed.net.bind.ctl), (("sidecar",), "", ""))
+        self.assertEqual((parsed.own.init, parsed.own.quorum, parsed.own.limits.cpu), (True, False, 0.86))
+        self.assertEqual((parsed.terms.slo, parsed.terms.bounds.revert_s), (("base", "keys"), 0.25))
+        self.assertEqual(settings.parse_address(parsed.own.upstream), ("10.1.0.8", 8301))
+
+    def test_bounds_are_integers_fractions_true_or_false(self) -> None:
         lines = ("GraceS=7", "LostS=0.25", "RetryRatio=1e-1", "SkewS=true", "RetrySlack=False", "New=true")
         bounds = settings.parse_settings(
             SETTINGS + "".join(f"Terms.Bnd.{line}\n" for line in lines)
@@ -337,12 +337,12 @@
         rng = random.Random(5)
         parts = ["", "a", "b", "ab"]
         shapes = [rng.choices(parts, k=rng.randrange(4)) for _ in range(30)]
-        prefixes = ["/" + "".join(part + "/" for part in shape) for shape in shapes]
+        prefixes = ["/" + "".join(table + "/" for table in shape) for shape in shapes]
         places = sorted({(rng.choice(["x.example", "Y.example"]), prefix) for prefix in prefixes})
         known = [route(f"r-{n}", Host=host, Pfx=pfx) for n, (host, pfx) in enumerate(places) if n % 3]
-        held, verdicts = state(first(*known))
+        machine, verdicts = state(first(*known))
         self.assertTrue(verdicts[0].ok, verdicts[0].why)
-        table = Table(held)
+        table = Table(machine)
         for _ in range(3000):
             host = rng.choice(["x.example", "X.EXAMPLE:80", "y.example", "z.example"])
             path = "/" + "/".join(rng.choice(parts) for _ in range(rng.randrange(6)))
@@ -362,8 +362,8 @@
         self.assertEqual([chosen.choose(u) for u in (0.0, 0.899, 0.9, 1 - 2**-53)], ["a", "a", "b", "b"])
 
     def test_a_table_holds_services_and_limits(self) -> None:
-        held, _ = state(call({"Svcs": [service(Dedup=True)], "Limits": {"IdleS": 9, "Ver": "00000001"}}))
-        table = Table(held)
+        machine, _ = state(call({"Svcs": [service(Dedup=True)], "Limits": {"IdleS": 9, "Ver": "00000001"}}))
+        table = Table(machine)
         self.assertEqual((table.services["s-1"].conn_cap, table.services["s-1"].dedup), (110, True))
         self.assertEqual((table.limits.idle_s, table.limits.header_bytes), (9, 16384))
 
--- a/tests/mesh/test_control_rotation.py
+++ b/tests/mesh/test_control_claim_expiry.py
@@ -17,9 +17,9 @@
 from minthitch.mesh.idempotency.rotation import RECORD_INTERVAL_S, LeadershipClock
 from rigs.simulation.mesh import KEY_WINDOW, ROTATE_SLACK, ControlNode, Site
 
-WINDOW_S, SLACK_S = 60.0, 15.0
-NEEDED_MS = int((WINDOW_S + SLACK_S) * 1000)
-LOOK_S = 0.5  # between two looks, at each of which a claim is made
+WINDOW_S, MARGIN_S = 60.0, 15.0
+NEEDED_MS = int((WINDOW_S + MARGIN_S) * 1000)
+TICK_S = 0.5  # between two looks, at each of which a claim is made
 
 
 Entry = tuple[float, int, bytes]  # when it was appended, kind, body
@@ -29,25 +29,25 @@
     """One control node's clock, which starts anywhere, and what it has told."""
 
     def __init__(self, make: Callable[[], LeadershipClock], offset: float) -> None:
-        self.reign, self.offset = make(), offset
+        self.clock, self.offset = make(), offset
 
 
 class Play:
     """One log with leaders that change, freeze, wake and lose their last entries. Seconds are the world's."""
 
-    def __init__(self, seed: int, make: Callable[[], LeadershipClock], reign_s: float = 30.0) -> None:
-        self.random, self.reign_s = random.Random(seed), reign_s
+    def __init__(self, seed: int, make: Callable[[], LeadershipClock], leadership_s: float = 30.0) -> None:
+        self.random, self.leadership_s = random.Random(seed), leadership_s
         self.members = [Member(make, self.random.uniform(0.0, 1e5)) for _ in range(3)]
         self.state, self.applied, self.term, self.now = StateMachine(), 0, 0, 0.0
-        self.flying: list[Entry] = []  # in the leader's log behind what is agreed
-        self.held: dict[bytes, float] = {}  # keys, and when their claims were appended
+        self.in_flight: list[Entry] = []  # in the leader's log behind what is agreed
+        self.claimed_at: dict[bytes, float] = {}  # keys, and when their claims were appended
         self.forgotten: list[float] = []  # ages
-        self.most = self.rotations = 0
+        self.largest = self.rotations = 0
 
     def run(self, seconds: float) -> None:
         while self.now < seconds:
             self.term += 1
-            self.lead(self.random.choice(self.members), self.random.uniform(0.8, 1.2) * self.reign_s)
+            self.lead(self.random.choice(self.members), self.random.uniform(0.8, 1.2) * self.leadership_s)
             self.now += self.random.uniform(0.3, 2.0)  # nobody leads
 
     def lead(self, member: Member, seconds: float) -> None:
@@ -57,47 +57,47 @@
         freezes = end - self.random.uniform(1.0, seconds / 2) if frozen else end
         while self.now < end:
             if self.now < freezes:
-                self.agree(self.now - lag)
+                self.commit(self.now - lag)
                 self.append(CLAIM, self.claim())
-                self.look(member)
-            self.now += LOOK_S
+                self.tick(member)
+            self.now += TICK_S
         if self.random.random() < 0.5:
-            self.agree(self.now)  # they were in the next leader's log
-        self.flying.clear()
+            self.commit(self.now)  # they were in the next leader's log
+        self.in_flight.clear()
         if frozen:
-            self.look(member)  # what it appends is of its old term
-            self.flying.clear()
+            self.tick(member)  # what it appends is of its old term
+            self.in_flight.clear()
 
     def append(self, kind: int, body: bytes) -> int:
-        self.flying.append((self.now, kind, body))
-        return self.applied + len(self.flying)
+        self.in_flight.append((self.now, kind, body))
+        return self.applied + len(self.in_flight)
 
     def claim(self) -> bytes:
         key = self.random.randbytes(12)
         return ClaimCommand(key, "10.0.0.9/1", key, b"", b"").pack()
 
-    def agree(self, until: float) -> None:
-        while self.flying and self.flying[0][0] <= until:
-            appended, kind, body = self.flying.pop(0)
+    def commit(self, until: float) -> None:
+        while self.in_flight and self.in_flight[0][0] <= until:
+            appended, kind, body = self.in_flight.pop(0)
             self.applied += 1
             self.state.apply(self.applied, pack_command(kind, body))
             if kind == CLAIM:
-                self.held[msgpack.unpackb(body)[0]] = appended
+                self.claimed_at[msgpack.unpackb(body)[0]] = appended
             elif kind == ROTATE:
                 self.rotations += 1
-                for key in [key for key in self.held if self.state.claims.find(key) is None]:
-                    self.forgotten.append(self.now - self.held.pop(key))
-        self.most = max(self.most, self.state.claims.count())
+                for key in [key for key in self.claimed_at if self.state.claims.find(key) is None]:
+                    self.forgotten.append(self.now - self.claimed_at.pop(key))
+        self.largest = max(self.largest, self.state.claims.count())
 
-    def look(self, member: Member) -> None:
+    def tick(self, member: Member) -> None:
         """As the server does."""
-        now, reign, state = self.now + member.offset, member.reign, self.state
-        reign.on_leadership(now, self.term)
-        if reign.may_rotate(self.applied, state.elapsed_ms, NEEDED_MS):
-            reign.on_rotated(now, self.append(ROTATE, b""))
-        elif reign.is_due(now, state.elapsed_ms, NEEDED_MS):
-            self.append(TIME, bytes(msgpack.packb(reign.unrecorded_ms(now))))
-            reign.on_recorded(now)
+        now, clock, state = self.now + member.offset, member.clock, self.state
+        clock.on_leadership(now, self.term)
+        if clock.may_rotate(self.applied, state.elapsed_ms, NEEDED_MS):
+            clock.on_rotated(now, self.append(ROTATE, b""))
+        elif clock.is_due(now, state.elapsed_ms, NEEDED_MS):
+            self.append(TIME, bytes(msgpack.packb(clock.unrecorded_ms(now))))
+            clock.on_recorded(now)
 
 
 class CountsBefore(LeadershipClock):
@@ -125,8 +125,10 @@
 
 
 class Storm(unittest.TestCase):
-    def play(self, make: Callable[[], LeadershipClock], seeds: range, reign_s: float = 30.0) -> list[Play]:
-        plays = [Play(seed, make, reign_s) for seed in seeds]
+    def play(
+        self, make: Callable[[], LeadershipClock], seeds: range, leadership_s: float = 30.0
+    ) -> list[Play]:
+        plays = [Play(seed, make, leadership_s) for seed in seeds]
         for play in plays:
             play.run(3600.0)
         return plays
@@ -135,14 +137,14 @@
         plays = self.play(LeadershipClock, range(12))
         for play in plays:
             self.assertGreater(play.rotations, 20)
-            self.assertGreaterEqual(min(play.forgotten), WINDOW_S + SLACK_S - 0.01)
-            self.assertLess(play.most, 450, "of some 6,500 claims made")
+            self.assertGreaterEqual(min(play.forgotten), WINDOW_S + MARGIN_S - 0.01)
+            self.assertLess(play.largest, 450, "of some 6,500 claims made")
 
     def test_reigns_of_a_few_seconds_and_of_minutes(self) -> None:
-        for reign_s in (5.0, 12.0, 300.0):
-            for play in self.play(LeadershipClock, range(3), reign_s):
-                self.assertGreater(play.rotations, 10, reign_s)
-                self.assertGreaterEqual(min(play.forgotten), WINDOW_S + SLACK_S - 0.01)
+        for leadership_s in (5.0, 12.0, 300.0):
+            for play in self.play(LeadershipClock, range(3), leadership_s):
+                self.assertGreater(play.rotations, 10, leadership_s)
+                self.assertGreaterEqual(min(play.forgotten), WINDOW_S + MARGIN_S - 0.01)
 
     def test_faults_that_are_planted_are_found(self) -> None:
         for make in (CountsBefore, CountsTwice, RotatesTwice):
@@ -191,25 +193,25 @@
         began = site.loop.now
         assert leader.server is not None
 
-        def told(result: tuple[Any, ...] | None) -> None:
+        def on_result(result: tuple[Any, ...] | None) -> None:
             if result is not None and result[0] == GRANTED:
                 granted[key] = began
 
         body = ClaimCommand(key, "10.0.0.9/1", key, b"", b"").pack()
-        site.loop.after(0.0, leader.machine, leader.server.propose, CLAIM, body, told)
+        site.loop.after(0.0, leader.machine, leader.server.propose, CLAIM, body, on_result)
 
 
 class Agreed(unittest.TestCase):
-    def test_a_tick_is_told_in_time(self) -> None:
-        reign = LeadershipClock()
-        reign.on_leadership(100.0, 3)
-        self.assertFalse(reign.is_due(100.0 + RECORD_INTERVAL_S - 0.01, 0, NEEDED_MS))
-        self.assertTrue(reign.is_due(100.0 + RECORD_INTERVAL_S, 0, NEEDED_MS))
-        self.assertTrue(reign.is_due(100.5, NEEDED_MS - 500, NEEDED_MS), "the last part needs no whole tick")
-        reign.on_leadership(101.0, 3)
-        self.assertEqual(reign.unrecorded_ms(102.0), 2000)
-        reign.on_leadership(103.0, 4)
-        self.assertEqual(reign.unrecorded_ms(103.0005), 0)
+    def test_time_is_recorded_when_due(self) -> None:
+        clock = LeadershipClock()
+        clock.on_leadership(100.0, 3)
+        self.assertFalse(clock.is_due(100.0 + RECORD_INTERVAL_S - 0.01, 0, NEEDED_MS))
+        self.assertTrue(clock.is_due(100.0 + RECORD_INTERVAL_S, 0, NEEDED_MS))
+        self.assertTrue(clock.is_due(100.5, NEEDED_MS - 500, NEEDED_MS), "the last part needs no whole tick")
+        clock.on_leadership(101.0, 3)
+        self.assertEqual(clock.unrecorded_ms(102.0), 2000)
+        clock.on_leadership(103.0, 4)
+        self.assertEqual(clock.unrecorded_ms(103.0005), 0)
 
     def test_snapshots_and_logs_of_earlier_versions(self) -> None:
         state = StateMachine()
--- a/tests/mesh/test_control_orders.py
+++ b/tests/mesh/test_control_configuration_calls.py
@@ -40,12 +40,12 @@
     def follower(self, site: Site) -> ControlNode:
         return next(control for control in site.controls if not control.leads)
 
-    def cut(self, site: Site, one: ControlNode, other: ControlNode, *, back: bool = True) -> None:
+    def disconnect(self, site: Site, one: ControlNode, other: ControlNode, *, back: bool = True) -> None:
         site.network.cuts.add((one.ip, other.ip))
         if back:
             site.network.cuts.add((other.ip, one.ip))
 
-    def test_a_silent_cut_to_the_leader_keeps_no_caller(self) -> None:
+    def test_a_silent_partition_from_the_leader_keeps_no_caller(self) -> None:
         slowest, longest_clear = 0.0, 0.0
         for seed in range(8):
             for wait, back in (
@@ -62,7 +62,7 @@
                 site.loop.run_until(4.0)
                 self.assertEqual(answers[0][1], (200, "", True))
                 longest_clear = max(longest_clear, answers[0][0])
-                self.cut(site, follower, site.leader(), back=back)
+                self.disconnect(site, follower, site.leader(), back=back)
                 site.loop.run_until(4.0 + wait)
                 self.ask(site, follower, order(2), answers)
                 site.loop.run_until(7.0)
@@ -79,18 +79,18 @@
         answers: list[Answer] = []
         with mock.patch.object(configuration_calls, "RESULT_TIMEOUT_S", 3.0):
             follower = self.follower(site)
-            self.cut(site, follower, site.leader(), back=False)
+            self.disconnect(site, follower, site.leader(), back=False)
             self.ask(site, follower, order(1), answers)
             site.loop.run_until(7.0)
         self.assertGreater(answers[0][0], CALLER_WAITS)
 
-    def test_out_of_touch_answers_at_once(self) -> None:
+    def test_without_a_quorum_it_answers_at_once(self) -> None:
         for seed in range(4):
             site = self.site(seed)
             leader, answers = site.leader(), list[Answer]()
             for control in site.controls:
                 if control is not leader:
-                    self.cut(site, leader, control)
+                    self.disconnect(site, leader, control)
             site.loop.run_until(4.0)
             self.ask(site, leader, order(1), answers)
             site.loop.run_until(4.001)
@@ -109,8 +109,8 @@
             site.loop.run_until(6.15)
             self.assertEqual([result for _, result in answers], [None])
 
-    def test_out_of_touch_nothing_is_proposed_or_forwarded(self) -> None:
-        for role, young, fresh, asked in (
+    def test_without_a_quorum_nothing_is_proposed_or_forwarded(self) -> None:
+        for role, young, in_contact, asked in (
             ("leader", False, False, 0),
             ("leader", True, False, 1),
             ("leader", False, True, 1),
@@ -121,22 +121,22 @@
             host.loop.time.return_value = host.clock.return_value = 100.0
             host.raft.is_leader, host.raft.timing = role == "leader", Timing(election_timeout=0.25)
             host.raft.leader_state.elected_at = 99.9 if young else 90.0
-            host.raft.in_contact_with_quorum.return_value = fresh
-            told: list[Any] = []
+            host.raft.in_contact_with_quorum.return_value = in_contact
+            results: list[Any] = []
             open_orders = ConfigurationCalls(host)
-            open_orders.patch(b"{}", told.append)
-            self.assertEqual(host.propose.call_count, asked, (role, young, fresh))
+            open_orders.patch(b"{}", results.append)
+            self.assertEqual(host.propose.call_count, asked, (role, young, in_contact))
             if role == "follower":
-                open_orders.fetch(told.append)
+                open_orders.fetch(results.append)
                 self.assertEqual(host.proposals.forward.call_count, asked)
-            self.assertEqual(told, [] if asked else [None] * (2 if role == "follower" else 1))
+            self.assertEqual(results, [] if asked else [None] * (2 if role == "follower" else 1))
 
     def test_a_late_result_is_dropped_and_the_repeat_acknowledged(self) -> None:
         """The answers' way is cut: the order is taken, its caller hears "unclear" and asks again."""
         site = self.site(2)
         leader, follower, answers = site.leader(), self.follower(site), list[Answer]()
         other = next(c for c in site.controls if c not in (leader, follower))
-        self.cut(site, leader, follower, back=False)
+        self.disconnect(site, leader, follower, back=False)
         self.ask(site, follower, order(1), answers)
         site.loop.run_until(3.75)
         site.network.cuts.clear()
@@ -163,15 +163,15 @@
 
     def test_one_answer(self) -> None:
         site = self.site(4)
-        told: list[Any] = []
+        results: list[Any] = []
         open_orders: set[PendingCall] = set()
-        first = site.loop.on(site.loop.world, PendingCall, site.loop, open_orders, 0.5, told.append)
-        second = site.loop.on(site.loop.world, PendingCall, site.loop, open_orders, 0.5, told.append)
+        first = site.loop.on(site.loop.world, PendingCall, site.loop, open_orders, 0.5, results.append)
+        second = site.loop.on(site.loop.world, PendingCall, site.loop, open_orders, 0.5, results.append)
         first((200, "", True))
         first(None)
         site.loop.run_until(4.0)
         second((200, "", True))
-        self.assertEqual((told, open_orders), ([(200, "", True), None], set()))
+        self.assertEqual((results, open_orders), ([(200, "", True), None], set()))
 
     def test_long_bodies_have_longer(self) -> None:
         self.assertEqual(call_timeout(0), RESULT_TIMEOUT_S)
--- a/tests/mesh/test_control_beats.py
+++ b/tests/mesh/test_control_heartbeats.py
@@ -15,7 +15,7 @@
 from minthitch.mesh.registry.registry import EXPIRY_S, Registry
 from minthitch.net.callers import Incoming
 
-LIFE, IP = "i-7f3a91c2", "10.128.0.9"
+SERVER_ID, IP = "i-7f3a91c2", "10.128.0.9"
 
 
 class Client:
@@ -29,25 +29,25 @@
         self.answers.append((status, dict(fields), body))
 
 
-def beat(state: str, ip: str = IP) -> bytes:
+def heartbeat(state: str, ip: str = IP) -> bytes:
     summary = {"Svc": "shop", "Ver": "v1", "Az": "a", "Cap": 9}
     return json.dumps(
         {"Addr": f"{ip}:8080", "Summary": summary, "Stat": {"State": state, "Seq": 4, "ColdS": 0}}
     ).encode()
 
 
-class Beats(unittest.TestCase):
+class Heartbeats(unittest.TestCase):
     def setUp(self) -> None:
         self.registry = Registry()
         server = SimpleNamespace(registry=self.registry)
         self.handlers = ControlHandlers(cast(ControlServer, server))
         self.seq = 0
 
-    def says(self, life: str, state: str, ip: str = IP) -> None:
+    def report(self, server_id: str, state: str, ip: str = IP) -> None:
         """A sidecar reports."""
         self.seq += 1
         self.registry.update(
-            0.0, SidecarRecord(ip, 9000, 1, self.seq, "a", "shop", life, 9, state, 0.0, True)
+            0.0, SidecarRecord(ip, 9000, 1, self.seq, "a", "shop", server_id, 9, state, 0.0, True)
         )
 
     def asked(self, path: str, body: bytes = b"") -> tuple[int, dict[bytes, bytes]]:
@@ -58,36 +58,36 @@
         status, fields, _ = client.answers[0]
         return status, fields
 
-    def beat(self, state: str, ip: str = IP) -> int:
-        return self.asked(f"/Instances.Heartbeat/{LIFE}", beat(state, ip))[0]
+    def heartbeat(self, state: str, ip: str = IP) -> int:
+        return self.asked(f"/Instances.Heartbeat/{SERVER_ID}", heartbeat(state, ip))[0]
 
     def leave(self) -> int:
-        return self.asked(f"/Instances.Deregister/{LIFE}")[0]
+        return self.asked(f"/Instances.Deregister/{SERVER_ID}")[0]
 
     def test_without_its_sidecar_nothing_is_acknowledged(self) -> None:
-        self.assertEqual((self.beat("up"), self.beat("draining"), self.leave()), (503, 503, 503))
-        _, fields = self.asked(f"/Instances.Heartbeat/{LIFE}", beat("draining"))
+        self.assertEqual((self.heartbeat("up"), self.heartbeat("draining"), self.leave()), (503, 503, 503))
+        _, fields = self.asked(f"/Instances.Heartbeat/{SERVER_ID}", heartbeat("draining"))
         self.assertGreater(float(fields[b"Retry-After"]), 0.0)
 
     def test_what_its_sidecar_says_itself_is_acknowledged(self) -> None:
-        self.says(LIFE, "up")
-        self.assertEqual((self.beat("up"), self.beat("draining"), self.leave()), (200, 503, 503))
-        self.says(LIFE, "draining")
-        self.assertEqual((self.beat("up"), self.beat("draining"), self.leave()), (503, 200, 503))
-        self.says(LIFE, "none")
-        self.assertEqual((self.beat("up"), self.beat("draining"), self.leave()), (503, 503, 200))
-
-    def test_another_life_or_address_tells_nothing(self) -> None:
-        self.says("i-other", "draining")
-        self.assertEqual((self.beat("draining"), self.leave()), (503, 503))
-        self.says(LIFE, "draining", "10.128.0.10")
-        self.assertEqual(self.beat("draining"), 503)
+        self.report(SERVER_ID, "up")
+        self.assertEqual((self.heartbeat("up"), self.heartbeat("draining"), self.leave()), (200, 503, 503))
+        self.report(SERVER_ID, "draining")
+        self.assertEqual((self.heartbeat("up"), self.heartbeat("draining"), self.leave()), (503, 200, 503))
+        self.report(SERVER_ID, "none")
+        self.assertEqual((self.heartbeat("up"), self.heartbeat("draining"), self.leave()), (503, 503, 200))
+
+    def test_another_run_or_address_proves_nothing(self) -> None:
+        self.report("i-other", "draining")
+        self.assertEqual((self.heartbeat("draining"), self.leave()), (503, 503))
+        self.report(SERVER_ID, "draining", "10.128.0.10")
+        self.assertEqual(self.heartbeat("draining"), 503)
 
     def test_a_sidecar_that_went_silent_vouches_for_nothing(self) -> None:
-        self.says(LIFE, "draining")
+        self.report(SERVER_ID, "draining")
         self.registry.expire(EXPIRY_S + 0.1)
-        self.assertEqual(self.beat("draining"), 503)
+        self.assertEqual(self.heartbeat("draining"), 503)
 
-    def test_what_is_no_beat_is_refused(self) -> None:
+    def test_what_is_no_heartbeat_is_rejected(self) -> None:
         with self.assertLogs(LOG, "WARNING"):
-            self.assertEqual(self.asked(f"/Instances.Heartbeat/{LIFE}", b"{}")[0], 400)
+            self.assertEqual(self.asked(f"/Instances.Heartbeat/{SERVER_ID}", b"{}")[0], 400)
--- a/tests/mesh/test_control_retirement.py
+++ b/tests/mesh/test_control_shutdown.py
@@ -121,14 +121,14 @@
                 server = node.server
                 assert server is not None
 
-                def told(
+                def on_result(
                     result: Any,
                     server: ControlServer = server,
                     answers: list[tuple[Any, bool]] = answers,
                 ) -> None:
                     answers.append((result, server.may_end.is_set()))
 
-                site.loop.after(0.0, node.machine, server.patch, items(range(3), 1), told)
+                site.loop.after(0.0, node.machine, server.patch, items(range(3), 1), on_result)
                 site.loop.after(0.0005, node.machine, server.begin_shutdown)
                 site.loop.run_until(3.0 + SHUTDOWN_TIMEOUT_S)
                 self.assertEqual(answers, [((200, "", True), False)], (seed, to_leader))
--- a/tests/mesh/test_control_snapshots.py
+++ b/tests/mesh/test_control_snapshots.py
@@ -193,7 +193,7 @@
             again.restore(offered.data)
             self.assertGreater(again.items.index, 0)
 
-    def test_a_short_log_is_not_worth_a_snapshot(self) -> None:
+    def test_a_short_log_needs_no_snapshot(self) -> None:
         turns = Turns()
         loop = cast(asyncio.AbstractEventLoop, turns)
         taking = SnapshotTaker(loop, StateMachine(), SnapshotSchedule("a", FILE, 0, 3 * MB), lambda *_: None)
@@ -214,30 +214,30 @@
         full.rotation_index = 7
         return full
 
-    def test_the_same_bytes_as_in_one_piece(self) -> None:
+    def test_the_same_bytes_as_at_once(self) -> None:
         for claims in (0, 3, state_machine.STEP_ROWS, state_machine.STEP_ROWS + 1, 5_000):
             full = self.state(claims)
             self.assertEqual(b"".join(full.snapshot_steps()), full.snapshot())
 
     def test_what_is_applied_meanwhile_is_not_in_it(self) -> None:
         full = self.state(2_000)
-        whole, steps = full.snapshot(), full.snapshot_steps()
+        complete, steps = full.snapshot(), full.snapshot_steps()
         parts = [next(steps)]
         full.apply(9, pack_command(CLAIM, ClaimCommand(b"key", "o", b"c", b"d", b"").pack()))
         full.apply(10, pack_command(CONFIG, long_item(1, 10)))
         full.claims.rotate()
-        self.assertEqual(b"".join([*parts, *steps]), whole)
+        self.assertEqual(b"".join([*parts, *steps]), complete)
 
     def test_no_step_of_the_largest_table_is_long(self) -> None:
         steps = self.state(150_000).snapshot_steps()
-        took: list[float] = []
+        durations: list[float] = []
         while True:
             began = time.thread_time()
             if next(steps, None) is None:
                 break
-            took.append(time.thread_time() - began)
-        self.assertGreater(len(took), 200)
-        self.assertLess(sorted(took)[len(took) * 9 // 10], 0.005)
+            durations.append(time.thread_time() - began)
+        self.assertGreater(len(durations), 200)
+        self.assertLess(sorted(durations)[len(durations) * 9 // 10], 0.005)
 
     def test_one_at_a_time_and_none_after_a_leaders_snapshot(self) -> None:
         turns, done = Turns(), list[int]()
--- a/tests/mesh/test_events.py
+++ b/tests/mesh/test_events.py
@@ -31,9 +31,9 @@
         self.assertEqual(len(Event.__members__), len(list(Event)))
 
 
-class Said(unittest.TestCase):
-    def test_each_event_is_said_somewhere_with_the_values_that_its_text_names(self) -> None:
-        said: dict[str, set[str]] = {}
+class Logged(unittest.TestCase):
+    def test_each_event_is_logged_somewhere_with_the_values_that_its_text_names(self) -> None:
+        logged: dict[str, set[str]] = {}
         for path in SOURCES.rglob("*.py"):
             for node in ast.walk(ast.parse(path.read_text())):
                 if (
@@ -44,9 +44,9 @@
                     event = node.args[0]
                     assert isinstance(event, ast.Attribute)
                     values = {str(keyword.arg) for keyword in node.keywords}
-                    self.assertEqual(said.setdefault(event.attr, values), values, path)
+                    self.assertEqual(logged.setdefault(event.attr, values), values, path)
         named = {
             event.name: {name for _, name, _, _ in Formatter().parse(event.value[2]) if name}
             for event in Event
         }
-        self.assertEqual(said, named)
+        self.assertEqual(logged, named)
--- a/tests/mesh/test_glossary.py
+++ b/tests/mesh/test_glossary.py
@@ -12,7 +12,7 @@
 
 ROOT = Path(__file__).parents[2]
 GLOSSARY = ROOT / "docs" / "GLOSSARY.md"
-PART = re.compile(r"[A-Z]+(?![a-z])|[A-Z]?[a-z]+")
+SEGMENT = re.compile(r"[A-Z]+(?![a-z])|[A-Z]?[a-z]+")
 FINISHED, TO_DO = "finished", "to do"
 # Packages that were still to do when this list was last changed. Take a package out once it is finished, and
 # put none in.
@@ -53,13 +53,14 @@
 
 def words(text: str) -> tuple[str, ...]:
     """The words of an identifier or a text, in lower case."""
-    return tuple(part.lower() for part in PART.findall(text))
+    return tuple(segment.lower() for segment in SEGMENT.findall(text))
 
 
 class Glossary:
     def __init__(self) -> None:
         found = tables()
         self.packages = {row[0].strip("`"): row[1] for row in found["Packages"]}
+        self.tests = {row[0].strip("`"): row[2].replace("`", "").split() for row in found["Packages"]}
         self.allowed = {row[0]: row[1] for row in found["Words that stay"]}
         headings = ("letter", "bench", "house style")
         rows = [row for heading, rows in found.items() if heading.endswith(headings) for row in rows]
@@ -67,16 +68,25 @@
 
     def withdrawn_in(self, name: str, where: str) -> str:
         """The withdrawn word that a name bears; empty: none."""
-        parts = words(name)
+        segments = words(name)
         for size in {len(phrase) for phrase in self.withdrawn}:
-            for start in range(len(parts) - size + 1):
-                phrase = parts[start : start + size]
+            for start in range(len(segments) - size + 1):
+                phrase = segments[start : start + size]
                 scope = self.allowed.get(" ".join(phrase), "")
                 if phrase in self.withdrawn and not (scope == "all" or (scope and f"/{scope}/" in where)):
                     return " ".join(phrase)
         return ""
 
 
+def finished_files(glossary: Glossary) -> Iterator[Path]:
+    """The modules of finished packages, and their tests."""
+    for package, standing in glossary.packages.items():
+        if standing == FINISHED:
+            yield from sorted((ROOT / package).rglob("*.py"))
+            for pattern in glossary.tests[package]:
+                yield from sorted((ROOT / "tests" / "mesh").glob(pattern))
+
+
 def identifiers(path: Path) -> Iterator[str]:
     """All names that a module defines, its own among them."""
     yield path.parent.name if path.stem == "__init__" else path.stem
@@ -99,17 +109,16 @@
     def setUp(self) -> None:
         self.glossary = Glossary()
 
-    def test_finished_packages_bear_no_withdrawn_word(self) -> None:
+    def test_finished_packages_bear_no_withdrawn_term(self) -> None:
         found = []
-        for package, standing in self.glossary.packages.items():
-            for path in sorted((ROOT / package).rglob("*.py")) if standing == FINISHED else ():
-                where = str(path.relative_to(ROOT))
-                for name in sorted(set(identifiers(path))):
-                    if word := self.glossary.withdrawn_in(name, where):
-                        found.append(f"{where}: {name} ({word})")
+        for path in finished_files(self.glossary):
+            where = str(path.relative_to(ROOT))
+            for name in sorted(set(identifiers(path))):
+                if term := self.glossary.withdrawn_in(name, where):
+                    found.append(f"{where}: {name} ({term})")
         self.assertEqual(found, [])
 
-    def test_events_bear_no_withdrawn_word(self) -> None:
+    def test_events_bear_no_withdrawn_term(self) -> None:
         found = [
             f"{event.name}: {event.value[2]}"
             for event in Event
@@ -125,6 +134,8 @@
         self.assertEqual(set(packages.values()), {FINISHED, TO_DO})
         for package in packages:
             self.assertTrue((ROOT / package).is_dir(), package)
+            for pattern in self.glossary.tests[package]:
+                self.assertTrue(list((ROOT / "tests" / "mesh").glob(pattern)), pattern)
 
     def test_words_are_found_in_any_spelling_and_not_inside_others(self) -> None:
         for name in ("told", "is_whole", "heldBytes", "MOST_CLAIMS", "turned_away_at", "TurnedAway"):
--- a/tests/mesh/test_pages_configuration.py
+++ b/tests/mesh/test_pages_configuration.py
@@ -59,14 +59,14 @@
 
     def __init__(self, seed: int, names: int = 10) -> None:
         self.random, self.names = random.Random(seed), [f"r-{n}" for n in range(names)]
-        self.held, self.index = Items(), 0
+        self.state, self.index = Items(), 0
         self.acknowledged: list[bytes] = []
         self.broken: list[str] = []
         self.send(first_order())
 
     def send(self, order: bytes) -> Verdict:
         self.index += 1
-        return self.held.apply(order, self.index)
+        return self.state.apply(order, self.index)
 
     def order(self, number: int) -> bytes:
         chosen = self.random.sample(self.names, 3)
@@ -89,17 +89,17 @@
         return self.broken
 
     def repeat(self, order: bytes) -> None:
-        before = self.held.fetch()
+        before = self.state.fetch()
         verdict = self.send(order)
         if not verdict.ok:
             self.broken.append(f"refused: {verdict.why}")
-        elif verdict.changed or self.held.fetch() != before:
+        elif verdict.changed or self.state.fetch() != before:
             self.broken.append("changed something")
 
     def restart(self) -> None:
-        snapshot = self.held.snapshot()
-        self.held = Items()
-        self.held.restore(snapshot)
+        snapshot = self.state.snapshot()
+        self.state = Items()
+        self.state.restore(snapshot)
 
 
 class Repeats(unittest.TestCase):
@@ -124,8 +124,8 @@
                 self.assertEqual(verdicts[1].kind, ErrorKind.CONFIG_CONFLICT)
 
     def test_planted_an_equal_version_taken_anew_is_found(self) -> None:
-        def prevails(held: Items, row: Row) -> bool:
-            before = held._rows.get((row.section, row.name))
+        def prevails(state: Items, row: Row) -> bool:
+            before = state._rows.get((row.section, row.name))
             return before is None or row.version >= before.version
 
         with mock.patch.object(Items, "_wins", prevails):
@@ -146,21 +146,21 @@
     CHANGES, NAMES = 850, 19
 
     def test_at_its_end_every_order_of_the_day_may_come_again(self) -> None:
-        held = Items()
-        held.apply(first_order(), 1)
+        state = Items()
+        state.apply(first_order(), 1)
         orders = []
         for number in range(2, self.CHANGES + 2):
             names = [f"r-{number}-{n}" for n in range(self.NAMES)]
             order = json.encode({"Del": {"Routes": [dropped(name, number) for name in names]}})
             orders += [json.encode({"Upsert": {"Routes": [route(names[0], number - 1, "s-0")]}}), order]
         for index, order in enumerate(orders, 2):
-            self.assertTrue(held.apply(order, index).ok)
+            self.assertTrue(state.apply(order, index).ok)
         last = json.encode({"Del": {"Svcs": [dropped("s-0", self.CHANGES + 2)]}})
-        self.assertTrue(held.apply(last, len(orders) + 2).changed)
-        before = held.fetch()
+        self.assertTrue(state.apply(last, len(orders) + 2).changed)
+        before = state.fetch()
         for index, order in enumerate(orders, len(orders) + 3):
-            self.assertEqual(held.apply(order, index), Verdict(True))
-        self.assertEqual(held.fetch(), before)
+            self.assertEqual(state.apply(order, index), Verdict(True))
+        self.assertEqual(state.fetch(), before)
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_raft.py
+++ b/tests/mesh/test_raft.py
@@ -127,15 +127,15 @@
         """Cut from the leader alone, a follower is helped up by the third, and two have a lease."""
         with self.assertRaises(Wrong):
             for seed in range(40):
-                self.cut_from_leader(seed, ForgetsLeaseNode)
+                self.disconnected_from_leader(seed, ForgetsLeaseNode)
         for seed in range(40):
-            self.cut_from_leader(seed, RaftNode)
+            self.disconnected_from_leader(seed, RaftNode)
 
-    def cut_from_leader(self, seed: int, node_type: type[RaftNode]) -> None:
+    def disconnected_from_leader(self, seed: int, node_type: type[RaftNode]) -> None:
         cluster = Cluster(seed, node_type=node_type)
         leader = cluster.led()
         other = next(n for n in cluster.nodes.values() if n is not leader)
-        cluster.cut(leader.ip, other.ip, both=True)
+        cluster.disconnect(leader.ip, other.ip, both=True)
         cluster.until(lambda: other.live.role is Role.CANDIDATE)
         cluster.isolate(leader.ip)
         cluster.load(0.02, 3.0)
@@ -165,32 +165,32 @@
             cluster = Cluster(seed)
             cluster.until(lambda c=cluster: c.leader() is not None, 3.0)  # type: ignore[misc]
 
-    def test_leader_that_is_not_heard(self) -> None:
+    def test_leader_that_reaches_nobody(self) -> None:
         for seed in range(10):
             cluster, leader = self.begun(seed)
-            cluster.isolate(leader.ip, hears=True)
+            cluster.isolate(leader.ip, receives=True)
             cluster.run(0.2)
             self.goes_on(cluster, 2.5)
             self.assertIsNot(cluster.led(), leader)
-            cluster.settle()
+            cluster.recover_and_check()
 
     def test_leader_that_hears_nothing(self) -> None:
         """It leaves by itself, or its beats would keep the others from choosing another."""
         for seed in range(10):
             cluster, leader = self.begun(seed)
-            cluster.isolate(leader.ip, heard=True)
+            cluster.isolate(leader.ip, reaches=True)
             cluster.run(0.2)
             self.goes_on(cluster, 3.5)
             self.assertIsNot(cluster.led(), leader)
-            cluster.settle()
+            cluster.recover_and_check()
 
-    def test_follower_cut_one_way_unseats_nobody(self) -> None:
-        for hears in (False, True):
+    def test_follower_partitioned_one_way_unseats_nobody(self) -> None:
+        for receives in (False, True):
             cluster, leader = self.begun(3)
             term = leader.live.term
-            cluster.isolate(self.others(cluster, leader)[0].ip, hears=hears, heard=not hears)
+            cluster.isolate(self.others(cluster, leader)[0].ip, receives=receives, reaches=not receives)
             cluster.run(5.0)
-            cluster.cuts.clear()
+            cluster.disconnected.clear()
             cluster.run(2.0)
             self.assertIs(cluster.leader(), leader)
             self.assertEqual(leader.live.term, term)
@@ -200,10 +200,10 @@
         term = leader.live.term
         cluster.isolate(self.others(cluster, leader)[0].ip)
         cluster.run(10.0)
-        cluster.cuts.clear()
+        cluster.disconnected.clear()
         cluster.run(2.0)
         self.assertEqual((cluster.led(), leader.live.term), (leader, term))
-        cluster.settle()
+        cluster.recover_and_check()
 
     def test_frozen_leader_wakes(self) -> None:
         for seed in range(10):
@@ -217,7 +217,7 @@
             cluster.thaw(leader)
             cluster.run(2.0)
             self.assertEqual((cluster.led(), new.live.term, leader.live.role), (new, term, Role.FOLLOWER))
-            cluster.settle()
+            cluster.recover_and_check()
 
     def test_frozen_leader_does_not_trust_old_answers(self) -> None:
         cluster, leader = self.begun(2)
@@ -240,28 +240,28 @@
             self.goes_on(cluster, 1.0)
             cluster.run(5.0)
             self.assertIsNot(cluster.led(), leader)
-            cluster.settle()
+            cluster.recover_and_check()
 
     def test_wiped_machine_is_taken_in_then_another_is_wiped(self) -> None:
         for seed in range(6):
             cluster, leader = self.begun(seed)
             for node in (leader, *self.others(cluster, leader)):
-                cluster.wipe(node)
+                cluster.lose_disk(node)
                 cluster.run(0.3)
                 cluster.start(node)
                 self.assertEqual(node.live.role, Role.LEARNER)
                 cluster.until(lambda c=cluster: c.taken_in(), 6.0)  # type: ignore[misc]
             self.assertEqual(sorted(cluster.led().live.voters), ["n0#1", "n1#1", "n2#1"])
-            cluster.settle()
+            cluster.recover_and_check()
 
     def test_wiped_then_all_power_lost(self) -> None:
         for seed in range(10):
             cluster, leader = self.begun(seed)
             for n, node in enumerate(cluster.nodes.values()):
-                (cluster.wipe if n == seed % 3 else cluster.power)(node)
+                (cluster.lose_disk if n == seed % 3 else cluster.power)(node)
             for node in cluster.nodes.values():
                 cluster.start(node)
-            cluster.settle()
+            cluster.recover_and_check()
 
     def test_all_power_lost_and_again_in_recovery(self) -> None:
         for seed in range(10):
@@ -272,13 +272,13 @@
                 for node in cluster.nodes.values():
                     cluster.start(node)
                 cluster.run(again)
-            cluster.settle()
+            cluster.recover_and_check()
 
     def test_snapshot_half_sent(self) -> None:
         """An image in many pieces; the learner loses power, then the leader goes, in the midst of it."""
         cluster, leader = self.begun(5)
         cluster.run(1.5)
-        cluster.image_every = 1_000_000
+        cluster.snapshot_every = 1_000_000
         big = b"".join(bytes([n % 251]) * 1000 for n in range(600))
         for node in cluster.nodes.values():
             log = node.live.log
@@ -287,7 +287,7 @@
             log.snapshot.data = big  # not what was agreed: only how it travels is looked at
         learner = self.others(cluster, leader)[0]
         cluster.restore = self.placed  # type: ignore[method-assign]
-        cluster.wipe(learner)
+        cluster.lose_disk(learner)
         cluster.start(learner)
         self.half(cluster, learner)
         cluster.power(learner)
@@ -299,7 +299,7 @@
         cluster.until(lambda: learner.live.log.snapshot.data == big, 10.0)
 
     def placed(self, node: Node, action: Restore) -> None:
-        node.place = action.index
+        node.applied_index = action.index
 
     def half(self, cluster: Cluster, learner: Node) -> None:
         cluster.until(lambda: len(getattr(learner.live.follower.incoming_snapshot, "data", b"")) > 200_000)
@@ -312,29 +312,29 @@
         cluster.run(4.0)
         self.assertGreater(leader.live.log.base_index, 700, "the log was let go, so only an image can help")
         cluster.start(behind)
-        cluster.until(lambda: behind.place >= leader.place - 20, 3.0)
-        cluster.settle()
+        cluster.until(lambda: behind.applied_index >= leader.applied_index - 20, 3.0)
+        cluster.recover_and_check()
 
-    def test_spare_takes_the_place_of_one_gone(self) -> None:
+    def test_spare_replaces_a_failed_voter(self) -> None:
         cluster, leader = self.begun(7, spares=1)
         cluster.run(2.0)
         self.assertEqual(sorted(leader.live.voters), ["n0#0", "n1#0", "n2#0"])
-        gone = self.others(cluster, leader, cluster.nodes["n3"])[0]
-        cluster.power(gone)
+        removed = self.others(cluster, leader, cluster.nodes["n3"])[0]
+        cluster.power(removed)
         cluster.until(lambda: "n3#0" in cluster.led().live.voters, 8.0)
-        cluster.until(lambda: gone.name not in cluster.led().live.voters, 0.5)
+        cluster.until(lambda: removed.name not in cluster.led().live.voters, 0.5)
         self.assertEqual(len(cluster.led().live.voters), 3)
-        cluster.start(gone)
-        cluster.until(lambda: gone.live.role == Role.LEARNER, 5.0)
+        cluster.start(removed)
+        cluster.until(lambda: removed.live.role == Role.LEARNER, 5.0)
         cluster.run(3.0)
-        self.assertEqual(gone.live.leader, cluster.led().name, "it is fed, as long as it knocks")
+        self.assertEqual(removed.live.leader, cluster.led().name, "it is fed, as long as it knocks")
 
     def test_grows_to_five(self) -> None:
         cluster = Cluster(8, 3, spares=2)
         cluster.wanted = 5
         for node in cluster.nodes.values():
             node.live.reconfiguration.policy.target_size = 5
-        cluster.until(cluster.whole, 10.0)
+        cluster.until(cluster.is_consistent, 10.0)
         self.assertEqual(len(cluster.led().live.voters), 5)
 
     def test_lossy_links(self) -> None:
@@ -342,7 +342,7 @@
         cluster.loss = 0.3
         cluster.run(10.0)
         self.assertGreater(len(cluster.acknowledged), 100)
-        cluster.settle()
+        cluster.recover_and_check()
 
 
 class Members(unittest.TestCase):
@@ -354,13 +354,13 @@
         return chaos
 
     def test_adversary(self) -> None:
-        losses = gone = 0
+        losses = removed = 0
         for seed in range(WALKS):
             with self.subTest(seed=seed):
                 chaos = self.walk(seed)
                 losses += chaos.losses
-                gone += sum(machine.gone for machine in chaos.machines.values())
-        self.assertGreater((losses, gone), (2 * WALKS, 5), "so little happens that little is proven")
+                removed += sum(machine.removed for machine in chaos.machines.values())
+        self.assertGreater((losses, removed), (2 * WALKS, 5), "so little happens that little is proven")
 
     def test_adversary_finds_what_is_planted(self) -> None:
         for node_type in (ForgetsVote, CountsUnsyncedNode):
@@ -391,7 +391,7 @@
         )
         self.assertEqual((new.core and new.core.role, old.core and old.core.role), (Role.LEADER, Role.LEADER))
         chaos.wire.clear()
-        self.assertTrue(chaos.wipe(lost))
+        self.assertTrue(chaos.lose_disk(lost))
         chaos.start(lost)
         for _ in range(6):
             chaos.tick(lost, 0.02)
@@ -399,7 +399,7 @@
             self.among(chaos, {old.ip, lost.ip})
         chaos.propose(old)
         self.among(chaos, {old.ip, lost.ip})
-        chaos.settle()
+        chaos.recover_and_check()
 
     def among(self, chaos: Chaos, ips: set[str], until: Any = lambda: False) -> None:
         """All that these say to each other arrives, and is synced; the rest is lost."""
@@ -419,24 +419,24 @@
             cluster.load(0.02, 30.0)
             cluster.run(0.5)
             first, second = leader, next(n for n in cluster.nodes.values() if n is not leader)
-            cluster.wipe(first)
+            cluster.lose_disk(first)
             cluster.run(0.2)
             cluster.start(first)
             cluster.run((0.05, 0.3, 0.6, 0.9, 1.2, 1.5)[seed])
-            cluster.wipe(second)
+            cluster.lose_disk(second)
             for node in cluster.nodes.values():  # and what is left loses power
                 if node.core is not None:
                     cluster.power(node)
             for node in cluster.nodes.values():
                 cluster.start(node)
-            cluster.settle()
+            cluster.recover_and_check()
             self.assertTrue({first.name, second.name} <= set(cluster.led().live.voters))
 
-    def test_two_of_five_gone_for_good(self) -> None:
+    def test_two_of_five_lost_for_good(self) -> None:
         """The three that are left go on, and one of them may still lose its power."""
         cluster = Cluster(3, 5)
-        for gone in (cluster.led(), cluster.nodes["n4"]):
-            cluster.power(gone)
+        for removed in (cluster.led(), cluster.nodes["n4"]):
+            cluster.power(removed)
         cluster.load(0.02, 30.0)
         cluster.until(lambda: len(cluster.acknowledged) > 20, 5.0)
         again = cluster.led()
@@ -451,17 +451,17 @@
         cluster = Cluster(7, 3, spares=1)
         leader = cluster.led()
         cluster.load(0.02, 60.0)
-        gone, spare = next(n for n in cluster.nodes.values() if n is not leader), cluster.nodes["n3"]
-        cluster.power(gone)
+        removed, spare = next(n for n in cluster.nodes.values() if n is not leader), cluster.nodes["n3"]
+        cluster.power(removed)
         cluster.until(lambda: spare.name in cluster.led().live.voters, 8.0)
-        cluster.start(gone)
+        cluster.start(removed)
         cluster.run(2.0)
-        self.assertEqual(gone.live.role, Role.LEARNER)
+        self.assertEqual(removed.live.role, Role.LEARNER)
         cluster.power(spare)
-        cluster.until(lambda: gone.name in cluster.led().live.voters, 8.0)
+        cluster.until(lambda: removed.name in cluster.led().live.voters, 8.0)
         cluster.until(lambda: spare.name not in cluster.led().live.voters, 0.5)
         cluster.start(spare)
-        cluster.settle()
+        cluster.recover_and_check()
 
 
 class Single(unittest.TestCase):
@@ -490,7 +490,7 @@
         out = core.persisted(5.01, persist.write_id)
         self.assertEqual(self.votes(out), [("b#0", RequestVoteResponse(3, True))])
 
-    def test_restart_keeps_the_vote_and_shows_the_image(self) -> None:
+    def test_restart_keeps_the_vote_and_restores_the_snapshot(self) -> None:
         members = ("a#0", "b#0", "c#0")
         core = self.core(PersistedState(4, "b#0", Snapshot(7, 3, members, b"image"), ()))
         out = core.tick(0.0)
--- a/tests/mesh/test_raft_membership.py
+++ b/tests/mesh/test_raft_membership.py
@@ -76,9 +76,9 @@
             after = voters_without_surplus(before) or voters_adding(before, "new#0") or before.voters
             if after == before.voters:
                 break
-            gone = tuple(name for name in before.unresponsive if name in after)
+            removed = tuple(name for name in before.unresponsive if name in after)
             lively = (before.responsive | {"new#0"}) & set(after)
-            before = before._replace(voters=after, unresponsive=gone, responsive=lively)
+            before = before._replace(voters=after, unresponsive=removed, responsive=lively)
             tables.append(after)
             if "new#0" in after and len(after) == before.target_size:
                 break
@@ -149,10 +149,10 @@
     def test_nobody_is_replaced_for_no_learner(self) -> None:
         cluster = Cluster(1, 3)
         leader = cluster.led()
-        gone = next(node for node in cluster.nodes.values() if node is not leader)
-        cluster.power(gone)
+        removed = next(node for node in cluster.nodes.values() if node is not leader)
+        cluster.power(removed)
         cluster.run(10.0)
-        self.assertIn(gone.name, cluster.led().live.voters)
+        self.assertIn(removed.name, cluster.led().live.voters)
 
 
 class Replacement:
@@ -172,15 +172,15 @@
         self.newcomer = self.cluster.nodes[f"n{count}"]
         leader = self.cluster.led()
         founders = [node for node in self.cluster.nodes.values() if node is not self.newcomer]
-        self.gone = leader if seed % 2 else next(node for node in founders if node is not leader)
-        self.cluster.power(self.gone)
+        self.removed = leader if seed % 2 else next(node for node in founders if node is not leader)
+        self.cluster.power(self.removed)
 
     def reached(self, step: str) -> bool:
         node = self.cluster.leader()
         if node is None:
             return False
         log, commit = node.live.log, node.live.commit_index
-        removed, added = self.gone.name not in log.voters, self.newcomer.name in log.voters
+        removed, added = self.removed.name not in log.voters, self.newcomer.name in log.voters
         return {
             "silent": True,
             "addition begun": added,
@@ -210,9 +210,9 @@
         last = max(self.cluster.acknowledged, default=0)
         self.cluster.until(lambda: max(self.cluster.acknowledged, default=0) > last + 3, within)
 
-    def settle(self) -> None:
+    def recover_and_check(self) -> None:
         """All that was acknowledged is there at the end, also on the one that was gone."""
-        self.cluster.settle()
+        self.cluster.recover_and_check()
 
 
 class SecondLoss(unittest.TestCase):
@@ -236,7 +236,7 @@
             cluster.start(victim)
             replacement.goes_on()
             cluster.until(lambda: replacement.reached("removal committed"), 8.0)
-            replacement.settle()
+            replacement.recover_and_check()
 
         self.each(play, 3, 5)
 
@@ -248,25 +248,25 @@
             if len(cluster.founders) == 3 and step != "removal committed":
                 return
             victim = replacement.victim(role)
-            cluster.wipe(victim)
+            cluster.lose_disk(victim)
             replacement.goes_on()
             cluster.run(0.3)
             cluster.start(victim)
             cluster.until(lambda: victim.name in cluster.led().live.voters, 8.0)
-            replacement.settle()
+            replacement.recover_and_check()
 
         self.each(play, 3, 5)
 
-    def test_the_gone_one_returns_at_each_step(self) -> None:
+    def test_the_failed_one_returns_at_each_step(self) -> None:
 
         def play(replacement: Replacement, step: str, role: str) -> None:
             cluster, victim = replacement.cluster, replacement.victim(role)
-            cluster.start(replacement.gone)
+            cluster.start(replacement.removed)
             cluster.kill(victim)
             cluster.run(1.0)
             cluster.start(victim)
             replacement.goes_on()
-            replacement.settle()
+            replacement.recover_and_check()
 
         self.each(play, 3)
 
@@ -280,9 +280,9 @@
         if count == 5:
             cluster.power(cluster.led())
             replacement.goes_on()
-        replacement.settle()
+        replacement.recover_and_check()
 
-    def test_two_gone_for_good_one_after_the_other(self) -> None:
+    def test_two_lost_for_good_one_after_the_other(self) -> None:
         for count, seed in itertools.product((3, 5), range(4)):
             with self.subTest(count=count, seed=seed):
                 self.second_loss(seed, count, 1.5)
@@ -297,11 +297,11 @@
 
         def play(replacement: Replacement, step: str, role: str) -> None:
             cluster, victim = replacement.cluster, replacement.victim(role)
-            cluster.wipe(victim)
-            cluster.start(replacement.gone)
+            cluster.lose_disk(victim)
+            cluster.start(replacement.removed)
             replacement.goes_on()
             cluster.start(victim)
-            replacement.settle()
+            replacement.recover_and_check()
 
         self.each(play, 3)
 
@@ -315,8 +315,8 @@
         replacement = Replacement(0, 3)
         cluster = replacement.cluster
         replacement.until(step)
-        cluster.wipe(cluster.led())
-        cluster.start(replacement.gone)
+        cluster.lose_disk(cluster.led())
+        cluster.start(replacement.removed)
         replacement.goes_on()
 
 
@@ -345,7 +345,7 @@
                 cluster.power(second)
                 last = max(cluster.acknowledged)
                 cluster.until(lambda c=cluster, n=last: max(c.acknowledged) > n + 3, GOES_ON_S)  # type: ignore[misc]
-                cluster.settle()
+                cluster.recover_and_check()
                 self.assertEqual(len(cluster.led().live.voters), 5)
 
     def test_a_spare_that_starts_while_all_power_goes(self) -> None:
@@ -362,9 +362,9 @@
                         cluster.power(node)
                 for node in cluster.nodes.values():
                     cluster.start(node)
-                cluster.settle()
+                cluster.recover_and_check()
 
-    def test_a_replaced_voter_finds_a_leader_that_it_never_heard_of(self) -> None:
+    def test_a_replaced_voter_finds_a_leader_that_it_never_knew(self) -> None:
         """Its old table names the followers alone: they tell the leader of it."""
         self.returns_to_a_new_leader(RaftNode)
         with self.assertRaises(Wrong):
@@ -379,9 +379,9 @@
             cluster.freeze(leader)
             cluster.until(lambda old=leader: cluster.leader() not in (None, old))  # type: ignore[misc]
             cluster.thaw(leader)
-        cluster.start(replacement.gone)
-        cluster.until(lambda: replacement.gone.live.role is Role.LEARNER, 5.0)
-        replacement.settle()
+        cluster.start(replacement.removed)
+        cluster.until(lambda: replacement.removed.live.role is Role.LEARNER, 5.0)
+        replacement.recover_and_check()
 
     def test_a_voter_that_was_replaced_returns_as_a_learner(self) -> None:
         cluster = Cluster(2, 3, spares=1)
@@ -402,13 +402,13 @@
     """The adversary over replacements: voters are gone or retire more often, and seats are given up soon."""
 
     def __init__(self, seed: int, count: int, spares: int, node_type: type[RaftNode]) -> None:
-        self.gone_as_learners = set[str]()
+        self.removed_as_learners = set[str]()
         super().__init__(seed, count, spares, node_type)
 
     def step(self) -> None:
         super().step()
         draw = self.random
-        machine = draw.choice([m for m in self.machines.values() if not m.gone])
+        machine = draw.choice([m for m in self.machines.values() if not m.removed])
         if draw.random() < 0.004:
             self.lose(machine)
         elif draw.random() < 0.004 and machine.core is not None:
@@ -423,21 +423,23 @@
         entry = self.agreed[self.table]
         voting = {address_of(name) for name in msgpack.unpackb(entry.data)}
         outside = [m for m in self.machines.values() if m.ip not in voting]
-        empty = [m for m in outside if m.incarnation and not m.gone and not m.holds(entry.index, entry.term)]
-        gone = [m for m in outside if m.ip in self.gone_as_learners]
-        return super().lost(*more) + len({m.ip for m in (*empty, *gone, *more) if m in outside})
+        empty = [
+            m for m in outside if m.incarnation and not m.removed and not m.holds(entry.index, entry.term)
+        ]
+        removed = [m for m in outside if m.ip in self.removed_as_learners]
+        return super().lost(*more) + len({m.ip for m in (*empty, *removed, *more) if m in outside})
 
     def lose(self, machine: Machine) -> None:
         voting = msgpack.unpackb(self.agreed[self.table].data) if self.table else ()
         super().lose(machine)
-        if machine.gone and machine.name not in voting:
-            self.gone_as_learners.add(machine.ip)
+        if machine.removed and machine.name not in voting:
+            self.removed_as_learners.add(machine.ip)
 
-    def settle(self, rounds: int = 400) -> None:
+    def recover_and_check(self, rounds: int = 400) -> None:
         for machine in self.machines.values():
             if machine.core is not None and machine.core.is_shutting_down:
                 self.stop(machine)
-        super().settle(rounds)
+        super().recover_and_check(rounds)
 
 
 class SwapsAtOnce(Reconfiguration):
@@ -467,8 +469,10 @@
         return walk
 
     def test_walks(self) -> None:
-        gone = sum(machine.gone for seed in range(WALKS) for machine in self.walk(seed).machines.values())
-        self.assertGreater(gone, WALKS // 5, "so few are gone that little is proven")
+        removed = sum(
+            machine.removed for seed in range(WALKS) for machine in self.walk(seed).machines.values()
+        )
+        self.assertGreater(removed, WALKS // 5, "so few are gone that little is proven")
 
     def test_a_swap_by_one_change_is_found(self) -> None:
         with self.assertRaises((Wrong, ConsensusViolationError)):
@@ -481,26 +485,26 @@
         """
         with mock.patch.object(chaos, "GONE", 0.3):
             walk = Chaos(1, 3, 1, node_type)
-        old, new, helper, learner = walk.machines.values()
-        for machine, seconds in ((new, 0.61), (helper, 0.61), (old, 1.3)):
+        old, new, supporter, learner = walk.machines.values()
+        for machine, seconds in ((new, 0.61), (supporter, 0.61), (old, 1.3)):
             walk.tick(machine, seconds)
-        self.among(walk, old, new, helper)
+        self.among(walk, old, new, supporter)
         for _ in range(2):
             walk.tick(learner, 0.02)
             walk.tick(old, 0.06)
-            self.among(walk, old, new, helper, learner)
-        for machine, seconds in ((helper, 0.61), (new, 1.3)):
+            self.among(walk, old, new, supporter, learner)
+        for machine, seconds in ((supporter, 0.61), (new, 1.3)):
             walk.tick(machine, seconds)
-        self.among(walk, new, helper)
+        self.among(walk, new, supporter)
         self.assertTrue(old.core and new.core and old.core.role == new.core.role == Role.LEADER)
         for _ in range(6):
             walk.tick(learner, 0.02)
             walk.tick(old, 0.06)
             self.among(walk, old, learner)
-        for leader, other in ((old, learner), (new, helper)):
+        for leader, other in ((old, learner), (new, supporter)):
             walk.propose(leader)
             self.among(walk, leader, other)
-        walk.settle()
+        walk.recover_and_check()
 
     def among(self, walk: Chaos, *machines: Machine) -> None:
         """All that these say to each other arrives, and is synced; the rest is lost."""
--- a/tests/mesh/test_raft_cuts.py
+++ b/tests/mesh/test_raft_partitions.py
@@ -13,7 +13,7 @@
 from minthitch.mesh.raft.node import RaftNode
 from tests.mesh.cluster import Cluster, Node, Wrong
 
-CUT_S = 20.0
+PARTITION_S = 20.0
 SEEDS = (1,)
 RESTARTS = (None, 0.2, 5.0, 19.9)  # seconds into the cut at which the one that is cut restarts
 
@@ -99,27 +99,27 @@
     def begun(self, seed: int, spares: int = 0) -> tuple[Cluster, Node]:
         cluster = Cluster(seed, 3, spares=spares)
         leader = cluster.led()
-        cluster.load(0.1, CUT_S + 10.0)
+        cluster.load(0.1, PARTITION_S + 10.0)
         cluster.run(0.5)
         return cluster, leader
 
-    def cut(
+    def disconnect(
         self,
         seed: int,
         pick: Callable[[Node, Cluster], Node],
-        hears: bool,
+        receives: bool,
         restart: float | None,
         spares: int = 0,
     ) -> tuple[Cluster, Node]:
         """The picked one is cut off one way for 20 s and restarts in it; the others go on all the time."""
         cluster, leader = self.begun(seed, spares)
         node = pick(leader, cluster)
-        cluster.isolate(node.ip, hears=hears, heard=not hears)
+        cluster.isolate(node.ip, receives=receives, reaches=not receives)
         if restart is not None:
             cluster.at(restart, lambda: self.restart(cluster, node))
         checked(cluster, 4.0)
         last = max(cluster.acknowledged)
-        checked(cluster, CUT_S - 4.0)
+        checked(cluster, PARTITION_S - 4.0)
         self.assertGreater(max(cluster.acknowledged), last + 60)
         return cluster, node
 
@@ -132,35 +132,35 @@
         leader = cluster.led()
         self.assertIsNot(leader, node)
         term = leader.live.term
-        cluster.cuts.clear()
+        cluster.disconnected.clear()
         checked(cluster, 3.0)
         self.assertEqual((cluster.led(), leader.live.term), (leader, term))
         self.assertTrue(node.live.in_contact_with_quorum(cluster.now))
-        cluster.settle()
+        cluster.recover_and_check()
 
     def test_a_follower(self) -> None:
         def follower(leader: Node, cluster: Cluster) -> Node:
             return next(node for node in cluster.nodes.values() if node is not leader)
 
-        for seed, hears, restart in itertools.product(SEEDS, (False, True), RESTARTS):
-            with self.subTest(seed=seed, hears=hears, restart=restart):
-                self.returns(*self.cut(seed, follower, hears, restart))
+        for seed, receives, restart in itertools.product(SEEDS, (False, True), RESTARTS):
+            with self.subTest(seed=seed, receives=receives, restart=restart):
+                self.returns(*self.disconnect(seed, follower, receives, restart))
 
     def test_the_leader(self) -> None:
-        for seed, hears, restart in itertools.product(SEEDS, (False, True), RESTARTS):
-            with self.subTest(seed=seed, hears=hears, restart=restart):
-                self.returns(*self.cut(seed, lambda leader, _: leader, hears, restart))
+        for seed, receives, restart in itertools.product(SEEDS, (False, True), RESTARTS):
+            with self.subTest(seed=seed, receives=receives, restart=restart):
+                self.returns(*self.disconnect(seed, lambda leader, _: leader, receives, restart))
 
     def test_one_whose_seat_goes_to_a_spare(self) -> None:
         """It returns as a learner, and again nobody is unseated."""
-        for leads, hears, restart in itertools.product((False, True), (False, True), (None, 5.0)):
-            with self.subTest(leads=leads, hears=hears, restart=restart):
+        for leads, receives, restart in itertools.product((False, True), (False, True), (None, 5.0)):
+            with self.subTest(leads=leads, receives=receives, restart=restart):
 
                 def pick(leader: Node, cluster: Cluster, leads: bool = leads) -> Node:
                     founders = [node for node in cluster.nodes.values() if node.ip != "n3"]
                     return next(node for node in founders if (node is leader) == leads)
 
-                cluster, node = self.cut(1, pick, hears, restart, spares=1)
+                cluster, node = self.disconnect(1, pick, receives, restart, spares=1)
                 self.assertNotIn(node.name, cluster.led().live.voters)
                 self.returns(cluster, node)
                 self.assertNotIn(node.name, cluster.led().live.voters)
@@ -171,16 +171,16 @@
             with self.subTest(seed=seed, out=out):
                 cluster, leader = self.begun(seed)
                 other = next(node for node in cluster.nodes.values() if node is not leader)
-                cluster.cut(*((leader.ip, other.ip) if out else (other.ip, leader.ip)))
+                cluster.disconnect(*((leader.ip, other.ip) if out else (other.ip, leader.ip)))
                 checked(cluster, 4.0)
                 last = max(cluster.acknowledged)
-                checked(cluster, CUT_S - 4.0)
+                checked(cluster, PARTITION_S - 4.0)
                 self.assertGreater(max(cluster.acknowledged), last + 60)
                 self.assertIs(cluster.led(), leader)
-                cluster.cuts.clear()
+                cluster.disconnected.clear()
                 checked(cluster, 2.0)
                 self.assertIs(cluster.led(), leader)
-                cluster.settle()
+                cluster.recover_and_check()
 
 
 class Planted(unittest.TestCase):
@@ -216,10 +216,10 @@
         cluster.load(0.02, 6.0)
         cluster.run(0.5)
         for ip in [ip for ip in cluster.nodes if ip != leader.ip][1:]:
-            cluster.cut(leader.ip, ip, both=True)
-            cluster.cut(next(i for i in cluster.nodes if i != leader.ip), ip, both=True)
+            cluster.disconnect(leader.ip, ip, both=True)
+            cluster.disconnect(next(i for i in cluster.nodes if i != leader.ip), ip, both=True)
         checked(cluster, 4.0)
-        cluster.settle()
+        cluster.recover_and_check()
 
     def restarted(self, node_type: type[RaftNode], seed: int) -> None:
         cluster = Cluster(seed, 3, node_type)
@@ -230,7 +230,7 @@
         cluster.run(0.05)
         cluster.start(leader)
         checked(cluster, 3.0)
-        cluster.settle()
+        cluster.recover_and_check()
 
     def returned(self, node_type: type[RaftNode], seed: int) -> None:
         cluster = Cluster(seed, 3, node_type)
@@ -239,7 +239,7 @@
         node = next(n for n in cluster.nodes.values() if n is not leader)
         cluster.isolate(node.ip)
         checked(cluster, 5.0)
-        cluster.cuts.clear()
+        cluster.disconnected.clear()
         checked(cluster, 2.0)
         if cluster.led() is not leader:
             raise Wrong("a good leader is unseated")
--- a/tests/mesh/test_raft_placement.py
+++ b/tests/mesh/test_raft_placement.py
@@ -59,7 +59,7 @@
     def test_too_few_machines(self) -> None:
         self.assertFalse(tolerates(names(3), located("abc"), Tolerated(2, 1)))
 
-    def test_an_unknown_place_counts_as_lost(self) -> None:
+    def test_an_unknown_location_counts_as_lost(self) -> None:
         places = located("abc")
         del places["n2"]
         self.assertFalse(tolerates(names(3), places, ZONE))
@@ -127,7 +127,7 @@
                 cluster = self.group(seed, located("aaabc"), ZONE)
                 cluster.until(lambda c=cluster: self.placed(c, ZONE), 4.0)  # type: ignore[misc]
                 self.loses(cluster, zone)
-                cluster.settle()
+                cluster.recover_and_check()
 
     def test_without_placement_the_loss_of_a_zone_stops_it(self) -> None:
         cluster = self.group(1, located("aaabc"), Tolerated())
@@ -147,7 +147,7 @@
                         cluster.power(node)
                 last = max(cluster.acknowledged)
                 cluster.until(lambda c=cluster, n=last: max(c.acknowledged) > n + 3, 2.5)  # type: ignore[misc]
-                cluster.settle()
+                cluster.recover_and_check()
 
     def test_one_at_a_time_and_added_first(self) -> None:
         cluster = self.group(2, located("aaabc"), ZONE)
@@ -170,7 +170,7 @@
         cluster.start(quiet)
         cluster.until(lambda: self.placed(cluster, ZONE), 4.0)
 
-    def test_the_learner_that_mends_most_takes_a_free_seat(self) -> None:
+    def test_the_learner_that_improves_placement_best_is_added(self) -> None:
         """Of zones a, b, c the voter in c is gone: another of c is taken, whichever name comes first."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
@@ -179,7 +179,7 @@
                 cluster.power(cluster.nodes["n2"])
                 cluster.until(lambda c=cluster: c.nodes["n2"].name not in c.led().live.voters, 4.0)  # type: ignore[misc]
                 cluster.until(lambda c=cluster: self.placed(c, ZONE), 1.0)  # type: ignore[misc]
-                cluster.settle()
+                cluster.recover_and_check()
 
     def test_a_second_loss_in_the_middle_of_a_swap(self) -> None:
         """Four voters: leader, follower or newcomer dies, and what is left goes on and moves on."""
@@ -195,4 +195,4 @@
                 cluster.run(1.0)
                 cluster.start(victim)
                 cluster.until(lambda c=cluster: self.placed(c, ZONE), 8.0)  # type: ignore[misc]
-                cluster.settle()
+                cluster.recover_and_check()
--- a/tests/mesh/test_raft_transfer.py
+++ b/tests/mesh/test_raft_shutdown.py
@@ -70,7 +70,7 @@
         cluster.longest_pause = 0.0
         return cluster
 
-    def gone(self, cluster: Cluster, node: Node) -> None:
+    def removed(self, cluster: Cluster, node: Node) -> None:
         cluster.until(lambda: any(left is node for left, _ in cluster.left), SHUTDOWN_TIMEOUT_S + 0.1)
 
     def goes_on(self, cluster: Cluster, within: float) -> None:
@@ -83,20 +83,20 @@
                 cluster = self.begun(seed, count)
                 old = cluster.led()
                 cluster.retire(old)
-                self.gone(cluster, old)
+                self.removed(cluster, old)
                 self.goes_on(cluster, 0.3)
                 self.assertLess(cluster.longest_pause, PAUSE_S)
-                cluster.settle()
+                cluster.recover_and_check()
 
     def test_no_transfer_is_found(self) -> None:
         cluster = self.begun(1, node_type=HandsNothingOverNode)
         old = cluster.led()
         cluster.retire(old)
-        self.gone(cluster, old)
+        self.removed(cluster, old)
         with self.assertRaises(Wrong):
             self.goes_on(cluster, 0.3)
 
-    def leaves_nothing(self, seed: int, node_type: type[RaftNode], leads: bool) -> None:
+    def has_no_sole_copy(self, seed: int, node_type: type[RaftNode], leads: bool) -> None:
         """When it ends, each acknowledged entry is on as many disks of others as make a majority."""
         cluster = self.begun(seed, 3, node_type, sync=(0.005, 0.15), delay=0.06)
         leader = cluster.led()
@@ -104,24 +104,24 @@
         cluster.run(0.013 * seed)
         started = cluster.now
         cluster.retire(node)
-        self.gone(cluster, node)
+        self.removed(cluster, node)
         waited = cluster.left[-1][1] - started
         alone = [index for index in cluster.acknowledged if copies(cluster, index, node) < 2]
         if alone and waited < SHUTDOWN_TIMEOUT_S:
             raise Wrong(f"{alone} are held by less than a majority without {node.name}")
-        cluster.wipe(node)
-        cluster.settle()
+        cluster.lose_disk(node)
+        cluster.recover_and_check()
 
-    def test_nothing_is_held_by_the_one_that_left(self) -> None:
+    def test_nothing_is_only_on_the_one_that_left(self) -> None:
         for seed, leads in itertools.product(SEEDS, (False, True)):
             with self.subTest(seed=seed, leads=leads):
-                self.leaves_nothing(seed, RaftNode, leads)
+                self.has_no_sole_copy(seed, RaftNode, leads)
 
     def test_a_sole_copy_let_go_is_found(self) -> None:
         for node_type, leads in ((EndsAtOnceNode, False), (EndsAtOnceNode, True), (CountsItselfNode, False)):
             with self.subTest(node_type.__name__, leads=leads), self.assertRaises(Wrong):
                 for seed in SEEDS:
-                    self.leaves_nothing(seed, node_type, leads)
+                    self.has_no_sole_copy(seed, node_type, leads)
 
     def test_the_one_that_holds_everything_is_chosen(self) -> None:
         for seed in SEEDS:
@@ -129,13 +129,13 @@
                 cluster = self.begun(seed)
                 old = cluster.led()
                 ahead, behind = (n for n in cluster.nodes.values() if n is not old)
-                cluster.cut(old.ip, behind.ip)
+                cluster.disconnect(old.ip, behind.ip)
                 cluster.run(0.3)
                 cluster.retire(old)
                 cluster.until(lambda o=old, c=cluster: c.leader() not in (None, o), 0.5)  # type: ignore[misc]
                 self.assertIs(cluster.leader(), ahead)
-                self.gone(cluster, old)
-                cluster.settle()
+                self.removed(cluster, old)
+                cluster.recover_and_check()
 
     def test_a_successor_that_lags_is_waited_for(self) -> None:
         """All that is left has slow links; the leader gives it time, and ends in any case."""
@@ -146,8 +146,8 @@
                 cluster.power(next(n for n in cluster.nodes.values() if n is not old))
                 cluster.run(0.3)
                 cluster.retire(old)
-                self.gone(cluster, old)
-                cluster.settle()
+                self.removed(cluster, old)
+                cluster.recover_and_check()
 
     def test_without_a_successor_the_wait_is_bounded(self) -> None:
         cluster = self.begun(1)
@@ -156,8 +156,8 @@
             if node is not leader:
                 cluster.power(node)
         cluster.retire(leader)
-        self.gone(cluster, leader)
-        cluster.settle()
+        self.removed(cluster, leader)
+        cluster.recover_and_check()
 
     def test_nothing_is_proposed_to_one_that_retires(self) -> None:
         cluster = self.begun(1)
@@ -180,7 +180,7 @@
                     self.assertFalse(node.core.role == "leader" and not leads_already)
                     cluster.run(0.01)
                 self.goes_on(cluster, 2.5)
-                cluster.settle()
+                cluster.recover_and_check()
 
     def test_two_at_once_of_five(self) -> None:
         """Leadership goes to one that stays."""
@@ -192,11 +192,11 @@
                 cluster.retire(other)
                 cluster.run(0.02)
                 cluster.retire(leader)
-                self.gone(cluster, leader)
-                self.gone(cluster, other)
+                self.removed(cluster, leader)
+                self.removed(cluster, other)
                 self.goes_on(cluster, 0.3)
                 self.assertLess(cluster.longest_pause, PAUSE_S)
-                cluster.settle()
+                cluster.recover_and_check()
 
     def test_all_at_once(self) -> None:
         for seed in SEEDS:
@@ -207,7 +207,7 @@
                 cluster.run(SHUTDOWN_TIMEOUT_S + 0.1)
                 self.assertEqual(len(cluster.left), 3)
                 self.goes_on(cluster, 4.0)
-                cluster.settle()
+                cluster.recover_and_check()
 
     def test_rolling(self) -> None:
         """Each is ended and started again, one after the other, always the leader or always another."""
@@ -221,10 +221,10 @@
                     node = next((n for n in waiting if (n is leader) == leads), waiting[0])
                     rolled.append(node)
                     cluster.retire(node, back_after=1.0)
-                    self.gone(cluster, node)
+                    self.removed(cluster, node)
                     cluster.run(2.0)
                 self.assertLess(cluster.longest_pause, PAUSE_S)
-                cluster.settle()
+                cluster.recover_and_check()
 
 
 class Alone(unittest.TestCase):
@@ -242,7 +242,7 @@
                 raise Wrong("the only voter doesn't lead")
         return core, now
 
-    def test_one_that_was_not_told_to_end(self) -> None:
+    def test_one_that_was_not_asked_to_end(self) -> None:
         core, now = self.led()
         self.assertFalse(core.may_end(now + 10.0))
 
@@ -267,7 +267,7 @@
         core.set_disk_health(now, True)
         self.assertIsNone(core.propose(now, b"late"))
 
-    def test_told_twice(self) -> None:
+    def test_asked_twice(self) -> None:
         core, now = self.led()
         core.begin_shutdown(now)
         core.begin_shutdown(now + 0.5)
--- a/tests/mesh/test_raft_snapshots.py
+++ b/tests/mesh/test_raft_snapshots.py
@@ -67,23 +67,23 @@
         leader = self.led()
         self.load(0.02, 1.0)
         self.run(1.5)
-        self.image_every = 1_000_000
+        self.snapshot_every = 1_000_000
         for node in self.nodes.values():
-            self.hold(node, BIG)
+            self.load_snapshot(node, BIG)
         self.learner = next(node for node in self.nodes.values() if node is not leader)
-        self.wipe(self.learner)
+        self.lose_disk(self.learner)
         self.start(self.learner)
         self.slow = slow
         self.began = self.now
 
-    def hold(self, node: Node, data: bytes) -> None:
+    def load_snapshot(self, node: Node, data: bytes) -> None:
         """Not what was agreed: only how it travels is looked at."""
         log, index = node.live.log, min(each.live.last_applied for each in self.nodes.values())
         log.retained_entries = 0
         log.compact(Snapshot(index, log.term_at(index), log.voters, data))
 
     def restore(self, node: Node, action: Restore) -> None:
-        node.place = action.index
+        node.applied_index = action.index
 
     def act(self, node: Node, actions: Sequence[Action]) -> None:
         for action in actions:
@@ -101,11 +101,11 @@
         packed, target = msgpack.packb(encode_message(send.message)), self.nodes[address_of(send.to)]
         link = (node.ip, target.ip)
         self.link_free[link] = max(self.link_free.get(link, 0.0), self.now) + len(packed) / SLOW
-        call, life = self.receiver(node.name, packed), target.life
+        call, epoch = self.receiver(node.name, packed), target.epoch
 
         def arrive() -> None:
             if send.to == target.name:
-                self.on(target, life, call)
+                self.on(target, epoch, call)
 
         self.at(self.link_free[link] - self.now + 0.001, arrive)
 
@@ -129,7 +129,7 @@
 
 
 class Pieces(unittest.TestCase):
-    def test_each_piece_lost_once(self) -> None:
+    def test_each_chunk_lost_once(self) -> None:
         for lost in range(1, CHUNKS + 1):
             with self.subTest(lost=lost):
                 transfer = Transfer(lost)
@@ -150,7 +150,7 @@
         transfer.until(transfer.arrived, 6.0)
         return transfer.pieces
 
-    def test_leader_changes_at_each_piece(self) -> None:
+    def test_leader_changes_at_each_chunk(self) -> None:
         """At most the piece that was under way is sent again."""
         for count in range(1, CHUNKS):
             with self.subTest(count=count):
@@ -192,13 +192,13 @@
         with mock.patch.object(follower, "IncomingSnapshot", TrustsWhatItGot), self.assertRaises(Wrong):
             self.damaged()
 
-    def test_a_slow_link_carries_each_piece_once(self) -> None:
+    def test_a_slow_link_carries_each_chunk_once(self) -> None:
         transfer = Transfer(7, slow=True)
         transfer.until(transfer.arrived, 6.0)
         self.assertEqual(transfer.pieces, CHUNKS)
         self.assertLess(transfer.now - transfer.began, 1.5 * len(BIG) / SLOW)
 
-    def test_a_lost_piece_on_a_slow_link_is_sent_again_soon(self) -> None:
+    def test_a_lost_chunk_on_a_slow_link_is_sent_again_soon(self) -> None:
         transfer = Transfer(8, slow=True)
         transfer.lose = {3}
         transfer.until(transfer.arrived, 6.0)
--- a/tests/mesh/test_storage.py
+++ b/tests/mesh/test_storage.py
@@ -112,25 +112,25 @@
 
     def test_file_stays_bounded(self) -> None:
         store = self.begun()
-        most = 0
+        largest = 0
         for n in range(600):
             snapshot = Snapshot(n - 5, 1, VOTERS, b"i" * 60_000) if n % 20 == 19 else None
             store.write(persist(n, entry(n + 1, 3000), snapshot=snapshot))
             if n == 200:
-                most = self.file.stat().st_size
-        self.assertLessEqual(self.file.stat().st_size, most * 1.3)
-        self.assertLess(most, 1 << 20)
+                largest = self.file.stat().st_size
+        self.assertLessEqual(self.file.stat().st_size, largest * 1.3)
+        self.assertLess(largest, 1 << 20)
 
 
 class Refuses(Folder):
     def fill(self, store: Store) -> int:
         """Write until it is full; the last index that was kept."""
         last = 0
-        with self.assertRaises(StoreUnavailableError) as told:
+        with self.assertRaises(StoreUnavailableError) as on_durable:
             while last < 10_000:
                 store.write(persist(last + 1, entry(last + 1, 20_000)))
                 last += 1
-        self.assertTrue(is_out_of_space(told.exception))
+        self.assertTrue(is_out_of_space(on_durable.exception))
         return last
 
     def test_map_full(self) -> None:
@@ -162,7 +162,7 @@
         self.assertEqual(saved.entries, (entry(1), entry(2, 200_000)))
 
 
-class ToldApart(Folder):
+class Conditions(Folder):
     def filled(self) -> None:
         """A store with two entries, closed; its last commit wrote entry 2."""
         store = self.begun()
@@ -211,14 +211,14 @@
         newest = lmdb_meta.read_meta_pages(str(self.file))[0]
         head = lmdb_meta.PAGE_HEADER_BYTES + 24
         old = before[newest.offset + head : newest.offset + head + 112]
-        for part in (range(96), range(48), range(88), range(44), range(104)):
-            for at in part:
+        for torn_bytes in (range(96), range(48), range(88), range(44), range(104)):
+            for at in torn_bytes:
                 self.patch(newest.offset + head + at, old[at : at + 1])
             store = self.open()
             saved = store.load()
             store.close()
             assert saved is not None
-            self.assertEqual((saved.term, saved.entries), (3, (entry(1), entry(2))), part)
+            self.assertEqual((saved.term, saved.entries), (3, (entry(1), entry(2))), torn_bytes)
             store = self.open()
             store.write(persist(3, entry(3)))
             store.close()
@@ -282,18 +282,18 @@
         self, store: Store
     ) -> tuple[StorageWriter, list[int], list[tuple[str, bool]], threading.Event]:
         done: list[int] = []
-        troubles: list[tuple[str, bool]] = []
+        failures: list[tuple[str, bool]] = []
         event = threading.Event()
 
-        def told(write_id: int) -> None:
+        def on_durable(write_id: int) -> None:
             done.append(write_id)
             event.set()
 
-        def trouble(reason: str, lost: bool) -> None:
-            troubles.append((reason, lost))
+        def on_failure(reason: str, lost: bool) -> None:
+            failures.append((reason, lost))
 
-        writer = StorageWriter(store, told, trouble, clock=lambda: 5.0)
-        return writer, done, troubles, event
+        writer = StorageWriter(store, on_durable, on_failure, clock=lambda: 5.0)
+        return writer, done, failures, event
 
     def test_in_order(self) -> None:
         writer, done, *_ = self.writer(self.begun())
@@ -305,7 +305,7 @@
         writer.join(10)
         self.assertEqual((done, writer.pending_since), ([1, 2, 3], None))
 
-    def test_full_is_told_and_tried_again(self) -> None:
+    def test_a_refusal_is_reported_and_the_write_repeated(self) -> None:
         store = self.begun()
         refusals = [StoreUnavailableError("no"), StoreUnavailableError("no")]
         write = store.write
@@ -316,24 +316,24 @@
             write(what)
 
         store.write = refuse  # type: ignore
-        writer, done, troubles, told = self.writer(store)
+        writer, done, failures, on_durable = self.writer(store)
         writer.start()
         writer.submit(persist(1, entry(1)))
-        self.assertTrue(told.wait(10))
+        self.assertTrue(on_durable.wait(10))
         writer.stop()
         writer.join(10)
-        self.assertEqual((done, troubles), ([1], [("no", False)] * 2))
+        self.assertEqual((done, failures), ([1], [("no", False)] * 2))
 
     def offer(
         self,
         writer: StorageWriter,
         snapshot: Snapshot,
-        troubles: list[tuple[str, bool]],
+        failures: list[tuple[str, bool]],
         reason: str,
         lost: bool,
     ) -> None:
         """What the server does once the disk refuses."""
-        troubles.append((reason, lost))
+        failures.append((reason, lost))
         writer.emergency_snapshot = snapshot
 
     def test_a_snapshot_frees_a_full_file(self) -> None:
@@ -348,11 +348,11 @@
                     last += 1
             store.reopen()
             snapshot = Snapshot(last, 1, VOTERS, b"s" * size)
-            writer, _, troubles, told = self.writer(store)
-            writer._on_failure = partial(self.offer, writer, snapshot, troubles)
+            writer, _, failures, on_durable = self.writer(store)
+            writer._on_failure = partial(self.offer, writer, snapshot, failures)
             writer.submit(persist(9, entry(last + 1, 20_000)))
             writer.start()
-            self.assertTrue(told.wait(10), troubles)
+            self.assertTrue(on_durable.wait(10), failures)
             writer.stop()
             writer.join(10)
             saved = self.again(store).load()
@@ -361,7 +361,7 @@
                 (saved.term, saved.snapshot.index, saved.snapshot.voters, saved.entries),
                 (10, last, VOTERS, (entry(last + 1, 20_000),)),
             )
-            self.assertEqual({lost for _, lost in troubles}, {False})
+            self.assertEqual({lost for _, lost in failures}, {False})
 
     def test_no_snapshot_beyond_what_the_disk_holds_is_put_in_front(self) -> None:
         store = self.begun()
@@ -379,15 +379,15 @@
             (saved.term, saved.voted_for, saved.snapshot.index, saved.entries), (2, VOTERS[0], 2, ())
         )
 
-    def test_broken_is_told_once(self) -> None:
+    def test_corruption_is_reported_once(self) -> None:
         store = self.begun()
 
         def broken(what: Persist) -> None:
             raise StoreCorruptedError("gone")
 
         store.write = broken  # type: ignore
-        writer, done, troubles, _event = self.writer(store)
+        writer, done, failures, _event = self.writer(store)
         writer.submit(persist(1, entry(1)))
         writer.start()
         writer.join(10)
-        self.assertEqual((done, troubles, writer.pending_since), ([], [("gone", True)], 5.0))
+        self.assertEqual((done, failures, writer.pending_since), ([], [("gone", True)], 5.0))
