--- a/minthitch/mesh/control/configuration_calls.py
+++ b/minthitch/mesh/control/configuration_calls.py
@@ -9,29 +9,36 @@
 
 import asyncio
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any, Protocol
+from typing import Any, Protocol
 
 from minthitch.mesh.control.state_machine import CONFIG, FetchResult, StateMachine
 from minthitch.mesh.raft.node import RaftNode
 from minthitch.mesh.transport import ops
 
-if TYPE_CHECKING:
-    from minthitch.mesh.control.proposals import Proposals
-
 RESULT_TIMEOUT_S = 0.7  # from a call's arrival to its answer: the rest of the second is for the network
 BODY_BYTES_PER_S = 4 * 1024 * 1024  # callers wait a second longer for so many bytes of a body
 OnResult = Callable[[tuple[Any, ...] | None], None]  # the result; None: unclear
 
 
+class Forwarder(Protocol):
+    """What asks the leader."""
+
+    def forward(self, op: int, fields: tuple[Any, ...], on_result: OnResult) -> None:
+        """Send a message to the leader; `on_result` gets its answer."""
+
+
 class Host(Protocol):
     """The control node that received them."""
 
     raft: RaftNode
     state: StateMachine
-    proposals: Proposals
     loop: asyncio.AbstractEventLoop
     clock: Callable[[], float]
 
+    @property
+    def proposals(self) -> Forwarder:
+        """Its way to the leader."""
+
     @property
     def disk_healthy(self) -> bool:
         """Whether its disk can be relied on."""
--- a/minthitch/mesh/control/status.py
+++ b/minthitch/mesh/control/status.py
@@ -25,7 +25,7 @@
         "disk": {"bad": not server.disk_healthy, "waits_s": round(server.pending_write_s(), 3)},
         "configuration": {"index": server.state.items.index},
         "keys": _keys(server),
-        "slack": server.leases.lender.status(),
+        "slack": server.leases.granter.status(),
         "waiting": server.proposals.count(),
         "sidecars": [_sidecar(record) for record in server.registry.records.values()],
     }
--- a/minthitch/mesh/limits/bulk.py
+++ b/minthitch/mesh/limits/bulk.py
@@ -1,24 +1,22 @@
-"""Receiver-driven admission of large request bodies, so that they cannot clog the receiver's link.
-
-Many senders share one thin link into a server's machine. Bodies that are sent without asking queue up
-inside the
-network, where neither side can reorder or drop them, and every small call behind them misses its deadline.
-So a
-sender first offers the size of a large body; the receiver grants offers by rank and due time, and keeps the
-bytes
-that are granted and not yet here within a window. An offer that could not be served in time is turned away
-before
-its body is sent. Pure: times are seconds, given in.
+"""Receiver-driven admission of large request bodies, so that they cannot congest the receiver's link.
+
+Many senders use one slow link into a server's machine. Bodies that are sent without asking queue up inside
+the network, where neither side can reorder or drop them, and every small request behind them misses its
+deadline. So a sender first offers the size of a large body. The receiver grants offers by priority and due
+time, and keeps the bytes that are granted and have not arrived within a window. An offer that could not be
+served in time is rejected before its body is sent. Pure: times are seconds, passed in.
 """
 
 from __future__ import annotations
 
 from collections.abc import Hashable
 
-OFFERED_FROM = 16 * 1024  # bytes of a body from which it is offered first: smaller ones cost less than asking
-WINDOW = 96 * 1024  # bytes granted and not yet here, unless a single body is larger
-MOST_WAITING = 256  # offers that wait for a grant
-FADE = 0.9  # weight that what is known of the link keeps with each body that arrives
+OFFERED_FROM = (
+    16 * 1024
+)  # bytes of a body from which on it is offered first: asking costs more than a smaller one
+WINDOW = 96 * 1024  # bytes granted and not received, unless a single body is larger
+MAX_WAITING = 256  # offers that wait for a grant
+FADE = 0.9  # weight that the earlier measurements of the link keep with each body that arrives
 
 
 class Offer:
@@ -27,7 +25,7 @@
     __slots__ = ("key", "size", "rank", "due", "deadline")
 
     def __init__(self, key: Hashable, size: int, rank: int, due: float, deadline: float) -> None:
-        """`due`: when the body has to be here for its request to be in time; `deadline`: of the request."""
+        """`due`: when the body has to have arrived to be on time; `deadline`: of its request."""
         self.key, self.size, self.rank, self.due, self.deadline = key, size, rank, due, deadline
 
 
@@ -37,8 +35,8 @@
     def __init__(self) -> None:
         self.granted: dict[Hashable, Offer] = {}
         self.waiting: list[Offer] = []
-        self.outstanding = 0  # bytes granted and not yet here
-        self._bytes, self._seconds = 0.0, 0.0  # arrived, and the time it took, both fading
+        self.outstanding = 0  # bytes granted and not received
+        self._bytes, self._seconds = 0.0, 0.0  # received, and their time, both fading
         self._since = 0.0  # when the last body arrived, or the first was granted after none was under way
 
     @property
@@ -51,18 +49,22 @@
         return max(self._ahead(rank) - WINDOW, 0) / self.rate
 
     def offer(self, now: float, offer: Offer) -> bool | None:
-        """True: granted. False: it waits. None: turned away, as it could not be here by `due`."""
-        if not self.waiting and self._has_room(offer):
+        """A body is offered.
+
+        Returns:
+            True: granted. False: it waits. None: rejected, as it could not arrive by `due`.
+        """
+        if not self.waiting and self._fits(offer):
             self._grant(now, offer)
             return True
         here_at = now + (self._ahead(offer.rank) + offer.size) / self.rate
-        if len(self.waiting) >= MOST_WAITING or here_at > offer.due:
+        if len(self.waiting) >= MAX_WAITING or here_at > offer.due:
             return None
         self.waiting.append(offer)
         return False
 
     def arrived(self, now: float, key: Hashable) -> None:
-        """The body is here."""
+        """A body has arrived."""
         offer = self.granted.pop(key, None)
         if offer is None:
             return
@@ -71,8 +73,8 @@
         self._seconds = self._seconds * FADE + max(now - self._since, 1e-6)
         self._since = now
 
-    def withdrawn(self, now: float, key: Hashable) -> None:
-        """The sender needs it no more, or is gone."""
+    def withdrawn(self, _now: float, key: Hashable) -> None:
+        """The sender does not need it any more, or is lost."""
         offer = self.granted.pop(key, None)
         if offer is not None:
             self.outstanding -= offer.size
@@ -80,17 +82,16 @@
         self.waiting = [other for other in self.waiting if other.key != key]
 
     def next(self, now: float) -> tuple[list[Hashable], list[Hashable]]:
-        """After something arrived or was withdrawn: (keys granted now, keys whose time is over)."""
+        """After something arrived or was withdrawn: the keys granted now, and those whose time is over."""
         for key in [key for key, offer in self.granted.items() if offer.deadline < now]:
-            self.outstanding -= self.granted.pop(
-                key
-            ).size  # a sender that fell silent must not hold the window
+            # A sender that is lost must not occupy the window.
+            self.outstanding -= self.granted.pop(key).size
         late = [offer.key for offer in self.waiting if offer.due <= now]
         self.waiting = [offer for offer in self.waiting if offer.due > now]
         grants: list[Hashable] = []
         while self.waiting:
             best = min(self.waiting, key=lambda offer: (offer.rank, offer.due))
-            if not self._has_room(best):
+            if not self._fits(best):
                 break
             self.waiting.remove(best)
             self._grant(now, best)
@@ -98,10 +99,10 @@
         return grants, late
 
     def _ahead(self, rank: int) -> int:
-        """Bytes that go before a body of this rank offered now."""
+        """Bytes that come before a body of this priority offered now."""
         return self.outstanding + sum(offer.size for offer in self.waiting if offer.rank <= rank)
 
-    def _has_room(self, offer: Offer) -> bool:
+    def _fits(self, offer: Offer) -> bool:
         return not self.granted or self.outstanding + offer.size <= WINDOW
 
     def _grant(self, now: float, offer: Offer) -> None:
--- a/minthitch/mesh/limits/gate.py
+++ b/minthitch/mesh/limits/gate.py
@@ -1,28 +1,36 @@
-"""What the server beside a sidecar takes at once, and who waits for it: by rank, then by what can be in time.
+"""Admission at one server: which requests start, which are queued, and which are rejected.
 
-The gate counts exactly what runs, so it can turn a copy away before the server has seen it: that is no
-arrival, has not run, and another server may be asked at once. Times are seconds, given in.
+The gate counts exactly what runs, so it can reject a request before the server has seen it: that request
+has not run, and another server may be asked at once. Times are seconds, passed in.
 """
 
 from __future__ import annotations
 
 from typing import Generic, TypeVar
 
-MOST_QUEUED = 256  # bound on what waits, whatever its deadlines: memory
-FIRST_MEAN = 0.1  # seconds that a request is taken to need before any has ended, and
-FIRST_PART = 0.5  # of its aim, where that is more: after a restart servers are cold and nothing is known
-SMOOTH = 0.05  # weight of the newest time in a mean
-MOST_ROUTES = 4_000  # routes whose means are kept
-URGENT = 0  # the rank of what others wait for with a slot of theirs in hand: it may come late
-LEAST_PART = 0.5  # of what it needs: with less time left than that, it is not begun
-STUCK, STUCK_MEANS = 0.5, 3.0  # seconds, means of its calls, in which no slot of a full server came free
-HOPE = 0.8  # part of what is left to its deadline within which even that must be expected to end
+MAX_QUEUED = 256  # requests, whatever their deadlines: a bound on memory
+# What a request is expected to need before any has ended: so many seconds, or that fraction of its latency
+# target where it is more. After a restart servers are slow and nothing is known.
+INITIAL_MEAN_S = 0.1
+INITIAL_FRACTION = 0.5
+SMOOTHING = 0.05  # weight of the newest duration in a mean
+MAX_ROUTES = 4_000  # routes whose means are kept
+URGENT = 0  # priority of requests for which others wait while they occupy a slot: they may come late
+MIN_TIME_FRACTION = 0.5  # of what a request needs: with less time left it is not started
+# A full server hangs if no slot has become free for so many seconds, and so many mean durations.
+STUCK_S, STUCK_MEANS = 0.5, 3.0
+MAX_DEADLINE_FRACTION = (
+    0.8  # of the time to its deadline in which an urgent request has to be expected to end
+)
 
 Job = TypeVar("Job")
 
 
-class Waiting(Generic[Job]):
-    """One request in the queue."""
+class QueuedRequest(Generic[Job]):
+    """One request in the queue.
+
+    `due`: until then its answer has its full value; `needs`: expected seconds.
+    """
 
     __slots__ = ("job", "rank", "due", "deadline", "needs")
 
@@ -30,72 +38,77 @@
         self.job, self.rank, self.due, self.deadline, self.needs = job, rank, due, deadline, needs
 
     def order(self, now: float) -> tuple[int, bool, float]:
-        """Lowest first: rank; those that can still earn their full worth; the earliest of them."""
+        """Sort key, the lowest first: priority; those that can be on time; the earliest of them."""
         return self.rank, now + self.needs > self.due, self.due
 
 
 class Gate(Generic[Job]):
-    """Slots of one server and the queue in front of them."""
+    """Slots of one server, and the queue for them."""
 
     def __init__(self, slots: int) -> None:
         self.slots, self.running = slots, 0
-        self.moved = 0.0  # when a slot was taken or came free last
-        self.queue: list[Waiting[Job]] = []
-        self.mean = FIRST_MEAN
+        self.moved = 0.0  # when a slot was occupied or became free last
+        self.queue: list[QueuedRequest[Job]] = []
+        self.mean = INITIAL_MEAN_S
         self.means: dict[str, tuple[float, int]] = {}  # by route: seconds, and how many ended
 
-    def needs(self, route: str, aim: float) -> float:
-        """Seconds that one of this route takes at the server, about; `aim`: its whole time, where unknown."""
+    def needs(self, route: str, latency_target: float) -> float:
+        """Expected seconds at the server; by the latency target where the route is not known yet."""
         known = self.means.get(route)
-        return known[0] if known is not None else max(FIRST_PART * aim, FIRST_MEAN)
+        return known[0] if known is not None else max(INITIAL_FRACTION * latency_target, INITIAL_MEAN_S)
 
     @property
     def queued(self) -> int:
+        """How many requests wait."""
         return len(self.queue)
 
     def wait(self, rank: int) -> float:
-        """Seconds that one of this rank would wait for a slot, about."""
+        """Expected seconds until a request of this priority gets a slot."""
         if self.running < self.slots:
             return 0.0
         ahead = sum(w.needs for w in self.queue if w.rank <= rank)
         return (ahead + self.mean) / max(self.slots, 1)
 
-    def arrive(self, now: float, waiting: Waiting[Job]) -> bool | None:
-        """True: it starts now. False: it waits. None: it is turned away, never having run."""
+    def arrive(self, now: float, waiting: QueuedRequest[Job]) -> bool | None:
+        """A request has come.
+
+        Returns:
+            True: it starts now. False: it waits. None: it is rejected, and has not run.
+        """
         if self.running < self.slots and not self.queue:
             self.running, self.moved = self.running + 1, now
             return True
-        # Danger: what waits and is not served in the end has cost its client the time to go elsewhere.
+        # A request that waits and is not served in the end has cost its client the time for another server.
         ends = now + self.wait(waiting.rank) + waiting.needs
-        by = waiting.due
+        latest = waiting.due
         if waiting.rank <= URGENT:
-            by = max(by, now + HOPE * (waiting.deadline - now))
-        if ends > by or len(self.queue) >= MOST_QUEUED:
+            latest = max(latest, now + MAX_DEADLINE_FRACTION * (waiting.deadline - now))
+        if ends > latest or len(self.queue) >= MAX_QUEUED:
             return None
         self.queue.append(waiting)
         return False
 
     def stuck(self, now: float) -> bool:
-        """Whether its server hangs: the times known of it say nothing, and who waits should go elsewhere."""
-        return self.running >= self.slots and now - self.moved > max(STUCK, STUCK_MEANS * self.mean)
+        """Whether its server hangs: queued requests should go to another one."""
+        return self.running >= self.slots and now - self.moved > max(STUCK_S, STUCK_MEANS * self.mean)
 
-    def ended(self, route: str, took: float | None) -> None:
-        """A slot is free; `took` seconds were spent in it, None where that tells nothing."""
+    def ended(self, route: str, duration: float | None) -> None:
+        """A slot has become free after `duration` seconds; None where that proves nothing."""
         self.running = max(self.running - 1, 0)
-        if took is None:
+        if duration is None:
             return
-        self.mean += SMOOTH * (took - self.mean)
+        self.mean += SMOOTHING * (duration - self.mean)
         mean, count = self.means.get(route, (0.0, 0))
-        if count or len(self.means) < MOST_ROUTES:
-            self.means[route] = mean + max(SMOOTH, 1.0 / (count + 1)) * (took - mean), count + 1
+        if count or len(self.means) < MAX_ROUTES:
+            self.means[route] = mean + max(SMOOTHING, 1.0 / (count + 1)) * (duration - mean), count + 1
 
     def next(self, now: float) -> tuple[list[Job], list[Job]]:
-        """After a slot came free: (those that start now, those turned away because their time is over)."""
+        """After a slot has become free: those that start now, and those rejected as their time is over."""
         self.moved = now
         starts: list[Job] = []
-        late = [w for w in self.queue if now + LEAST_PART * w.needs > w.deadline]
+        late = [w for w in self.queue if now + MIN_TIME_FRACTION * w.needs > w.deadline]
         if late:
-            self.queue = [w for w in self.queue if now + LEAST_PART * w.needs <= w.deadline]
+            self.queue = [w for w in self.queue if now + MIN_TIME_FRACTION * w.needs <= w.deadline]
         while self.queue and self.running < self.slots:
             best = min(self.queue, key=lambda w: w.order(now))
             self.queue.remove(best)
@@ -103,15 +116,15 @@
             starts.append(best.job)
         return starts, [w.job for w in late]
 
-    def leave(self, job: Job) -> bool:
-        """Takes one out of the queue; whether it was there."""
+    def remove(self, job: Job) -> bool:
+        """Take one out of the queue; whether it was there."""
         for waiting in self.queue:
             if waiting.job is job:
                 self.queue.remove(waiting)
                 return True
         return False
 
-    def empty(self) -> list[Job]:
-        """All that waits, taken out: the server takes nothing more."""
+    def clear(self) -> list[Job]:
+        """Take all out of the queue: the server accepts nothing more."""
         jobs, self.queue = [w.job for w in self.queue], []
         return jobs
--- a/minthitch/mesh/limits/lease.py
+++ b/minthitch/mesh/limits/lease.py
@@ -1,29 +1,26 @@
-"""The slack of each service, lent to the sidecars in parts for a bounded time by the control node that leads.
-
-A part is how much of the slack a sidecar may have out at once: its charges of the last T + LATE seconds
-(`limits.budget`) are never more than the part that it holds when it makes one. The control node keeps, for
-each life of a sidecar, a bound on what that life may hold, and lends only what all bounds together leave.
-Why no
-window holds more than the slack:
-
-- **Given back.** A sidecar told to hold less spends no more than that, and its next report says that it holds
-  max(the new part, its charges that still count); only then does the control node lower its bound. What is
-  given
-  back was not spent in any window that is still open.
-- **Lost.** A lease lasts LASTS seconds: at the sidecar from when it sent the report that the lease answers,
-at
-  the control node from when that report came, which is later. A freeze or a slow message shortens the one and
-  lengthens the other. The control node keeps a bound SURE + T + LATE longer than that, until what was spent
-  last
-  counts in no window. A later life at the same address proves that the one before has ended.
-- **Another leader.** A control node lends only while it surely leads, so its leases began before any later
-leader's
-  time. A sidecar that has heard of a later leader takes nothing of an earlier one, and tells of whom it has
-  heard. The new leader counts what such reports say as lent, which sums to at most the slack, and moves
-  only that, until all that it can't know of has run out. Before the first leader of all nothing was lent.
-- **A new life** of a sidecar holds nothing; a lease answers one life's report.
-
-Steady clocks only, each machine's own; SURE covers what two of them differ in rate.
+"""Leases on the retry allowance of each service, granted to the sidecars by the leading control node.
+
+An amount is how much of the allowance a sidecar may use at once: its charges of the last T + ARRIVAL_S
+seconds (`limits.budget`) are never more than the amount that it has when it makes one. The control node
+keeps, for each run of a sidecar, an upper bound on what that run may have, and grants only what all upper
+bounds together leave. Why no window has more than the allowance:
+
+- **Returned.** A sidecar that is granted less spends no more than that, and its next report says that it
+  has max(the new amount, its charges that still count); only then does the control node lower its bound.
+  What is returned was not spent in any window that is still open.
+- **Lost.** A lease lasts LEASE_S seconds: at the sidecar from when it sent the report that the lease
+  answers, at the control node from when that report came, which is later. A freeze or a slow message
+  shortens the one and lengthens the other. The control node keeps a bound CLOCK_MARGIN_S + T + ARRIVAL_S
+  longer than that, until what was spent last counts in no window. A later run at the same address proves
+  that the one before has ended.
+- **Another leader.** A control node grants only while it surely leads, so its leases began before any later
+  leader's time. A sidecar that knows of a later leader takes nothing of an earlier one, and reports of whom
+  it knows. The new leader counts what such reports say as leased, which sums to at most the allowance, and
+  moves only that, until all that it can't know of has expired. Before the first leader of all nothing was
+  leased.
+- **A new run** of a sidecar has nothing; a lease answers one run's report.
+
+Steady clocks only, each machine's own; CLOCK_MARGIN_S covers what two of them differ in rate.
 """
 
 from __future__ import annotations
@@ -31,205 +28,250 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from minthitch.mesh.limits.budget import LATE
+from minthitch.mesh.limits.budget import ARRIVAL_S
 
-LASTS = 6.0  # seconds: a cut of the core or a change of leader is outlived
-SURE = 0.5  # seconds by which two steady clocks may differ over all that
-LENT = 0.9  # part of the slack that is lent: the rest covers what budget.py says is not bounded
-LIVELY = 2.5  # seconds since its last report within which a sidecar takes part in the sharing
-IDLE = -1  # what one wants that has no use for any
-MOST_ROWS = 64  # services in one report
-MOST_LIVES = 20_000  # lives of sidecars that are kept
-MOST_STAMPS = 64  # reports whose times a sidecar remembers
-MOST_PENDING = 32  # leases on the way to one sidecar that it has not told of yet
+LEASE_S = 6.0  # a partition of the core or a change of leader is survived
+CLOCK_MARGIN_S = 0.5  # by which two steady clocks may differ over all that
+GRANTED_FRACTION = 0.9  # of the allowance: the rest covers what budget.py says is not bounded
+RECENT_REPORT_S = 2.5  # since its last report within which a sidecar takes part in the distribution
+NOT_NEEDED = -1  # the amount wanted by a sidecar that has no use for any
+MAX_ROWS = 64  # services in one report
+MAX_SUBSCRIBERS = 20_000  # runs of sidecars that are known
+MAX_REPORTS = 64  # whose times a sidecar remembers
+MAX_PENDING = 32  # leases to one sidecar that no report has confirmed yet
 
-Row = tuple[str, int, int]  # service, part held, part wanted, or IDLE
-Rows = tuple[tuple[str, int], ...]  # service, part
+ReportRow = tuple[str, int, int]  # service, amount leased, amount wanted or NOT_NEEDED
+LeaseRow = tuple[str, int]  # service, amount
 
 
 class Report(NamedTuple):
-    """What a sidecar says: the newest term it heard of, its stamp, the newest lease it took, its parts."""
+    """A sidecar's report: the newest term it knows, its number, the newest lease taken, the amounts."""
 
     term: int
-    stamp: int
-    taken: int
-    rows: tuple[Row, ...]
+    report_number: int
+    lease_number: int
+    rows: tuple[ReportRow, ...]
 
 
 class Lease(NamedTuple):
-    """What the leader says: its term, a number, the stamp of the report it answers, parts that change."""
+    """The leader's lease: term, number, the report that it answers, amounts that change."""
 
     term: int
     number: int
-    stamp: int
-    rows: Rows
+    report_number: int
+    rows: tuple[LeaseRow, ...]
 
 
-class Holder:
+class LeaseClient:
     """The sidecar's side. Times are seconds of its steady clock read just now."""
 
     def __init__(self, spent: Callable[[str, float], int]) -> None:
-        """`spent`: charges to the slack of a service that still count."""
-        self.spent = spent
-        self.term, self.taken, self.stamp = 0, 0, 0
-        self.sent: dict[int, float] = {}
-        self.parts: dict[str, int] = {}
-        self.until = float("-inf")
-
-    def part(self, service: str, now: float) -> int:
-        """How much of its slack is held: 0 once the lease has run out."""
-        return self.parts.get(service, 0) if now < self.until else 0
+        """`spent`: charges to the allowance of a service that still count."""
+        self.term = 0
+        self.lease_number = 0
+        self.report_number = 0
+        self.amounts: dict[str, int] = {}
+        self._spent = spent
+        self._sent_at: dict[int, float] = {}  # by number of the report
+        self._expires_at = float("-inf")
+
+    def amount(self, service: str, now: float) -> int:
+        """How much of the service's allowance is leased: 0 once the lease has expired."""
+        return self.amounts.get(service, 0) if now < self._expires_at else 0
 
     def report(self, now: float, wanted: Iterable[tuple[str, int]]) -> Report:
-        self.stamp += 1
-        self.sent[self.stamp] = now
-        self.sent.pop(self.stamp - MOST_STAMPS, None)
-        if now >= self.until:  # nothing more can be spent before another lease
-            self.parts.clear()
+        """The next report to the leader."""
+        self.report_number += 1
+        self._sent_at[self.report_number] = now
+        self._sent_at.pop(self.report_number - MAX_REPORTS, None)
+        if now >= self._expires_at:  # nothing more can be spent before another lease
+            self.amounts.clear()
         rows = tuple(
-            (name, max(self.parts.get(name, 0), self.spent(name, now)), want) for name, want in wanted
-        )[:MOST_ROWS]
-        return Report(self.term, self.stamp, self.taken, rows)
+            (name, max(self.amounts.get(name, 0), self._spent(name, now)), amount) for name, amount in wanted
+        )[:MAX_ROWS]
+        return Report(self.term, self.report_number, self.lease_number, rows)
+
+    def on_term(self, term: int) -> None:
+        """There is a leader of that term.
 
-    def heard_of(self, term: int) -> None:
-        """Danger: a lease of an earlier leader, late on its way, is not in what the new one counts."""
+        A late lease of an earlier one is not in what the new one counts.
+        """
         if term > self.term:
-            self.term, self.taken = term, 0
+            self.term = term
+            self.lease_number = 0
 
-    def take(self, now: float, lease: Lease) -> None:
-        self.heard_of(lease.term)
-        sent = self.sent.get(lease.stamp)
-        if lease.term < self.term or lease.number <= self.taken or sent is None:
+    def on_lease(self, lease: Lease) -> None:
+        """The leader has answered a report."""
+        self.on_term(lease.term)
+        sent_at = self._sent_at.get(lease.report_number)
+        if lease.term < self.term or lease.number <= self.lease_number or sent_at is None:
             return
-        self.taken = lease.number
-        for name, part in lease.rows:
-            self.parts[name] = part
-        self.until = max(self.until, sent + LASTS)
-
-
-class _Life:
-    """One life of a sidecar, as the leader knows it."""
-
-    __slots__ = ("until", "heard", "held", "wanted", "number", "pending", "rows", "stamp", "answered")
+        self.lease_number = lease.number
+        for name, amount in lease.rows:
+            self.amounts[name] = amount
+        self._expires_at = max(self._expires_at, sent_at + LEASE_S)
+
+
+class _Subscriber:
+    """One run of a sidecar, as the leader knows it."""
+
+    __slots__ = (
+        "expires_at",
+        "last_report_at",
+        "leased",
+        "wanted",
+        "lease_number",
+        "pending",
+        "next_rows",
+        "report_number",
+        "answered_number",
+    )
 
     def __init__(self) -> None:
-        self.until = self.heard = 0.0
-        self.held: dict[str, int] = {}
+        self.expires_at = self.last_report_at = 0.0
+        self.leased: dict[str, int] = {}
         self.wanted: dict[str, int] = {}
-        self.number, self.stamp, self.answered = 0, 0, 0
-        self.pending: list[tuple[int, Rows]] = []  # leases that it has not told of yet
-        self.rows: dict[str, int] = {}  # parts to be told with the next one
-
-    def bound(self, service: str) -> int:
-        """The most that it may hold."""
-        most = max(self.held.get(service, 0), self.rows.get(service, 0))
+        self.lease_number = 0
+        self.report_number = 0
+        self.answered_number = 0
+        self.pending: list[tuple[int, tuple[LeaseRow, ...]]] = []  # leases that no report has confirmed yet
+        self.next_rows: dict[str, int] = {}  # amounts to be granted with the next lease
+
+    def upper_bound(self, service: str) -> int:
+        """The largest amount that it may have."""
+        largest = max(self.leased.get(service, 0), self.next_rows.get(service, 0))
         for _, rows in self.pending:
-            for name, part in rows:
-                if name == service and part > most:
-                    most = part
-        return most
-
-
-class Lender:
+            for name, amount in rows:
+                if name == service and amount > largest:
+                    largest = amount
+        return largest
+
+    def on_report(self, now: float, report: Report) -> None:
+        """Take what a newer report says."""
+        self.report_number = report.report_number
+        self.last_report_at = now
+        self.expires_at = now + LEASE_S
+        self.leased = {name: leased for name, leased, _ in report.rows[:MAX_ROWS]}
+        self.wanted = {name: wanted for name, _, wanted in report.rows[:MAX_ROWS]}
+        self.pending = [lease for lease in self.pending if lease[0] > report.lease_number]
+
+
+class LeaseGranter:
     """The control node's side. Times are seconds of its steady clock read just now."""
 
-    def __init__(self, slack: float, window: float) -> None:
-        self.slack, self.outlast = int(slack * LENT), SURE + window + LATE
-        self.term = -1
-        self.unknown_until = 0.0
-        self.lives: dict[tuple[str, int], _Life] = {}  # by address and life: later ones are larger
-        self.known: dict[str, int] = {}  # by service: what lives held when this leader first heard them
-
-    def lead(self, now: float, term: int, first: bool) -> None:
-        """Leads now, in `term`. `first`: nobody has led before, ever."""
-        if term != self.term:
-            self.term = term
-            self.unknown_until = now if first else now + LASTS + self.outlast
-            self.lives, self.known = {}, {}
-
-    def heard(self, now: float, ip: str, epoch: int, report: Report) -> None:
-        if report.term != self.term:
+    def __init__(self, allowance: float, window: float) -> None:
+        """`allowance`: that of each service; `window`: seconds over which charges count."""
+        self.subscribers: dict[tuple[str, int], _Subscriber] = {}  # by address and epoch
+        self._allowance = int(allowance * GRANTED_FRACTION)
+        self._retention_s = CLOCK_MARGIN_S + window + ARRIVAL_S
+        self._term = -1
+        self._unknown_until = 0.0
+        self._initially_leased: dict[str, int] = {}  # by service: what the first reports to this leader said
+
+    def on_leadership(self, now: float, term: int, *, is_first_leader: bool) -> None:
+        """This node leads in `term`. `is_first_leader`: no other has ever led."""
+        if term != self._term:
+            self._term = term
+            self._unknown_until = now if is_first_leader else now + LEASE_S + self._retention_s
+            self.subscribers = {}
+            self._initially_leased = {}
+
+    def on_report(self, now: float, ip: str, epoch: int, report: Report) -> None:
+        """A run of a sidecar has reported."""
+        if report.term != self._term:
             return
-        life = self.lives.get((ip, epoch))
-        if life is None:
-            if len(self.lives) >= MOST_LIVES:
+        subscriber = self.subscribers.get((ip, epoch))
+        if subscriber is None:
+            if len(self.subscribers) >= MAX_SUBSCRIBERS:
                 return
-            life = self.lives[ip, epoch] = _Life()
-            for name, held, _ in report.rows[:MOST_ROWS]:
-                self.known[name] = self.known.get(name, 0) + held
-            for (other, one), old in self.lives.items():
-                if other == ip and one < epoch:
-                    old.until = min(old.until, now)
-        elif report.stamp <= life.stamp:
+            subscriber = self._add_subscriber(now, ip, epoch, report)
+        elif report.report_number <= subscriber.report_number:
             return
-        life.stamp, life.heard, life.until = report.stamp, now, now + LASTS
-        life.held = {name: held for name, held, _ in report.rows[:MOST_ROWS]}
-        life.wanted = {name: wanted for name, _, wanted in report.rows[:MOST_ROWS]}
-        life.pending = [sent for sent in life.pending if sent[0] > report.taken]
-
-    def share(self, now: float) -> None:
-        """Settles anew who is to hold how much; leases tell them."""
-        for key in [key for key, life in self.lives.items() if life.until + self.outlast < now]:
-            del self.lives[key]
-        for life in self.lives.values():
-            life.rows = {}
-        lively = [life for life in self.lives.values() if life.heard >= now - LIVELY]
-        for service in sorted({name for life in lively for name in life.held}):
-            self._share(now, service, [life for life in lively if service in life.held])
-
-    def _whole(self, now: float, service: str) -> int:
-        """What there is to lend: what can't be known may be held by lives not heard yet."""
-        return self.slack if now >= self.unknown_until else min(self.known.get(service, 0), self.slack)
-
-    def _share(self, now: float, service: str, lives: list[_Life]) -> None:
-        bounds = {id(life): life.bound(service) for life in self.lives.values()}
-        out = sum(bounds.values())
-        here = sum(bounds[id(life)] for life in lives)
-        free = self._whole(now, service) - out
-        targets = _targets(max(free + here, 0), [life.wanted.get(service, 0) for life in lives])
-        for life, target in sorted(zip(lives, targets, strict=True), key=lambda row: -row[0].wanted[service]):
-            bound = bounds[id(life)]
-            if target < life.held[service]:
-                life.rows[service] = target
+        subscriber.on_report(now, report)
+
+    def _add_subscriber(self, now: float, ip: str, epoch: int, report: Report) -> _Subscriber:
+        subscriber = self.subscribers[ip, epoch] = _Subscriber()
+        for name, leased, _ in report.rows[:MAX_ROWS]:
+            self._initially_leased[name] = self._initially_leased.get(name, 0) + leased
+        for (other_ip, other_epoch), other in self.subscribers.items():
+            if other_ip == ip and other_epoch < epoch:
+                other.expires_at = min(other.expires_at, now)
+        return subscriber
+
+    def distribute(self, now: float) -> None:
+        """Decide anew how much each sidecar gets; the next leases tell them."""
+        expired = [key for key, one in self.subscribers.items() if one.expires_at + self._retention_s < now]
+        for key in expired:
+            del self.subscribers[key]
+        for subscriber in self.subscribers.values():
+            subscriber.next_rows = {}
+        oldest = now - RECENT_REPORT_S
+        recent = [one for one in self.subscribers.values() if one.last_report_at >= oldest]
+        for service in sorted({name for subscriber in recent for name in subscriber.leased}):
+            self._distribute(now, service, [one for one in recent if service in one.leased])
+
+    def _available(self, now: float, service: str) -> int:
+        """How much there is to grant.
+
+        What can't be known may be leased to runs that have not reported yet.
+        """
+        if now >= self._unknown_until:
+            return self._allowance
+        return min(self._initially_leased.get(service, 0), self._allowance)
+
+    def _distribute(self, now: float, service: str, recent: list[_Subscriber]) -> None:
+        bounds = {id(one): one.upper_bound(service) for one in self.subscribers.values()}
+        bounds_of_recent = sum(bounds[id(one)] for one in recent)
+        free = self._available(now, service) - sum(bounds.values())
+        targets = _targets(max(free + bounds_of_recent, 0), [one.wanted.get(service, 0) for one in recent])
+        by_need = sorted(zip(recent, targets, strict=True), key=lambda pair: -pair[0].wanted[service])
+        for subscriber, target in by_need:
+            bound = bounds[id(subscriber)]
+            if target < subscriber.leased[service]:
+                subscriber.next_rows[service] = target
             elif target > bound and free > 0:
                 more = min(target - bound, free)
                 free -= more
-                life.rows[service] = bound + more
+                subscriber.next_rows[service] = bound + more
 
-    def lease(self, ip: str, epoch: int) -> Lease | None:
-        """For that life, now, while this control node surely leads; None where there is nothing to say."""
-        life = self.lives.get((ip, epoch))
-        if life is None or (life.stamp == life.answered and not life.rows):
+    def grant(self, ip: str, epoch: int) -> Lease | None:
+        """The lease for that run of a sidecar, while this node surely leads; None where nothing is new."""
+        subscriber = self.subscribers.get((ip, epoch))
+        if subscriber is None:
+            return None
+        if subscriber.report_number == subscriber.answered_number and not subscriber.next_rows:
             return None
-        life.number += 1
-        life.answered = life.stamp
-        rows: Rows = ()
-        if life.rows and len(life.pending) < MOST_PENDING:
-            rows = tuple(life.rows.items())
-            life.pending.append((life.number, rows))
-            life.rows = {}
-        return Lease(self.term, life.number, life.stamp, rows)
+        subscriber.lease_number += 1
+        subscriber.answered_number = subscriber.report_number
+        rows: tuple[LeaseRow, ...] = ()
+        if subscriber.next_rows and len(subscriber.pending) < MAX_PENDING:
+            rows = tuple(subscriber.next_rows.items())
+            subscriber.pending.append((subscriber.lease_number, rows))
+            subscriber.next_rows = {}
+        return Lease(self._term, subscriber.lease_number, subscriber.report_number, rows)
 
     def status(self) -> dict[str, dict[str, int]]:
-        """By service: what all lives may hold, and want."""
-        names = {name for life in self.lives.values() for name in life.held}
+        """By service: what all runs may have, and want."""
+        subscribers = self.subscribers.values()
+        names = {name for subscriber in subscribers for name in subscriber.leased}
         return {
             name: {
-                "lent": sum(life.bound(name) for life in self.lives.values()),
-                "wanted": sum(max(life.wanted.get(name, 0), 0) for life in self.lives.values()),
+                "lent": sum(subscriber.upper_bound(name) for subscriber in subscribers),
+                "wanted": sum(max(subscriber.wanted.get(name, 0), 0) for subscriber in subscribers),
             }
             for name in sorted(names)
         }
 
 
-def _targets(whole: int, wanted: list[int]) -> list[int]:
-    """Parts for each: what is wanted and an even share of the rest; by what is wanted if it is too much."""
-    total = sum(max(want, 0) for want in wanted)
-    if total > whole:
-        return [whole * max(want, 0) // total for want in wanted]
-    even, more = divmod(whole - total, max(sum(want != IDLE for want in wanted), 1))
+def _targets(available: int, wanted: list[int]) -> list[int]:
+    """Amounts for each: what is wanted and an even part of the rest; in proportion where it is too much."""
+    total = sum(max(amount, 0) for amount in wanted)
+    if total > available:
+        return [available * max(amount, 0) // total for amount in wanted]
+    takers = sum(amount != NOT_NEEDED for amount in wanted)
+    even, remainder = divmod(available - total, max(takers, 1))
     targets = []
-    for want in wanted:
-        targets.append(0 if want == IDLE else want + even + (more > 0))
-        more -= want != IDLE
+    for amount in wanted:
+        targets.append(0 if amount == NOT_NEEDED else amount + even + (remainder > 0))
+        remainder -= amount != NOT_NEEDED
     return targets
--- a/minthitch/mesh/limits/nested.py
+++ b/minthitch/mesh/limits/nested.py
@@ -1,13 +1,14 @@
-"""Which routes carry calls that the own server makes while it runs something: inferred, as nobody says so.
+"""Which routes carry calls that the sidecar's own server makes while it runs a request.
 
-A call of a run has its run beside it: it never comes while nothing runs at the server. A client's request
-comes whenever it likes. So a route whose requests were never seen while nothing ran is one of calls.
+Nobody states that, so it is inferred: such a call has the run that makes it beside it, so it never comes
+while nothing runs at the server. A client's request comes at any time. So a route whose requests were never
+seen while nothing ran is one of nested calls.
 """
 
 from __future__ import annotations
 
-ENOUGH = 5  # requests from which a route may be taken for one of calls
-MOST = 4_000  # routes kept
+MIN_REQUESTS = 5  # from so many on a route may be one of nested calls
+MAX_ROUTES = 4_000  # a bound on memory
 
 
 class Nested:
@@ -16,22 +17,23 @@
     def __init__(self) -> None:
         self.seen: dict[str, int] = {}  # requests on each so far; -1 once it is known to be clients'
 
-    def note(self, route: str, running: int) -> bool:
-        """A request came while `running` ran at the own server; whether it is taken for a call of theirs."""
+    def record(self, route: str, running: int) -> bool:
+        """A request has come while `running` ran at the own server; whether it counts as a nested call."""
         count = self.seen.get(route, 0)
         if count < 0:
             return False
         if running == 0:
             count = -1
-        elif count <= ENOUGH:
+        elif count <= MIN_REQUESTS:
             count += 1
-        if route in self.seen or len(self.seen) < MOST:
+        if route in self.seen or len(self.seen) < MAX_ROUTES:
             self.seen[route] = count
-        return count > ENOUGH
+        return count > MIN_REQUESTS
 
     def may_be(self, route: str) -> bool:
-        """Whether it has not been seen to be clients'."""
+        """Whether no request on it is known to be a client's."""
         return self.seen.get(route, 0) >= 0
 
     def is_nested(self, route: str) -> bool:
-        return self.seen.get(route, 0) > ENOUGH
+        """Whether its requests count as nested calls."""
+        return self.seen.get(route, 0) > MIN_REQUESTS
--- a/minthitch/mesh/sidecar/admission.py
+++ b/minthitch/mesh/sidecar/admission.py
@@ -17,7 +17,7 @@
 from minthitch.mesh.configuration.calls import Heartbeat, decode_heartbeat
 from minthitch.mesh.events.events import Event, log_event
 from minthitch.mesh.http.upstream import NOT_RUN, RAN, Outcome, ServerPool, Upstream, UpstreamCall
-from minthitch.mesh.limits.gate import Gate, Waiting
+from minthitch.mesh.limits.gate import Gate, QueuedRequest
 from minthitch.mesh.transport import ops
 
 PAST = 16  # lives of servers that are over and remembered: their late beats mean nothing
@@ -141,7 +141,7 @@
             self._busy(job, "stuck", False)
             return
         needs = self.gate.needs(job.route, message[4])
-        verdict = self.gate.arrive(now, Waiting(job, message[5], now + message[4], job.deadline, needs))
+        verdict = self.gate.arrive(now, QueuedRequest(job, message[5], now + message[4], job.deadline, needs))
         if verdict is None:
             self._busy(job, "full", False)
             return
@@ -209,7 +209,7 @@
             self._next()
 
     def _turn_away_queue(self, why: str) -> None:
-        for job in self.gate.empty():
+        for job in self.gate.clear():
             self._busy(job, why, False)
             self._forget(job)
 
@@ -223,7 +223,7 @@
         """Its time is over: the server ceases by itself, and its asker has answered."""
         if job.errand is not None:
             job.errand.cancel()
-        elif self.gate.leave(job):
+        elif self.gate.remove(job):
             self._busy(job, "late", False)
             self._forget(job)
 
@@ -236,7 +236,7 @@
         if job.errand is not None:
             job.errand.cancel()
         else:
-            self.gate.leave(job)
+            self.gate.remove(job)
             self._forget(job)
 
     def fell(self, origin: Hashable) -> None:
--- a/minthitch/mesh/sidecar/front.py
+++ b/minthitch/mesh/sidecar/front.py
@@ -79,7 +79,7 @@
         return self.retry_budget.need()
 
     def heard_of(self, term: int) -> None:
-        self.retry_budget.holder.heard_of(term)
+        self.retry_budget.lease_client.on_term(term)
 
     def lent(self, lease: tuple[Any, ...]) -> None:
         self.retry_budget.lent(lease)
@@ -161,7 +161,7 @@
         waited = (time.monotonic_ns() - request.heard) / 1e9 if request.heard else 0.0
         left = _deadline(request.fields.get(b"x-deadline-ms"), route.timeout) - min(waited, 1.0)
         service = route.choose(self.random.random())
-        nested = self.nested_routes.note(route.name, self.admission.gate.running)
+        nested = self.nested_routes.record(route.name, self.admission.gate.running)
         # Servers' own calls carry no key.
         self.retry_budget.taken(service, route.kind != "keyed" and self.nested_routes.may_be(route.name))
         trip = self.make_trip(self, client, request, route, service, now, left, nested)
--- a/minthitch/mesh/sidecar/retry_budget.py
+++ b/minthitch/mesh/sidecar/retry_budget.py
@@ -8,12 +8,12 @@
 from typing import Any
 
 from minthitch.mesh.configuration.settings import Bounds
-from minthitch.mesh.limits.budget import EARLY, Budget
-from minthitch.mesh.limits.lease import IDLE, Holder, Lease
+from minthitch.mesh.limits.budget import COUNTING_S, Budget
+from minthitch.mesh.limits.lease import NOT_NEEDED, Lease, LeaseClient
 from minthitch.mesh.sidecar.admission import Admission
 
 LOOK = 0.25  # seconds between two looks at the time, and
-STALLED = LOOK + EARLY  # between two that tell of a freeze
+STALLED = LOOK + COUNTING_S  # between two that tell of a freeze
 STALE_FOR = 0.1  # seconds after one in which what comes may have lain there for long
 MOST_SERVICES = 64  # whose calls by the own server are told apart
 SURPLUS = 0.05  # calls a run, beyond a whole number, that are put down to chance
@@ -30,7 +30,7 @@
     def __init__(self, bounds: Bounds, admission: Admission) -> None:
         self.bounds, self.admission = bounds, admission
         self.budgets: dict[str, Budget] = {}
-        self.holder = Holder(lambda service, now: self.of(service).slack_spent(now))
+        self.lease_client = LeaseClient(lambda service, now: self.of(service).allowance_spent(now))
         self.looked, self.stale_until = steady(), 0.0
         self.asked = False  # whether the last need said anything
         self.calls: dict[str, int] = {}  # by service: those that the own server has made
@@ -43,7 +43,7 @@
         if found is None:
             bounds = self.bounds
             found = self.budgets[service] = Budget(
-                bounds.retry_ratio, bounds.retry_win_s, lambda now: self.holder.part(service, now)
+                bounds.retry_ratio, bounds.retry_win_s, lambda now: self.lease_client.amount(service, now)
             )
         return found
 
@@ -89,7 +89,7 @@
         """Whether one more repeat may run at the own server, with the calls that it will make."""
         now = steady()
         return not self.stale(now) and all(
-            self.of(service).left(now) >= self._due(service) + self._a_run(service)
+            self.of(service).remaining(now) >= self._due(service) + self._a_run(service)
             for service in self.calls
             if self._a_run(service)
         )
@@ -102,7 +102,7 @@
         wanted = list(self._wanted(now))
         # Once more after the last: the leader is told that nothing is held any more.
         asks, self.asked = bool(wanted) or self.asked, bool(wanted)
-        return tuple(self.holder.report(now, wanted)) if asks else None
+        return tuple(self.lease_client.report(now, wanted)) if asks else None
 
     def _look(self) -> None:
         """It runs."""
@@ -116,11 +116,11 @@
             if not budget.idle(now):
                 yield name, budget.wanted(now)
             # Danger: what is not told is lent anew.
-            elif self.holder.parts.get(name) or budget.slack_spent(now):
-                yield name, IDLE
+            elif self.lease_client.amounts.get(name) or budget.allowance_spent(now):
+                yield name, NOT_NEEDED
 
     def lent(self, lease: tuple[Any, ...]) -> None:
-        self.holder.take(steady(), Lease(*lease))
+        self.lease_client.on_lease(Lease(*lease))
 
     def close(self) -> None:
         self.timer.cancel()
@@ -128,12 +128,12 @@
     def status(self, service: str) -> dict[str, int]:
         """Of one service, for operators."""
         now, budget = steady(), self.of(service)
-        slack, ratio = budget.slack_spent(now), budget.ratio_spent(now)
+        slack, ratio = budget.allowance_spent(now), budget.ratio_spent(now)
         return {
             "requests": budget.requests(now),
             "spent": slack + ratio,
-            "left": budget.left(now),
-            "lease": budget.held(now),
+            "left": budget.remaining(now),
+            "lease": budget.leased(now),
             "slack_spent": slack,
             "ratio_spent": ratio,
         }
--- a/minthitch/mesh/sidecar/tracing.py
+++ b/minthitch/mesh/sidecar/tracing.py
@@ -82,7 +82,7 @@
         self.course.note(self.front.loop.time(), word, *values)
 
     def left(self) -> int:
-        return self.front.retry_budget.of(self.service).left(steady())
+        return self.front.retry_budget.of(self.service).remaining(steady())
 
     def begin(self) -> None:
         if self.route.kind == "keyed":
--- a/minthitch/mesh/sidecar/trip.py
+++ b/minthitch/mesh/sidecar/trip.py
@@ -158,7 +158,7 @@
             return
         most = 1
         if first and not self.once:
-            copies = front.retry_budget.of(self.service).left(steady())
+            copies = front.retry_budget.of(self.service).remaining(steady())
             most = max(1, min(self.route.tries - self.arrivals, 1 + copies, RACE_MOST))
         targets = front.choice.pick(
             now,
@@ -232,7 +232,7 @@
             return False
         if all(life in self.tried for life in front.choice.targets.get(self.service, ())):
             return False
-        return len(self.paid) >= self.arrivals or front.retry_budget.of(self.service).left(steady()) > 0
+        return len(self.paid) >= self.arrivals or front.retry_budget.of(self.service).remaining(steady()) > 0
 
     # Outcomes -------------------------------------------------------------------------------------
 
@@ -351,7 +351,7 @@
             self.arrivals -= not attempt.left
             self.front.copies.cancel(attempt)
         while len(self.paid) > max(self.arrivals - 1, 0):
-            self.front.retry_budget.of(self.service).back(self.paid.pop())
+            self.front.retry_budget.of(self.service).refund(self.paid.pop())
         self.front.over(self)
 
     def abandoned(self) -> None:
--- a/rigs/simulation/planted.py
+++ b/rigs/simulation/planted.py
@@ -16,7 +16,7 @@
 from minthitch.mesh.control.state_machine import CONFIG, ROTATE, StateMachine
 from minthitch.mesh.idempotency.operations import OperationTable
 from minthitch.mesh.limits.budget import Budget, Charge
-from minthitch.mesh.limits.lease import Holder
+from minthitch.mesh.limits.lease import LeaseClient
 from minthitch.mesh.raft.actions import Action
 from minthitch.mesh.raft.leader import Leader
 from minthitch.mesh.raft.messages import AppendEntriesResponse, Message, PreVote, RequestVote
@@ -178,12 +178,12 @@
     ],
     "a budget without bound": lambda: [
         mock.patch.object(Budget, "spend", lambda *args: Charge(0, True)),
-        mock.patch.object(Budget, "left", lambda *args: 9),
+        mock.patch.object(Budget, "remaining", lambda *args: 9),
     ],
     "a replica that takes older state": lambda: [mock.patch.object(Replica, "merge", _older)],
     "a gate that passes calls of another life": lambda: [mock.patch.object(Admission, "call", _any_life)],
     "a gate that is deaf to draining": lambda: [mock.patch.object(Admission, "_be", _undrained)],
-    "slack without a lease": lambda: [mock.patch.object(Holder, "part", lambda *args: int(SLACK))],
+    "slack without a lease": lambda: [mock.patch.object(LeaseClient, "amount", lambda *args: int(SLACK))],
 }
 
 
--- a/tests/mesh/test_budget.py
+++ b/tests/mesh/test_budget.py
@@ -16,8 +16,8 @@
 
 from minthitch.mesh.limits import budget as budget_module
 from minthitch.mesh.limits import lease as lease_module
-from minthitch.mesh.limits.budget import LATE, Budget, Charge
-from minthitch.mesh.limits.lease import Holder, Lease, Lender, Report
+from minthitch.mesh.limits.budget import ARRIVAL_S, Budget, Charge
+from minthitch.mesh.limits.lease import Lease, LeaseClient, LeaseGranter, Report
 from minthitch.mesh.sidecar import retry_budget as retry_budget_module
 from minthitch.mesh.sidecar.admission import Admission
 from minthitch.mesh.sidecar.retry_budget import RetryBudget
@@ -42,8 +42,8 @@
 
     def begin(self) -> None:
         self.epoch += 1
-        self.holder = Holder(lambda service, now: self.budget.slack_spent(now))
-        self.budget = Budget(RATIO, WINDOW, lambda now: self.holder.part("s", now))
+        self.lease_client = LeaseClient(lambda service, now: self.budget.allowance_spent(now))
+        self.budget = Budget(RATIO, WINDOW, lambda now: self.lease_client.amount("s", now))
 
 
 class World:
@@ -53,7 +53,7 @@
         self.rng, self.shape, self.when = random.Random(seed), shape, when
         self.now, self.term = 0.0, 1
         self.sidecars = [SidecarNode(n, self.rng.uniform(0.0, 1000.0)) for n in range(sidecars)]
-        self.lender: Lender | None = Lender(SLACK, WINDOW)
+        self.lender: LeaseGranter | None = LeaseGranter(SLACK, WINDOW)
         self.first, self.dark = True, False
         self.mail: list[tuple[float, Callable[[], None]]] = []
         self.asked: list[float] = []
@@ -63,7 +63,7 @@
 
     def new_leader(self) -> None:
         self.term, self.first = self.term + 1, False
-        self.lender = Lender(SLACK, WINDOW)
+        self.lender = LeaseGranter(SLACK, WINDOW)
 
     def post(self, deliver: Callable[[], None]) -> None:
         self.mail.append((self.now + self.rng.choice((0.001, 0.01, 0.3)), deliver))
@@ -91,10 +91,10 @@
         lender = self.lender
         if lender is None or self.dark:
             return
-        lender.lead(self.now, self.term, self.first)
-        lender.share(self.now)
+        lender.on_leadership(self.now, self.term, is_first_leader=self.first)
+        lender.distribute(self.now)
         for sidecar in self.sidecars:
-            lease = lender.lease(sidecar.ip, sidecar.epoch)
+            lease = lender.grant(sidecar.ip, sidecar.epoch)
             if lease is not None and not sidecar.cut:
                 self.post(partial(self._leased, sidecar, sidecar.epoch, lease))
 
@@ -104,22 +104,22 @@
         if sidecar.frozen:
             self.post(lambda: self._leased(sidecar, epoch, lease))
         else:
-            sidecar.holder.take(self.now + sidecar.offset, lease)
+            sidecar.lease_client.on_lease(lease)
 
     def _report(self, sidecar: SidecarNode) -> None:
         if sidecar.down or sidecar.frozen:
             return
         now = self.now + sidecar.offset
-        sidecar.holder.heard_of(self.term if not sidecar.cut else 0)
-        report = sidecar.holder.report(now, [("s", sidecar.budget.wanted(now))])
+        sidecar.lease_client.on_term(self.term if not sidecar.cut else 0)
+        report = sidecar.lease_client.report(now, [("s", sidecar.budget.wanted(now))])
         lender = self.lender
         if lender is not None and not sidecar.cut and not self.dark:
-            lender.lead(self.now, self.term, self.first)
+            lender.on_leadership(self.now, self.term, is_first_leader=self.first)
             self.post(lambda: self._heard(lender, sidecar.ip, sidecar.epoch, report))
 
-    def _heard(self, lender: Lender, ip: str, epoch: int, report: Report) -> None:
+    def _heard(self, lender: LeaseGranter, ip: str, epoch: int, report: Report) -> None:
         if lender is self.lender and not self.dark:
-            lender.heard(self.now, ip, epoch, report)
+            lender.on_report(self.now, ip, epoch, report)
 
     def _people(self, sidecar: SidecarNode) -> None:
         now = self.now + sidecar.offset
@@ -135,7 +135,7 @@
     def _copy(self, sidecar: SidecarNode, now: float) -> bool:
         if sidecar.budget.spend(now) is None:
             return False
-        self.further.append(self.now + self.rng.choice((0.0, 0.05, LATE)))
+        self.further.append(self.now + self.rng.choice((0.0, 0.05, ARRIVAL_S)))
         return True
 
 
@@ -251,7 +251,7 @@
 
         world.run(45.0, (22.0, join))
         self.kept(world, 0.8)
-        self.assertTrue(all(sidecar.holder.parts["s"] >= 3 for sidecar in world.sidecars))
+        self.assertTrue(all(sidecar.lease_client.amounts["s"] >= 3 for sidecar in world.sidecars))
 
     def test_leaders_change_while_vises_are_cut_off_or_frozen(self) -> None:
         for seed in range(4):
@@ -282,22 +282,22 @@
         )
 
         world.run(16.0)
-        before = world.sidecars[0].holder.parts["s"]
+        before = world.sidecars[0].lease_client.amounts["s"]
         self.assertGreater(before, 35)
         world.run(40.0)
-        self.assertLess(world.sidecars[0].holder.parts["s"], 12)
-        self.assertLessEqual(sum(sidecar.holder.parts["s"] for sidecar in world.sidecars), SLACK)
+        self.assertLess(world.sidecars[0].lease_client.amounts["s"], 12)
+        self.assertLessEqual(sum(sidecar.lease_client.amounts["s"] for sidecar in world.sidecars), SLACK)
 
     def test_without_a_fresh_lease_or_in_a_new_life_there_is_none(self) -> None:
         world = World(1, 4, even(0.0), never)
         world.run(3.0)
         sidecar = world.sidecars[0]
-        self.assertEqual(sidecar.budget.held(world.now + sidecar.offset), 14)
+        self.assertEqual(sidecar.budget.leased(world.now + sidecar.offset), 14)
         sidecar.cut = True
-        world.run(3.0 + lease_module.LASTS + 0.6)
-        self.assertEqual(sidecar.budget.held(world.now + sidecar.offset), 0)
+        world.run(3.0 + lease_module.LEASE_S + 0.6)
+        self.assertEqual(sidecar.budget.leased(world.now + sidecar.offset), 0)
         world.sidecars[1].begin()
-        self.assertEqual(world.sidecars[1].budget.left(world.now), 0)
+        self.assertEqual(world.sidecars[1].budget.remaining(world.now), 0)
 
     def test_memory_is_bounded(self) -> None:
         budget, rng = Budget(RATIO, WINDOW, lambda now: 10**9), random.Random(1)
@@ -306,28 +306,31 @@
             now += rng.expovariate(200.0)
             budget.request(now)
             budget.spend(now)
-        kept = len(budget.taken.rows) + len(budget.spent.rows) + len(budget.drawn.rows)
+        kept = sum(
+            len(counts.rows)
+            for counts in (budget.requests_sent, budget.ratio_charges, budget.allowance_charges)
+        )
         self.assertLess(kept, 4 * budget_module.SPANS)
-        holder = Holder(lambda service, now: 0)
+        client = LeaseClient(lambda service, now: 0)
         for n in range(1_000):
-            report = holder.report(float(n), [(f"s{k}", 0) for k in range(1_000)])
-        self.assertEqual(len(holder.sent), lease_module.MOST_STAMPS)
-        self.assertEqual(len(report.rows), lease_module.MOST_ROWS)
-        lender = Lender(SLACK, WINDOW)
-        lender.lead(0.0, 0, True)
+            report = client.report(float(n), [(f"s{k}", 0) for k in range(1_000)])
+        self.assertEqual(len(client._sent_at), lease_module.MAX_REPORTS)
+        self.assertEqual(len(report.rows), lease_module.MAX_ROWS)
+        lender = LeaseGranter(SLACK, WINDOW)
+        lender.on_leadership(0.0, 0, is_first_leader=True)
         for n in range(200):
-            lender.heard(0.0, "v", 1, report._replace(stamp=10**6 + n, taken=0))
-            lender.share(0.0)
-            lender.lease("v", 1)
-        self.assertLessEqual(len(lender.lives["v", 1].pending), lease_module.MOST_PENDING)
+            lender.on_report(0.0, "v", 1, report._replace(report_number=10**6 + n, lease_number=0))
+            lender.distribute(0.0)
+            lender.grant("v", 1)
+        self.assertLessEqual(len(lender.subscribers["v", 1].pending), lease_module.MAX_PENDING)
 
     def test_what_never_arrived_is_given_back(self) -> None:
         budget = Budget(RATIO, WINDOW, lambda now: 1)
         charge = budget.spend(1.0)
         self.assertIsNotNone(charge)
         self.assertIsNone(budget.spend(1.0))
-        budget.back(charge)  # type: ignore[arg-type]
-        self.assertEqual(budget.left(1.0), 1)
+        budget.refund(charge)  # type: ignore[arg-type]
+        self.assertEqual(budget.remaining(1.0), 1)
 
 
 class Played(unittest.TestCase):
@@ -335,7 +338,7 @@
 
     def test_each_further_arrival_is_paid_once_and_nothing_else_is(self) -> None:
         paid = [0]
-        charge, back = Budget._charge, Budget.back
+        charge, back = Budget._charge, Budget.refund
 
         def counted(budget: Budget, now: float, slack: bool) -> Charge:
             paid[0] += 1
@@ -345,7 +348,7 @@
             paid[0] -= 1
             back(budget, spent)
 
-        with mock.patch.object(Budget, "_charge", counted), mock.patch.object(Budget, "back", given):
+        with mock.patch.object(Budget, "_charge", counted), mock.patch.object(Budget, "refund", given):
             played = play(3, [], Day(seconds=25.0, rate=10.0, quiet=5.0, mood=0.1))
         self.assertEqual(played.broken, [])
         further = arrivals(played)
@@ -415,16 +418,16 @@
         return use(world.asked, world.further) > 1.0
 
     def test_no_leases(self) -> None:
-        with mock.patch.object(Holder, "part", lambda *args: int(SLACK)):
+        with mock.patch.object(LeaseClient, "amount", lambda *args: int(SLACK)):
             world = World(1, 6, even(4.0))
             world.run(15.0)
         self.assertTrue(self.broken(world))
 
     def test_leases_not_waited_out(self) -> None:
-        def lead(lender: Lender, now: float, term: int, first: bool) -> None:
-            _LEAD(lender, now, term, True)
+        def lead(lender: LeaseGranter, now: float, term: int, *, is_first_leader: bool) -> None:
+            _LEAD(lender, now, term, is_first_leader=True)
 
-        with mock.patch.object(Lender, "lead", lead):
+        with mock.patch.object(LeaseGranter, "on_leadership", lead):
             world = World(1, 6, even(0.5))
 
             def part() -> None:
@@ -435,39 +438,43 @@
         self.assertTrue(self.broken(world))
 
     def test_lives_that_ended_forgotten(self) -> None:
-        heard = Lender.heard
+        heard = LeaseGranter.on_report
 
-        def forgets(lender: Lender, now: float, ip: str, epoch: int, report: Report) -> None:
-            for key in [key for key in lender.lives if key[0] == ip and key[1] < epoch]:
-                del lender.lives[key]
+        def forgets(lender: LeaseGranter, now: float, ip: str, epoch: int, report: Report) -> None:
+            for key in [key for key in lender.subscribers if key[0] == ip and key[1] < epoch]:
+                del lender.subscribers[key]
             heard(lender, now, ip, epoch, report)
 
-        with mock.patch.object(Lender, "heard", forgets):
+        with mock.patch.object(LeaseGranter, "on_report", forgets):
             world = World(1, 6, even(0.5))
             world.run(15.0, *((6.0 + n, sidecar.begin) for n in range(4) for sidecar in world.sidecars))
         self.assertTrue(self.broken(world))
 
     def test_spends_forgotten_before_their_window_is_over(self) -> None:
         def young(budget: Budget, now: float) -> int:
-            return sum(number for span, number in budget.drawn.rows if span > budget._at(now) - 40)
+            return sum(
+                number for span, number in budget.allowance_charges.rows if span > budget._span_of(now) - 40
+            )
 
-        with mock.patch.object(Budget, "slack_spent", young):
+        with mock.patch.object(Budget, "allowance_spent", young):
             world = World(1, 6, even(0.5))
             world.run(15.0)
         self.assertTrue(self.broken(world))
 
     def test_own_newest_window_without_more(self) -> None:
         def newest(budget: Budget, now: int) -> int:
-            earned = sum(number for span, number in budget.taken.rows if span > now - budget_module.SPANS)
-            return int(budget.ratio * earned) - budget.spent.total(now)
+            earned = sum(
+                number for span, number in budget.requests_sent.rows if span > now - budget_module.SPANS
+            )
+            return int(budget.ratio * earned) - budget.ratio_charges.total(now)
 
-        with mock.patch.object(Budget, "_look", newest):
+        with mock.patch.object(Budget, "_remaining_by_ratio", newest):
             world = World(1, 6, in_turn, at_its_end)
             world.run(45.0)
         self.assertTrue(self.broken(world))
 
 
-_LEAD = Lender.lead
+_LEAD = LeaseGranter.on_leadership
 
 
 class Repeats(unittest.TestCase):
@@ -513,16 +520,16 @@
         for _ in range(20):
             self.run_one(2, False)
         self.assertFalse(self.retry_budget.may_repeat())
-        self.retry_budget.holder.until = self.now + 5.0
-        self.retry_budget.holder.parts["deep"] = 2
+        self.retry_budget.lease_client._expires_at = self.now + 5.0
+        self.retry_budget.lease_client.amounts["deep"] = 2
         self.assertTrue(self.retry_budget.may_repeat())
         self.house.repeated = self.house.repeats = 1  # one is begun: its calls are spoken for
         self.assertFalse(self.retry_budget.may_repeat())
 
     def test_spent_slack_is_told_even_of_a_service_that_nobody_asks_for_any_more(self) -> None:
         budget = self.retry_budget.of("deep")
-        stamp = self.retry_budget.holder.report(self.now, []).stamp
-        self.retry_budget.holder.take(self.now, Lease(1, 1, stamp, (("deep", 3),)))
+        number = self.retry_budget.lease_client.report(self.now, []).report_number
+        self.retry_budget.lease_client.on_lease(Lease(1, 1, number, (("deep", 3),)))
         self.assertIsNotNone(budget.spend(self.now))
         self.now += 7.0  # the lease has run out, the window of what was spent has not
         self.assertEqual([row[:2] for row in self.told()], [("deep", 1)])
@@ -530,13 +537,13 @@
         self.assertEqual(self.told(), [])
 
     def told(self) -> list[Any]:
-        return list(self.retry_budget.holder.report(self.now, self.retry_budget._wanted(self.now)).rows)
+        return list(self.retry_budget.lease_client.report(self.now, self.retry_budget._wanted(self.now)).rows)
 
     def test_after_a_freeze_nothing_is_earned_and_no_repeat_begun(self) -> None:
         self.now += 3.0
         self.retry_budget.taken("deep", False)
         self.assertEqual(
-            (len(self.retry_budget.of("deep").taken.rows), self.retry_budget.may_repeat()), (0, False)
+            (len(self.retry_budget.of("deep").requests_sent.rows), self.retry_budget.may_repeat()), (0, False)
         )
 
 
--- a/tests/mesh/test_bulk.py
+++ b/tests/mesh/test_bulk.py
@@ -7,7 +7,7 @@
 import unittest
 from typing import Any
 
-from minthitch.mesh.limits.bulk import MOST_WAITING, OFFERED_FROM, WINDOW, BulkAdmission, Offer
+from minthitch.mesh.limits.bulk import MAX_WAITING, OFFERED_FROM, WINDOW, BulkAdmission, Offer
 from minthitch.mesh.sidecar.offers import OfferSender
 from minthitch.mesh.transport import ops
 
@@ -69,8 +69,8 @@
 
     def test_a_bound_on_what_waits(self) -> None:
         self.bulk.offer(0.0, offer("first", WINDOW))
-        verdicts = [self.bulk.offer(0.0, offer(n, 60_000)) for n in range(MOST_WAITING + 1)]
-        self.assertEqual(verdicts, [False] * MOST_WAITING + [None])
+        verdicts = [self.bulk.offer(0.0, offer(n, 60_000)) for n in range(MAX_WAITING + 1)]
+        self.assertEqual(verdicts, [False] * MAX_WAITING + [None])
 
 
 class ThinLink(unittest.TestCase):
--- a/tests/mesh/test_delivery_trips.py
+++ b/tests/mesh/test_delivery_trips.py
@@ -44,7 +44,7 @@
         loop, self.said = VirtualLoop(1), list[int]()
         self.copies, operations = Copies(whole), OperationTable(60.0)
         budget = mock.Mock()
-        budget.left.return_value = 0
+        budget.remaining.return_value = 0
         front: Any = SimpleNamespace(
             last=math.inf,
             loop=loop,
--- a/tests/mesh/test_glossary.py
+++ b/tests/mesh/test_glossary.py
@@ -19,7 +19,6 @@
 REMAINING = frozenset(
     {
         "minthitch/mesh/transport",
-        "minthitch/mesh/limits",
         "minthitch/mesh/sidecar",
         "minthitch/mesh/http",
         "minthitch/decisions",
--- a/tests/mesh/test_parts.py
+++ b/tests/mesh/test_parts.py
@@ -7,7 +7,7 @@
 
 from minthitch.mesh.idempotency.claims import Claim, ClaimCommand, ClaimTable
 from minthitch.mesh.idempotency.operations import MAX_ANSWER_BYTES, OperationState, OperationTable
-from minthitch.mesh.limits.gate import MOST_QUEUED, Gate, Waiting
+from minthitch.mesh.limits.gate import MAX_QUEUED, Gate, QueuedRequest
 from minthitch.mesh.registry.merged_views import MergedViews
 from minthitch.mesh.registry.records import SidecarRecord
 from minthitch.mesh.registry.registry import EXPIRY_S, Registry, RegistryDelta
@@ -79,7 +79,7 @@
         now = 0.0
         for job in range(300):
             now += rng.expovariate(20.0)
-            waiting = Waiting(job, rng.randrange(3), now + 0.3, now + 0.6, 0.02)
+            waiting = QueuedRequest(job, rng.randrange(3), now + 0.3, now + 0.6, 0.02)
             verdict = gate.arrive(now, waiting)
             fate[job] = {True: "ran", False: "waits", None: "away"}[verdict]
             if verdict:
@@ -92,15 +92,15 @@
                 fate.update(dict.fromkeys(starts, "ran") | dict.fromkeys(late, "away"))
             self.assertLessEqual(len(running), slots)
             self.assertEqual(len(running), gate.running)
-            self.assertLessEqual(gate.queued, MOST_QUEUED)
+            self.assertLessEqual(gate.queued, MAX_QUEUED)
         waits = [job for job, end in fate.items() if end == "waits"]
-        self.assertEqual(sorted(waits), sorted(gate.empty()))
+        self.assertEqual(sorted(waits), sorted(gate.clear()))
 
     def test_a_lower_rank_goes_first_and_what_can_be_in_time_before_what_cannot(self) -> None:
         gate: Gate[str] = Gate(1)
-        gate.arrive(0.0, Waiting("runs", 1, 1.0, 9.0, 0.1))
+        gate.arrive(0.0, QueuedRequest("runs", 1, 1.0, 9.0, 0.1))
         for name, rank, due in (("late", 1, 0.35), ("later", 1, 2.0), ("soon", 1, 1.0), ("inner", 0, 3.0)):
-            self.assertIs(gate.arrive(0.0, Waiting(name, rank, due, 9.0, 0.1)), False)
+            self.assertIs(gate.arrive(0.0, QueuedRequest(name, rank, due, 9.0, 0.1)), False)
         order = []
         for _ in range(4):
             gate.ended("r", 0.1)
@@ -110,18 +110,18 @@
     def test_one_that_cannot_be_served_in_time_is_turned_away_at_once(self) -> None:
         gate: Gate[int] = Gate(1)
         gate.mean = 0.5
-        gate.arrive(0.0, Waiting(0, 1, 1.0, 1.0, 0.2))
-        self.assertIsNone(gate.arrive(0.0, Waiting(1, 1, 0.3, 0.4, 0.2)))
+        gate.arrive(0.0, QueuedRequest(0, 1, 1.0, 1.0, 0.2))
+        self.assertIsNone(gate.arrive(0.0, QueuedRequest(1, 1, 0.3, 0.4, 0.2)))
 
     def test_a_full_server_that_frees_no_slot_is_stuck_until_one_comes_free(self) -> None:
         gate: Gate[int] = Gate(2)
         for n in range(2):
-            self.assertTrue(gate.arrive(0.1 * n, Waiting(n, 1, 9.0, 9.0, 0.1)))
+            self.assertTrue(gate.arrive(0.1 * n, QueuedRequest(n, 1, 9.0, 9.0, 0.1)))
         self.assertEqual([gate.stuck(now) for now in (0.5, 0.7)], [False, True])
         gate.ended("r", 2.0)
         self.assertEqual(gate.next(0.8), ([], []))
         self.assertFalse(gate.stuck(1.4))  # not full
-        self.assertTrue(gate.arrive(1.4, Waiting(2, 1, 9.0, 9.0, 0.1)))
+        self.assertTrue(gate.arrive(1.4, QueuedRequest(2, 1, 9.0, 9.0, 0.1)))
         gate.mean = 0.5
         self.assertEqual([gate.stuck(now) for now in (2.8, 3.0)], [False, True])  # a slow one: three means
 
