--- a/minthitch/mesh/configuration/__init__.py
+++ b/minthitch/mesh/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration: what a process is told, the items in force, routes, calls and the kinds of error."""
+"""Settings of a process, items in force, routes, calls and kinds of errors."""
--- a/minthitch/mesh/configuration/calls.py
+++ b/minthitch/mesh/configuration/calls.py
@@ -26,11 +26,11 @@
     Call("patch", b"POST", b"/Config.Patch", "patch"),
     Call("fetch", b"GET", b"/Config.Fetch", "fetch"),
     Call("status", b"GET", b"/Mesh.Status", "status"),  # our own: what this process knows, for its operators
-    Call("trace", b"POST", b"/Mesh.Trace/{}", "trace"),  # ours, at a sidecar: for so many seconds
+    Call("trace", b"POST", b"/Mesh.Trace/{}", "trace"),  # our own, at a sidecar: for so many seconds
     Call(
         "explain", b"GET", b"/Mesh.Explain/{}", "explain"
     ),  # ours, at a sidecar: a request by its X-Request-Id
-    Call("whole", b"GET", b"/Mesh.Config", "whole"),  # ours, at a control node: what stands, with its index
+    Call("whole", b"GET", b"/Mesh.Config", "whole"),  # our own, at a control node: all items with their index
 )
 
 
--- a/minthitch/mesh/configuration/errors.py
+++ b/minthitch/mesh/configuration/errors.py
@@ -14,7 +14,7 @@
     BAD_REQUEST = "bad request"  # no proper head or body; clients do not try again
     HEADER_TOO_LARGE = "header too large"  # over Limits.HdrBytes
     BODY_TOO_LARGE = "body too large"  # over Limits.BodyBytes
-    HEADER_SLOW = "header slow"  # head not whole after Limits.HdrS
+    HEADER_SLOW = "header slow"  # head not complete after Limits.HdrS
     NO_ROUTE = "no route"  # no route of this host begins the path
     # The request has not run and never will: another node or another moment may do.
     NO_CONFIG = "no configuration"  # this node has never learnt one; a 404 would be a lie
@@ -27,7 +27,7 @@
     KEY_UNKNOWN = "key unknown"  # ended without an answer: it may have run
     KEY_DIFFERS = "key differs"  # one key, two different operations
     # It may have run: nothing is promised.
-    MAY_HAVE_RUN = "may have run"  # sent to a server, and no whole answer came
+    MAY_HAVE_RUN = "may have run"  # sent to a server, and no complete answer came
     DEADLINE = "deadline"  # time ran out while a server had it
     # Calls of the operator and of servers.
     BAD_CONFIG = "bad configuration"  # invalid: no part in force
--- a/minthitch/mesh/configuration/settings.py
+++ b/minthitch/mesh/configuration/settings.py
@@ -23,7 +23,7 @@
 
 
 class SettingsError(Exception):
-    """The settings can't be used: `key` holds `value`, and `why` says what is wrong with it."""
+    """The settings can't be used: `key` has `value`, and `why` states the problem."""
 
     def __init__(self, key: str, value: str, why: str) -> None:
         super().__init__(f"{key}={value}: {why}")
@@ -222,7 +222,7 @@
 
 
 def _named(message: str, values: dict[str, str]) -> SettingsError:
-    """The complaint of msgspec ("... - at `$.Self.Init`") told with the file's own key and value."""
+    """The complaint of msgspec ("... - at `$.Self.Init`") with the key and value of the file."""
     why, _, path = message.partition(" - at `$")
     key = path.strip(".`").partition("[")[0]
     problem, _, name = why.partition("missing required field `")
--- a/minthitch/mesh/control/consensus.py
+++ b/minthitch/mesh/control/consensus.py
@@ -102,7 +102,7 @@
             self.carry_out(self.raft.receive(self._loop.time(), source, message))
 
     def is_up_to_date(self, now: float) -> bool:
-        """Whether everything committed is applied here, as far as a leader in contact with a quorum told."""
+        """Whether everything committed is applied here, as far as a leader in contact reported."""
         raft = self.raft
         return raft.in_contact_with_quorum(now) and raft.last_applied >= raft.commit_index > 0
 
--- a/minthitch/mesh/control/peer_links.py
+++ b/minthitch/mesh/control/peer_links.py
@@ -60,7 +60,7 @@
             link.send(envelope, 0)
 
     def on_hello(self, address: str, location: tuple[str, ...]) -> None:
-        """Another control node has connected to this one, and told its zone and region.
+        """Another control node has connected to this one, and sent its zone and region.
 
         The seeds of a learner may not include the leader, but then the leader connects to the learner.
         """
--- a/minthitch/mesh/control/server.py
+++ b/minthitch/mesh/control/server.py
@@ -155,7 +155,7 @@
         self.proposals.on_applied(entry, result)
 
     def on_state_changed(self) -> None:
-        """Sidecars have to be told of the configuration or of the voters."""
+        """Sidecars have to be notified of the configuration or of the voters."""
         self.updates.schedule()
 
     def on_leader_changed(self) -> None:
--- a/minthitch/mesh/raft/follower.py
+++ b/minthitch/mesh/raft/follower.py
@@ -38,8 +38,7 @@
         self._member = member
         self._persistence = persistence
         self._shutdown = shutdown
-        # A vote given before this start may rest on a leader that was alive then: wait as if it was heard
-        # now.
+        # Before its start this member may have rejected candidates as a leader was alive: go on with that.
         self.last_contact = now  # with a leader
         self.quorum_contact_at = float("-inf")  # with a leader that was in contact with a quorum
         self.match_index = 0  # up to here the log equals the leader's
--- a/minthitch/mesh/registry/records.py
+++ b/minthitch/mesh/registry/records.py
@@ -11,7 +11,7 @@
 
     UP = "up"
     DRAINING = "draining"
-    NONE = "none"  # its sidecar takes it for gone
+    NONE = "none"  # its sidecar counts it as lost
 
 
 class SidecarRecord(NamedTuple):
--- a/minthitch/mesh/registry/registry.py
+++ b/minthitch/mesh/registry/registry.py
@@ -19,7 +19,7 @@
 
 
 class Registry:
-    """`version` grows with each change that others have to be told."""
+    """`version` grows with each change that others have to be notified of."""
 
     def __init__(self) -> None:
         self.records: dict[str, SidecarRecord] = {}  # by address
@@ -28,7 +28,7 @@
         self._changed_at: dict[str, int] = {}  # version of the last change or drop, in the order of versions
 
     def update(self, now: float, record: SidecarRecord) -> bool:
-        """Take a report; whether others have to be told."""
+        """Take a report; whether others have to be notified."""
         known = self.records.get(record.ip)
         if known is not None and not is_newer(record, known):
             return False
--- a/minthitch/mesh/storage/store.py
+++ b/minthitch/mesh/storage/store.py
@@ -40,7 +40,7 @@
 )
 
 FILE_NAME = "data.mdb"
-# this part of the file's limit is reserved for a snapshot once the log has filled the file
+# This part of the file's limit is reserved for a snapshot once the log has filled the file
 RESERVE_DIVISOR = 4
 REUSE_COMMITS = 2  # further commits after which LMDB reuses the pages that a commit has freed
 FIRST_PAGES_BYTES = 4 * 4096
