--- a/tests/mesh/test_architecture.py
+++ b/tests/mesh/test_architecture.py
@@ -5,8 +5,11 @@
 import ast
 import re
 import unittest
+from graphlib import CycleError, TopologicalSorter
 from pathlib import Path
 
+from tests.mesh.test_glossary import FINISHED, Glossary
+
 ROOT = Path(__file__).parents[2]
 PAGE = ROOT / "docs" / "ARCHITECTURE.md"
 STEP = re.compile(r"^\| \d+ \| `(?P<file>[^`]+)` \| `(?P<function>[^`]+)` \| (?P<text>.*) \|$", re.MULTILINE)
@@ -25,6 +28,25 @@
     return found
 
 
+def imports(path: Path, modules: frozenset[str]) -> set[str]:
+    """The modules that a module imports, also those for types only."""
+    found: set[str] = set()
+    for node in ast.walk(ast.parse(path.read_text())):
+        if isinstance(node, ast.ImportFrom) and node.module:
+            submodules = {f"{node.module}.{alias.name}" for alias in node.names} & modules
+            found |= submodules or ({node.module} & modules)
+    return found
+
+
+def cycle_in(graph: dict[str, set[str]]) -> list[str]:
+    """An import circle; empty: there is none."""
+    try:
+        TopologicalSorter(graph).prepare()
+    except CycleError as error:
+        return list(error.args[1])
+    return []
+
+
 class Architecture(unittest.TestCase):
     def setUp(self) -> None:
         self.text = PAGE.read_text()
@@ -44,6 +66,17 @@
         for name in names:
             self.assertTrue((ROOT / name).exists(), name)
 
+    def test_finished_packages_have_no_import_circle(self) -> None:
+        packages = [name for name, standing in Glossary().packages.items() if standing == FINISHED]
+        paths = [path for package in packages for path in (ROOT / package).rglob("*.py")]
+        names = {path: ".".join(path.relative_to(ROOT).with_suffix("").parts) for path in paths}
+        modules = frozenset(names.values())
+        self.assertGreater(len(modules), 50)
+        self.assertEqual(cycle_in({name: imports(path, modules) for path, name in names.items()}), [])
+
+    def test_a_circle_is_found(self) -> None:
+        self.assertTrue(cycle_in({"a": {"b"}, "b": {"c"}, "c": {"a"}}))
+
 
 if __name__ == "__main__":
     unittest.main()
