--- a/rigs/simulation/faults.py
+++ b/rigs/simulation/faults.py
@@ -305,15 +305,15 @@
         last = FLASH if kind == "swap" else RESTART if kind == "image-power" else max(fault.last, RESTART)
         self._lasts(fault._replace(last=last), "core", lambda: self._begin(control))
         if kind == "image-power":
-            self._at_image(fault, control, self.loop.now + WAITS)
+            self._at_snapshot(fault, control, self.loop.now + WAITS)
 
-    def _at_image(self, fault: Fault, control: ControlNode, until: float) -> None:
+    def _at_snapshot(self, fault: Fault, control: ControlNode, until: float) -> None:
         """Power is lost where an image is half sent, at either end."""
-        if control.half_image:
+        if control.has_partial_snapshot:
             node = self.loop.random.choice((control, self.site.leader()))
             self._one(fault._replace(kind="power-control"), node, "core")
         elif self.loop.now < until:
-            self.loop.after(0.002, self.loop.world, self._at_image, fault, control, until)
+            self.loop.after(0.002, self.loop.world, self._at_snapshot, fault, control, until)
 
     def _at_write(self, fault: Fault) -> None:
         """The leader has a write under way: it freezes, and the write is done when it wakes or before; or
--- a/rigs/simulation/mesh.py
+++ b/rigs/simulation/mesh.py
@@ -99,7 +99,7 @@
         own = SelfSettings(
             node=self.ip, mclass="core", ip=self.ip, az=zone_of(self.ip), region="r", init=self.starts == 1
         )
-        server = self.server = self.site.make_hall(
+        server = self.server = self.site.make_control(
             self.boot(own), cast(Store, SimStore(self.disk)), self._writer, self.loop.time
         )
         self._watch_state(server.state)
@@ -164,7 +164,7 @@
         return "follower" if touch else "recovering"
 
     @property
-    def half_image(self) -> bool:
+    def has_partial_snapshot(self) -> bool:
         """It has a part of a leader's image."""
         return self.server is not None and self.server.raft.follower.incoming_snapshot is not None
 
@@ -242,7 +242,7 @@
         self.clients.clear()
 
 
-MakeHall = Callable[..., ControlServer]
+MakeControl = Callable[..., ControlServer]
 MakeFront = Callable[..., Front]
 
 
@@ -252,7 +252,7 @@
     def __init__(
         self,
         seed: int,
-        make_hall: MakeHall = ControlServer,
+        make_control: MakeControl = ControlServer,
         make_front: MakeFront = Front,
         controls: tuple[str, ...] = CONTROLS,
         make_network: Callable[[VirtualLoop], Network] = Network,
@@ -262,7 +262,7 @@
         self.history = History()
         self.loop.failures = lambda who, what: self.say("fault", who, why=what)
         self.network = make_network(self.loop)
-        self.make_hall, self.make_front = make_hall, make_front
+        self.make_control, self.make_front = make_control, make_front
         self.sync = self.random.choice(((0.002, 0.012), (0.01, 0.06)))  # seconds of a write at its disks
         self.lands = self.random.choice((0.0, 0.0, 0.5, 1.0))  # chance of a write when power is lost
         self.controls = [ControlNode(self, ip) for ip in controls]
--- a/rigs/simulation/play.py
+++ b/rigs/simulation/play.py
@@ -22,11 +22,11 @@
 from rigs.simulation.faults import Fault, Faults, drawn
 from rigs.simulation.history import History
 from rigs.simulation.loop import VirtualLoop
-from rigs.simulation.mesh import CONTROLS, MakeFront, MakeHall, Site
+from rigs.simulation.mesh import CONTROLS, MakeControl, MakeFront, Site
 from rigs.simulation.network import Network
 from rigs.simulation.people import Operators, People
 
-IMAGES = (10, 25, 60)  # entries between two images; a day has some 250
+SNAPSHOT_INTERVALS = (10, 25, 60)  # entries between two images; a day has some 250
 TAILS = (0, 6, 40)  # entries that are kept before an image
 PIECES = (300, 2_000, 64 * 1024)  # bytes of entries or of an image in one message
 Deed = Callable[[Site, People, Operators], None]
@@ -41,7 +41,7 @@
     quiet: float = 7.0  # seconds after the last fault, in which all comes right again
     mood: float | None = None  # part of all runs that go wrong at their server; None: drawn
     deeds: tuple[tuple[float, Deed], ...] = ()
-    make_hall: MakeHall = ControlServer
+    make_control: MakeControl = ControlServer
     make_front: MakeFront = Front
     controls: tuple[str, ...] = CONTROLS
     make_network: Callable[[VirtualLoop], Network] = Network
@@ -70,7 +70,7 @@
             *_small(chance),
         ):
             stack.enter_context(patch)
-        site = Site(seed, day.make_hall, day.make_front, day.controls, day.make_network)
+        site = Site(seed, day.make_control, day.make_front, day.controls, day.make_network)
         _run(site, faults, day)
     site.loop.close()
     return Played(site.history, violations(site.history), site)
@@ -79,7 +79,7 @@
 def _small(chance: random.Random) -> list[Any]:
     """Figures so small that images, and claims that grow old, come in every day."""
     return [
-        mock.patch.object(consensus_module, "MAX_SNAPSHOT_ENTRIES", chance.choice(IMAGES)),
+        mock.patch.object(consensus_module, "MAX_SNAPSHOT_ENTRIES", chance.choice(SNAPSHOT_INTERVALS)),
         mock.patch.object(server_module, "CLAIM_MARGIN_S", mesh.ROTATE_SLACK),
         mock.patch.object(log_module, "RETAINED_ENTRIES", chance.choice(TAILS)),
         mock.patch.object(leader_module, "CHUNK_BYTES", chance.choice(PIECES)),
--- a/rigs/simulation/servers.py
+++ b/rigs/simulation/servers.py
@@ -116,7 +116,7 @@
         self.beat()
 
     def leave(self) -> None:
-        self.vise_call(lambda front: front.admission.leave(self.life))
+        self.sidecar_call(lambda front: front.admission.leave(self.life))
 
     def _beat_on(self, number: int) -> None:
         if self.up and number == self.number:
@@ -138,9 +138,9 @@
             front.admission.beat(life, body)
             self.site.say("beaten", life, state=state)
 
-        self.vise_call(beaten)
+        self.sidecar_call(beaten)
 
-    def vise_call(self, call: Any) -> None:
+    def sidecar_call(self, call: Any) -> None:
         machine = self.sidecar.machine
         if machine.running:
             self.loop.after(NEAR, machine, lambda: call(self.sidecar.front))
--- a/rigs/simulation/size.py
+++ b/rigs/simulation/size.py
@@ -34,7 +34,7 @@
 BEAT_BYTES = 12  # a write up to this is a line's own beat
 SERVICES = 4
 SYNC = 0.005, 0.01  # seconds of a write of a control node's disk
-CONFIGURED, VISES_AT, SPREAD = 1.5, 2.0, 1.0  # seconds; the sidecars start within the last
+CONFIGURED, SIDECARS_AT, SPREAD = 1.5, 2.0, 1.0  # seconds; the sidecars start within the last
 SETTLED = 7.0  # seconds from the start until nothing moves any more
 
 
@@ -204,7 +204,7 @@
         self.faults: list[str] = []
         self.loop.failures = lambda who, what: self.faults.append(f"{who}: {what}")
         self.network = self.metered = _Network(self.loop)
-        self.make_hall, self.sync = ControlServer, SYNC
+        self.make_control, self.sync = ControlServer, SYNC
         self.routes = routes
         self.writes = []
         self.controls = [ControlNode(self, ip) for ip in CONTROLS]
@@ -224,7 +224,7 @@
         with mock.patch.object(os, "urandom", self.random.randbytes):
             self.loop.run_until(CONFIGURED)
         self.patch(items(range(self.routes), 1))
-        self.loop.run_until(VISES_AT)
+        self.loop.run_until(SIDECARS_AT)
         for sidecar in self.told:
             self.loop.after(self.random.uniform(0.0, SPREAD), self.loop.world, sidecar.start)
         self.loop.run_until(SETTLED)
--- a/tests/mesh/test_budget.py
+++ b/tests/mesh/test_budget.py
@@ -199,7 +199,7 @@
             world.run(45.0)
             self.kept(world, 0.85)
 
-    def test_load_that_moves_between_vises_or_falls_to_nothing(self) -> None:
+    def test_load_that_moves_between_sidecars_or_ceases(self) -> None:
         for seed, shape in enumerate(
             (
                 in_turn,
@@ -223,7 +223,7 @@
         world.run(50.0, (20.0, dark), (24.5, dark))
         self.kept(world, 0.8)
 
-    def test_vises_start_again_in_turn(self) -> None:
+    def test_sidecars_restart_in_turn(self) -> None:
         world = World(2, 6, even(10.0))
 
         def stop(sidecar: SidecarNode) -> None:
@@ -240,7 +240,7 @@
         )
         self.kept(world, 0.5)
 
-    def test_half_of_the_vises_join(self) -> None:
+    def test_half_of_the_sidecars_join(self) -> None:
         world = World(3, 8, even(10.0))
         for sidecar in world.sidecars[4:]:
             sidecar.down = True
@@ -253,7 +253,7 @@
         self.kept(world, 0.8)
         self.assertTrue(all(sidecar.lease_client.amounts["s"] >= 3 for sidecar in world.sidecars))
 
-    def test_leaders_change_while_vises_are_cut_off_or_frozen(self) -> None:
+    def test_leaders_change_while_sidecars_are_partitioned_or_frozen(self) -> None:
         for seed in range(4):
             world = World(seed, 6, even(6.0))
             first, second, third, *_ = world.sidecars
@@ -273,7 +273,7 @@
 
 
 class Parts(unittest.TestCase):
-    def test_a_vise_that_spends_is_lent_more_and_gives_it_back(self) -> None:
+    def test_a_sidecar_that_spends_is_granted_more_and_returns_it(self) -> None:
         world = World(
             1,
             6,
--- a/tests/mesh/test_explain.py
+++ b/tests/mesh/test_explain.py
@@ -170,7 +170,7 @@
 
 
 class Outcomes(unittest.TestCase):
-    def test_each_word_that_a_vise_notes_has_a_line(self) -> None:
+    def test_each_step_that_a_sidecar_records_has_a_line(self) -> None:
         self.assertEqual(set(WORDS), set(shown._STEP_LINES))
 
 
--- a/tests/mesh/test_hard.py
+++ b/tests/mesh/test_hard.py
@@ -104,7 +104,7 @@
                 site.network.cut(*pair)
             site.loop.after(3.0, site.loop.world, site.network.heal, pairs)
 
-        with mock.patch.multiple(play_module, IMAGES=(10,), TAILS=(0,)):
+        with mock.patch.multiple(play_module, SNAPSHOT_INTERVALS=(10,), TAILS=(0,)):
             played = self.day(Fault(6.6, "power-control", -1, 0.3), deeds=((3.5, cut),))
         self.assertTrue(list(played.history.of("image")))
 
@@ -149,8 +149,8 @@
         for kind in ("tear-control", "foreign-control"):
             self.struck(self.day(Fault(3.5, kind, -1, 0.5)), kind, "leader")
 
-    def test_image_half_sent(self) -> None:
-        with mock.patch.multiple(play_module, IMAGES=(10,), TAILS=(0,), PIECES=(300,)):
+    def test_snapshot_partly_sent(self) -> None:
+        with mock.patch.multiple(play_module, SNAPSHOT_INTERVALS=(10,), TAILS=(0,), PIECES=(300,)):
             played = self.day(Fault(3.5, "image-power", 1, 0.5), Fault(5.0, "freeze-control", -1, 0.3))
         self.struck(played, "power-control")
         self.assertTrue(list(played.history.of("image")))
--- a/tests/mesh/test_http.py
+++ b/tests/mesh/test_http.py
@@ -187,7 +187,7 @@
         pass
 
 
-class Visitors(unittest.IsolatedAsyncioTestCase):
+class Clients(unittest.IsolatedAsyncioTestCase):
     async def send(self, data: bytes) -> tuple[bytes, list[Incoming]]:
         desk = Taker()
         listener = Listener(desk, 16, 0)
--- a/tests/mesh/test_keys.py
+++ b/tests/mesh/test_keys.py
@@ -197,7 +197,7 @@
         _, second = asyncio.run(inside())
         self.assertEqual(second, (422, b""))
 
-    def test_the_image_of_the_agreed_state_holds_claims_and_configuration(self) -> None:
+    def test_the_snapshot_has_claims_and_configuration(self) -> None:
         state, copy = StateMachine(), StateMachine()
         state.apply(1, pack_command(CLAIM, ClaimCommand(b"k" * 16, "v", b"c", b"d", b"").pack()))
         copy.restore(state.snapshot())
--- a/tests/mesh/test_parts.py
+++ b/tests/mesh/test_parts.py
@@ -181,8 +181,8 @@
     return SidecarRecord(ip, 1, epoch, seq, "z", "svc", f"life-{epoch}", 9, state, 0.0, True)
 
 
-class Racks(unittest.TestCase):
-    def test_watchers_that_hear_differences_hold_what_the_rack_holds(self) -> None:
+class Registries(unittest.TestCase):
+    def test_subscribers_of_differences_have_what_the_registry_has(self) -> None:
         for seed in range(20):
             rng = random.Random(seed)
             registry, version, held, now = Registry(), 0, dict[str, SidecarRecord](), 0.0
--- a/tests/mesh/test_simulation.py
+++ b/tests/mesh/test_simulation.py
@@ -105,13 +105,13 @@
             self.assertEqual(len(runs(played, f"twin{n}")), 1)
             self.assertTrue(set(statuses(played, f"twin{n}")) <= {200, 409, 0}, "0: its client left early")
 
-    def test_vise_dies_between_claim_and_send(self) -> None:
+    def test_sidecar_dies_between_claim_and_send(self) -> None:
         played = case([Fault(3.9, "claim-kill", 0, 0.5)], *((4.0 + n, keyed(n, "lost")) for n in range(4)))
         self.kept(played)
         self.assertEqual(played.history.shown("kill-sidecar").count("trouble"), 1)
         self.assertLessEqual(len(runs(played, "lost")), 1)
 
-    def test_vise_dies_between_send_and_answer(self) -> None:
+    def test_sidecar_dies_between_send_and_answer(self) -> None:
         played = case([Fault(3.99, "sent-kill", 0, 0.5)], *((4.0 + n, keyed(n, "sent")) for n in range(4)))
         self.kept(played)
         self.assertEqual(len(runs(played, "sent")), 1)
@@ -131,12 +131,12 @@
         for lead in (0.001, 0.015, 0.05):
             self.kept(case([Fault(4.0, "kill-control", -1, 1.0)], (4.0 - lead, race)))
 
-    def test_vise_without_forges_claims_through_another(self) -> None:
+    def test_sidecar_without_control_nodes_claims_through_another(self) -> None:
         played = case([Fault(3.0, "control-lost", 0, 6.0)], (2.6, keyed(0, "near")), (6.0, keyed(0, "far")))
         self.kept(played)
         self.assertEqual(statuses(played, "far"), [200])
 
-    def test_vise_that_leaves_answers_what_it_took(self) -> None:
+    def test_sidecar_that_shuts_down_answers_what_it_accepted(self) -> None:
         played = play(
             1,
             [Fault(3.0 + n / 2, "leave-sidecar", n) for n in range(3)],
--- a/tests/mesh/test_size.py
+++ b/tests/mesh/test_size.py
@@ -59,7 +59,7 @@
                 news[said] += 1
             self.assertGreater(min(news[True], news[False]), 10)
 
-    def test_a_live_line_keeps_its_vise_and_no_other_life(self) -> None:
+    def test_a_live_connection_keeps_its_sidecar_and_no_other_run(self) -> None:
         registry, old, new = Registry(), record("a", 1, 9), record("a", 2, 1)
         registry.update(0.0, old)
         registry.refresh("a", 1, EXPIRY_S)
@@ -141,7 +141,7 @@
 
 
 class Quiet(Crowded):
-    def test_lines_between_vises_say_nothing_and_a_dead_one_is_found_before_use(self) -> None:
+    def test_connections_between_sidecars_are_quiet_and_a_dead_one_is_found_before_use(self) -> None:
         crowd = self.crowd()
         ips = crowd.meet(2)
         crowd.loop.run_until(crowd.loop.now + 1.0)
--- a/tests/mesh/test_start.py
+++ b/tests/mesh/test_start.py
@@ -193,10 +193,10 @@
         self.assertEqual({name.partition(".")[2] for name in found if name.startswith("minthitch.")}, own)
         self.assertEqual({name.partition(".")[0] for name in found} & (NEVER | {"lmdb"}), foreign)
 
-    def test_vise(self) -> None:
+    def test_sidecar(self) -> None:
         self.holds("minthitch.mesh.sidecar.program", SIDECAR, set())
 
-    def test_forge(self) -> None:
+    def test_control(self) -> None:
         self.holds("minthitch.mesh.control.program", CONTROL, {"lmdb"})
 
     def test_the_nodes_command_line_loads_no_cappa(self) -> None:
