--- a/bench/mesh.py
+++ b/bench/mesh.py
@@ -16,9 +16,9 @@
 from typing import Any, NamedTuple
 
 from rigs.simulation.checks import delays
-from rigs.simulation.faults import Fault, drawn
 from rigs.simulation.planted import PLANTED, planted
 from rigs.simulation.play import Day, Played, play, shrink
+from rigs.simulation.schedule import Fault, draw_schedule
 from rigs.simulation.storms import STORM, schedule, storm
 
 DAYS, QUICK_DAYS = 1_000, 60
@@ -74,7 +74,7 @@
 def _cut_down(seed: int) -> list[Fault]:
     if _storms(seed):
         return shrink(seed, schedule(seed), STORM)
-    return shrink(seed, drawn(seed, Day().seconds))
+    return shrink(seed, draw_schedule(seed, Day().seconds))
 
 
 def hunt(name: str) -> tuple[str, int, str]:
--- a/rigs/simulation/play.py
+++ b/rigs/simulation/play.py
@@ -19,12 +19,13 @@
 from minthitch.mesh.sidecar.front import Front
 from rigs.simulation import mesh
 from rigs.simulation.checks import violations
-from rigs.simulation.faults import Fault, Faults, drawn
+from rigs.simulation.fault_injector import FaultInjector
 from rigs.simulation.history import History
 from rigs.simulation.loop import VirtualLoop
 from rigs.simulation.mesh import CONTROLS, MakeControl, MakeFront, Site
 from rigs.simulation.network import Network
 from rigs.simulation.people import Operators, People
+from rigs.simulation.schedule import Fault, draw_schedule
 
 SNAPSHOT_INTERVALS = (10, 25, 60)  # entries between two images; a day has some 250
 TAILS = (0, 6, 40)  # entries that are kept before an image
@@ -55,7 +56,7 @@
 
 def play(seed: int, schedule: Sequence[Fault] | None = None, day: Day = Day()) -> Played:  # noqa: B008
     """Plays it; without a schedule one is drawn from the seed."""
-    faults = drawn(seed, day.seconds) if schedule is None else list(schedule)
+    faults = draw_schedule(seed, day.seconds) if schedule is None else list(schedule)
     chance = random.Random(seed ^ 0x5EED)
     site: Site | None = None
 
@@ -90,7 +91,7 @@
     loop = site.loop
     people = People(site, day.rate, day.seconds + day.quiet - 2.0)
     operators = Operators(site, day.every, day.seconds)
-    faults = Faults(site, schedule)
+    faults = FaultInjector(site, schedule)
     site.start(day.failure_rate)
     people.start()
     operators.start()
--- a/rigs/simulation/points/links.py
+++ b/rigs/simulation/points/links.py
@@ -5,9 +5,9 @@
 import random
 
 from rigs.simulation.cuts import RefusingNetwork
-from rigs.simulation.faults import Fault
 from rigs.simulation.play import Day, Played, play
 from rigs.simulation.points.script import FAULTS_FROM_S
+from rigs.simulation.schedule import Fault
 
 LINK_FAULTS = (
     "reset-sidecar",
--- a/rigs/simulation/points/many_changes.py
+++ b/rigs/simulation/points/many_changes.py
@@ -7,13 +7,13 @@
 
 from rigs.simulation.ctl import ControlClient
 from rigs.simulation.cuts import restart
-from rigs.simulation.faults import SYNC_S
 from rigs.simulation.history import History
 from rigs.simulation.mesh import ControlNode, Site
 from rigs.simulation.people import route
 from rigs.simulation.play import Played
 from rigs.simulation.points.script import FAULTS_FROM_S, Script, play_script
 from rigs.simulation.points.second_loss import is_voter, lose_disk
+from rigs.simulation.schedule import SYNC_S
 
 FINAL_FAULTS = ("restart", "wipe", "replace", "power")
 CHANGES, CHANGE_INTERVAL_S = 120, 0.04
--- a/rigs/simulation/points/orders.py
+++ b/rigs/simulation/points/orders.py
@@ -6,7 +6,6 @@
 
 from rigs.simulation.ctl import ControlClient
 from rigs.simulation.cuts import restart
-from rigs.simulation.faults import Fault
 from rigs.simulation.mesh import Site
 from rigs.simulation.play import Played
 from rigs.simulation.points.script import (
@@ -19,6 +18,7 @@
     play_script,
     upsert,
 )
+from rigs.simulation.schedule import Fault
 
 
 def two_operators(script: Script, at: float) -> None:
--- a/rigs/simulation/points/script.py
+++ b/rigs/simulation/points/script.py
@@ -10,11 +10,11 @@
 from rigs.simulation import order_checks, people
 from rigs.simulation.ctl import ControlClient
 from rigs.simulation.cuts import RefusingNetwork, restart
-from rigs.simulation.faults import Fault
 from rigs.simulation.history import History
 from rigs.simulation.mesh import CONTROLS, Site
 from rigs.simulation.people import Operators, People, route
 from rigs.simulation.play import Day, Deed, Played, play
+from rigs.simulation.schedule import Fault
 
 FAULTS_FROM_S = 3.0  # when the first fault strikes
 READ_INTERVAL_S = 0.12
--- a/rigs/simulation/points/second_loss.py
+++ b/rigs/simulation/points/second_loss.py
@@ -6,12 +6,12 @@
 
 from rigs.simulation.ctl import ControlClient
 from rigs.simulation.cuts import Cut, cut_off
-from rigs.simulation.faults import SYNC_S
 from rigs.simulation.mesh import CONTROLS, SPARES, ControlNode, Site
 from rigs.simulation.play import Played
 from rigs.simulation.points.isolation import moments_around
 from rigs.simulation.points.orders import ORDER_ACTIONS
 from rigs.simulation.points.script import FAULTS_FROM_S, Script, play_script
+from rigs.simulation.schedule import SYNC_S
 
 REPAIRS = ("wipe", "gone", "roll")
 
--- a/rigs/simulation/storms.py
+++ b/rigs/simulation/storms.py
@@ -4,10 +4,10 @@
 
 import random
 
-from rigs.simulation.faults import Fault
 from rigs.simulation.mesh import Site
 from rigs.simulation.people import Operators, People
 from rigs.simulation.play import Day, Deed, Played, play
+from rigs.simulation.schedule import Fault
 
 FIRST, LAST = 3.0, 11.5  # seconds between which it storms
 CORE = (
--- a/tests/mesh/test_budget.py
+++ b/tests/mesh/test_budget.py
@@ -21,10 +21,10 @@
 from minthitch.mesh.sidecar import retry_budget as retry_budget_module
 from minthitch.mesh.sidecar.admission import Admission
 from minthitch.mesh.sidecar.retry_budget import RetryBudget
-from rigs.simulation.faults import Fault
 from rigs.simulation.mesh import Site
 from rigs.simulation.people import Operators, People, route
 from rigs.simulation.play import Day, play
+from rigs.simulation.schedule import Fault
 
 RATIO, SLACK, WINDOW = 0.2, 60.0, 10.0
 STEP, EVERY = 0.02, 0.5  # seconds of a step of the world, and between two reports
--- a/tests/mesh/test_hard.py
+++ b/tests/mesh/test_hard.py
@@ -10,11 +10,11 @@
 
 from rigs.simulation import play as play_module
 from rigs.simulation.checks import delays
-from rigs.simulation.faults import SYNC_S, Fault
 from rigs.simulation.history import Event
 from rigs.simulation.mesh import Site
 from rigs.simulation.people import Operators, People
 from rigs.simulation.play import Day, Deed, Played, play
+from rigs.simulation.schedule import SYNC_S, Fault
 
 DAY = Day(seconds=8.0, rate=0.8, every=0.4, quiet=5.2, failure_rate=0.0)
 
--- a/tests/mesh/test_points.py
+++ b/tests/mesh/test_points.py
@@ -8,7 +8,6 @@
 import unittest
 from collections.abc import Callable
 
-from rigs.simulation.faults import SYNC_S
 from rigs.simulation.order_checks import waits
 from rigs.simulation.planted import planted
 from rigs.simulation.play import Played
@@ -18,6 +17,7 @@
 from rigs.simulation.points.orders import orders_day
 from rigs.simulation.points.second_loss import REPAIRS, second_loss_day
 from rigs.simulation.points.stale_sidecar import stale_sidecar_day
+from rigs.simulation.schedule import SYNC_S
 
 
 class PointsTest(unittest.TestCase):
--- a/tests/mesh/test_simulation.py
+++ b/tests/mesh/test_simulation.py
@@ -10,7 +10,6 @@
 
 from rigs.simulation import people, servers
 from rigs.simulation.checks import violations
-from rigs.simulation.faults import ALL, CORE, KEEPS, SYNC_S, Fault, drawn, ends
 from rigs.simulation.history import Event, History
 from rigs.simulation.loop import Machine, VirtualLoop
 from rigs.simulation.mesh import CONTROLS, SIDECARS, Site
@@ -18,6 +17,7 @@
 from rigs.simulation.people import Operators, People
 from rigs.simulation.planted import planted
 from rigs.simulation.play import Day, Deed, Played, play, shrink
+from rigs.simulation.schedule import ALL, CORE, DISK_KEEPING, SYNC_S, Fault, draw_schedule, latest_end
 from rigs.simulation.storms import storm
 
 SHORT = Day(seconds=8.0, rate=2.0, quiet=5.2)
@@ -356,9 +356,9 @@
 
     def test_schedules_keep_within_what_must_be_borne(self) -> None:
         for seed in range(50):
-            core = [f for f in drawn(seed, 40.0) if f.kind in (*CORE, *ALL)]
-            for two in [f for f in core if f.kind not in (*KEEPS, *ALL)]:
-                before = [ends(one) + SYNC_S for one in core if one.at < two.at]
+            core = [f for f in draw_schedule(seed, 40.0) if f.kind in (*CORE, *ALL)]
+            for two in [f for f in core if f.kind not in (*DISK_KEEPING, *ALL)]:
+                before = [latest_end(one) + SYNC_S for one in core if one.at < two.at]
                 self.assertLess(max(before, default=0.0), two.at)
         self.assertEqual((len(CONTROLS), len(SIDECARS)), (3, 6))
 
