--- a/tests/mesh/test_raft_membership.py
+++ b/tests/mesh/test_raft_membership.py
@@ -463,7 +463,7 @@
 
 class Adversary(unittest.TestCase):
     def walk(self, seed: int, node_type: type[RaftNode] = RaftNode) -> Restless:
-        with mock.patch.object(chaos, "GONE", 0.3):
+        with mock.patch.object(chaos, "UNRESPONSIVE_S", 0.3):
             walk = Restless(seed, 5 if seed % 3 == 0 else 3, 2, node_type)
             walk.play(2_500)
         return walk
@@ -483,7 +483,7 @@
         """n0 leads. n2 helps n1 up in a newer term, n0 hears of neither and has the learner n3 at hand: if it
         commits with that one alone, two leaders agree on different things.
         """
-        with mock.patch.object(chaos, "GONE", 0.3):
+        with mock.patch.object(chaos, "UNRESPONSIVE_S", 0.3):
             walk = Chaos(1, 3, 1, node_type)
         old, new, supporter, learner = walk.machines.values()
         for machine, seconds in ((new, 0.61), (supporter, 0.61), (old, 1.3)):
