--- a/minthitch/cli/fleet.py
+++ b/minthitch/cli/fleet.py
@@ -15,10 +15,12 @@
 
 def add_to(commands: Any) -> None:
     """The command's arguments, beside the others'."""
-    words = commands.add_parser("fleet", help="look at many nodes together").add_subparsers(
-        dest="word", required=True
+    subcommands = commands.add_parser("fleet", help="look at many nodes together").add_subparsers(
+        dest="subcommand", required=True
+    )
+    counted = subcommands.add_parser(
+        "count", help="sends, ends and refusals over all nodes that ran `traced`"
     )
-    counted = words.add_parser("count", help="sends, ends and refusals over all nodes that ran `traced`")
     counted.add_argument("folder", help="with a log a node, NAME.log")
     counted.add_argument("--window", type=float, default=1.0, metavar="S", help="seconds a line (1)")
     counted.add_argument("--servers", action="store_true", help="each server's windows too")
--- a/minthitch/cli/lab.py
+++ b/minthitch/cli/lab.py
@@ -18,36 +18,40 @@
 def add_to(commands: Any) -> None:
     """The command's arguments, beside the others'."""
     lab = commands.add_parser("lab", help="play scenarios in virtual time, and load real nodes (extra `lab`)")
-    words = lab.add_subparsers(dest="word", required=True)
-    words.add_parser("list", help="the library's scenarios and what each expects")
-    run = words.add_parser("run", help="play a scenario over seeds")
+    subcommands = lab.add_subparsers(dest="subcommand", required=True)
+    subcommands.add_parser("list", help="the library's scenarios and what each expects")
+    run = subcommands.add_parser("run", help="play a scenario over seeds")
     _common(run)
     run.add_argument("--chooser", default="minthitch", help="minthitch, or one of `lab rivals`")
     run.add_argument("--html", type=Path, metavar="FILE", help="write a page of the runs")
-    words.add_parser("rivals", help="what it can be played against, and where each is described")
-    sweep = words.add_parser("sweep", help="play every combination of several values")
+    subcommands.add_parser("rivals", help="what it can be played against, and where each is described")
+    sweep = subcommands.add_parser("sweep", help="play every combination of several values")
     _common(sweep)
     sweep.add_argument("--over", action="append", default=[], metavar="KEY=A,B,C", required=True)
     sweep.add_argument("--chooser", default="minthitch")
-    compare = words.add_parser("compare", help="two choosers over the same seeds, paired, with intervals")
+    compare = subcommands.add_parser(
+        "compare", help="two choosers over the same seeds, paired, with intervals"
+    )
     compare.add_argument("a")
     compare.add_argument("b")
     _common(compare, several=True)
     compare.add_argument("--html", type=Path, metavar="FILE", help="write one page of both over each other")
-    bisect = words.add_parser("bisect", help="the rate at which the share of worth falls below an aim")
+    bisect = subcommands.add_parser("bisect", help="the rate at which the share of worth falls below an aim")
     _common(bisect)
     bisect.add_argument("--chooser", default="minthitch")
     bisect.add_argument("--low", type=float, required=True)
     bisect.add_argument("--high", type=float, required=True)
     bisect.add_argument("--aim", type=float, default=0.99)
     bisect.add_argument("--steps", type=int, default=6)
-    replay = words.add_parser("replay", help="the story of one want, event by event")
+    replay = subcommands.add_parser("replay", help="the story of one want, event by event")
     replay.add_argument("scenario")
     replay.add_argument("seed", type=int)
     replay.add_argument("--want", type=int, default=1, help="the how manyth that was asked for")
     replay.add_argument("--set", action="append", default=[], metavar="KEY=VALUE", dest="changes")
     replay.add_argument("--chooser", default="minthitch")
-    hunt = words.add_parser("hunt", help="search drawn days of the large fleet for one that fails its gate")
+    hunt = subcommands.add_parser(
+        "hunt", help="search drawn days of the large fleet for one that fails its gate"
+    )
     hunt.add_argument("family", help="calm, roll, herd, zone, split, join; or all")
     hunt.add_argument("--seeds", type=int, default=20, metavar="N", help="days a family (20)")
     hunt.add_argument(
@@ -55,12 +59,12 @@
     )
     hunt.add_argument("--jobs", type=int, default=1, metavar="N", help="processes")
     hunt.add_argument("--keep", type=Path, metavar="DIR", help="write the worst failing day there, cut down")
-    lab_mesh_days.add_to(words)
-    _add_load(words)
+    lab_mesh_days.add_to(subcommands)
+    _add_load(subcommands)
 
 
-def _add_load(words: Any) -> None:
-    load = words.add_parser("load", help="load a real node: open loop, every answer checked")
+def _add_load(subcommands: Any) -> None:
+    load = subcommands.add_parser("load", help="load a real node: open loop, every answer checked")
     load.add_argument("url", help="http://ADDRESS:PORT of the node's listener")
     load.add_argument("scenario")
     load.add_argument("--set", action="append", default=[], metavar="KEY=VALUE", dest="changes")
@@ -307,8 +311,10 @@
         ConfigError: it can't be done as asked.
     """
     try:
-        return DO[args.word](args)
+        return DO[args.subcommand](args)
     except ModuleNotFoundError as err:
-        raise ConfigError(f"`lab {args.word}` needs the extra `lab`: {err.name} is not installed") from None
+        raise ConfigError(
+            f"`lab {args.subcommand}` needs the extra `lab`: {err.name} is not installed"
+        ) from None
     except BrokenPipeError:
         return 0
--- a/minthitch/cli/record.py
+++ b/minthitch/cli/record.py
@@ -20,15 +20,17 @@
     """The command's arguments, beside the others'."""
     record = commands.add_parser("record", help="look into the store of record, and resolve what is in doubt")
     record.add_argument("--store", required=True, metavar="PATH|URL", help="as record.store")
-    words = record.add_subparsers(dest="word", required=True)
-    show = words.add_parser("show", help="what is known of one sale, as JSON; exit code 1 if nothing is")
+    subcommands = record.add_subparsers(dest="subcommand", required=True)
+    show = subcommands.add_parser(
+        "show", help="what is known of one sale, as JSON; exit code 1 if nothing is"
+    )
     show.add_argument("identity")
-    words.add_parser("doubtful", help="what may have run and has no word yet, a line each")
-    resolve = words.add_parser("resolve", help="note what was found out of a sale in doubt or failed")
+    subcommands.add_parser("doubtful", help="what may have run and has no word yet, a line each")
+    resolve = subcommands.add_parser("resolve", help="note what was found out of a sale in doubt or failed")
     resolve.add_argument("identity")
     resolve.add_argument("found", choices=[outcome.value for outcome in Word])
     resolve.add_argument("--why", required=True, help="how it is known")
-    words.add_parser("export", help="every record, as JSON lines")
+    subcommands.add_parser("export", help="every record, as JSON lines")
 
 
 def _show(store: Store, args: argparse.Namespace) -> int:
@@ -86,7 +88,7 @@
     try:
         store = open_store(args.store)
         store.open()
-        return DO[args.word](store, args)
+        return DO[args.subcommand](store, args)
     except StoreError as err:
         raise ConfigError(str(err)) from None
     except BrokenPipeError:
--- a/minthitch/cli/recovery.py
+++ b/minthitch/cli/recovery.py
@@ -22,35 +22,37 @@
 def add_to(commands: Any) -> None:
     """The command's arguments, beside the others'."""
     recovery = commands.add_parser("recovery", help="what nodes keep for after a crash (extra `recovery`)")
-    words = recovery.add_subparsers(dest="word", required=True)
+    subcommands = recovery.add_subparsers(dest="subcommand", required=True)
     for command, what in (
         ("status", "a node's snapshots in one line"),
         ("explain", "what a node trusted at its start, what not, and why"),
     ):
-        asked = words.add_parser(command, help=what)
+        asked = subcommands.add_parser(command, help=what)
         asked.add_argument("address", metavar="ADDRESS:PORT", help="the node's operators' listener")
-    plot = words.add_parser("plot", help="a page of a recovery, from the nodes' logs")
+    plot = subcommands.add_parser("plot", help="a page of a recovery, from the nodes' logs")
     plot.add_argument("logs", type=Path, nargs="+", metavar="LOG")
     plot.add_argument("--out", type=Path, required=True, metavar="PAGE")
     plot.add_argument("--by-start", action="store_true", help="the nodes' starts together, not their clocks")
-    inspect = words.add_parser("inspect", help="judge a snapshot's file: exit code 0, or 2 with the fault")
+    inspect = subcommands.add_parser(
+        "inspect", help="judge a snapshot's file: exit code 0, or 2 with the fault"
+    )
     inspect.add_argument("file", type=Path)
     inspect.add_argument("--json", action="store_true", help="all that is in it")
-    forget = words.add_parser("forget", help="remove a node's snapshots: its next start knows nothing")
+    forget = subcommands.add_parser("forget", help="remove a node's snapshots: its next start knows nothing")
     forget.add_argument("folder", type=Path)
     forget.add_argument("--node", required=True, help="the node's name")
 
 
 def main(args: argparse.Namespace) -> int:
     """Raises ConfigError."""
-    if args.command == "inspect":
+    if args.subcommand == "inspect":
         return _inspect(args.file, args.json)
-    if args.command == "forget":
+    if args.subcommand == "forget":
         return _forget(args.folder, args.node)
-    if args.command == "plot":
+    if args.subcommand == "plot":
         return _plot(args.logs, args.out, args.by_start)
     page = _ask(args.address)
-    if args.command == "status":
+    if args.subcommand == "status":
         ago = page["written_s_ago"]
         last = "none written yet" if ago is None else f"{ago:.1f} s ago"
         failing = f", {page['failures']} writes failed" if page["failures"] else ""
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -206,3 +206,22 @@
     console.print(demo._table(world.board, 3.0, 10.0))
     text = console.export_text()
     assert "3 of 10 s" in text and re.search(r"buy-ticket\W+1\W+0\W+1\W+10\W+10", text) and "s5" in text
+
+
+@pytest.mark.parametrize(
+    ("subcommand", "arguments", "fault"),
+    [
+        ("plot", ("README.md", "--out", "unused"), "no node's log"),
+        ("inspect", ("README.md",), "README.md: "),
+        ("forget", ("README.md", "--node", "n0"), "not a folder"),
+        ("status", ("nowhere",), "'nowhere'"),
+        ("explain", ("nowhere",), "'nowhere'"),
+    ],
+)
+def test_each_recovery_subcommand_reports_its_fault_in_one_line(
+    subcommand: str, arguments: tuple[str, ...], fault: str
+) -> None:
+    done = command("recovery", subcommand, *arguments)
+    assert done.returncode == 2
+    assert fault in done.stderr
+    assert done.stderr.count("\n") == 1
