--- a/minthitch/cli/folder.py
+++ b/minthitch/cli/folder.py
@@ -27,9 +27,8 @@
 from minthitch.mesh.raft.log import DATA, MEMBERS, Entry
 from minthitch.mesh.storage.errors import StoreError
 from minthitch.mesh.storage.records import Header
-from minthitch.mesh.storage.store import Condition, Store
+from minthitch.mesh.storage.store import FILE_NAME, Condition, Store
 
-FILE = "data.mdb"
 MIN_MAP_BYTES = 16 * 1024 * 1024  # bytes
 MEANINGS = {
     Condition.EMPTY: "nothing was ever written: a start takes it for a new disk",
@@ -71,8 +70,8 @@
     if not folder.is_dir():
         raise ConfigError(f"{folder}: not a folder")
     with tempfile.TemporaryDirectory(prefix="minthitch-") as copy:
-        if (folder / FILE).exists():
-            shutil.copyfile(folder / FILE, Path(copy, FILE))
+        if (folder / FILE_NAME).exists():
+            shutil.copyfile(folder / FILE_NAME, Path(copy, FILE_NAME))
         yield copy
 
 
@@ -80,7 +79,7 @@
     """Raises ConfigError where the folder can't be read."""
     try:
         with _copied(folder) as copy:
-            file = Path(copy, FILE)
+            file = Path(copy, FILE_NAME)
             store = Store(copy, max(2 * file.stat().st_size if file.exists() else 0, MIN_MAP_BYTES))
             try:
                 return FolderContent(store.condition, store.header, store.load())
--- a/minthitch/cli/mesh.py
+++ b/minthitch/cli/mesh.py
@@ -57,7 +57,7 @@
 
 @dataclass
 class Verify:
-    """Say what a data folder is: exit code 0 if it is whole, else 1."""
+    """Say what a data folder is: exit code 0 if it is intact, else 1."""
 
     folder: Folder
 
@@ -110,8 +110,7 @@
     table: ClassVar[Callable[[shown.Statuses], list[str]]]
 
     def run(self) -> int:
-        """Run it; returns the exit code."""
-        """Exit code 2 where one of them did not answer, after what the others told."""
+        """Run it. Exit code 2 where one of them did not answer, after what the others told."""
         found, silent = ask.tables(self.addresses, "/Mesh.Status")
         if self.as_json and found:
             one = found[self.addresses[0]] if len(self.addresses) == 1 else found
@@ -170,8 +169,7 @@
     as_json: AsJson = False
 
     def run(self) -> int:
-        """Run it; returns the exit code."""
-        """Exit code 1 where none of the sidecars knows it."""
+        """Run it. Exit code 1 where none of the sidecars knows it."""
         path, known = f"/Mesh.Explain/{quote(self.ident, safe='')}", 0
         for address in self.addresses:
             answer = ask.ask(address, "GET", path)
@@ -210,8 +208,7 @@
     address: Address
 
     def run(self) -> int:
-        """Run it; returns the exit code."""
-        """Exit code 0 where it would change nothing, 1 where it would, 2 where it is invalid."""
+        """Run it. Exit code 0 where it would change nothing, 1 where it would, 2 where it is invalid."""
         body = change.read(self.file)
         if _complain_of(self.file, body):
             return 2
@@ -233,8 +230,7 @@
     ] = 0
 
     def run(self) -> int:
-        """Run it; returns the exit code."""
-        """Exit code 0 for agreed, 1 refused, 2 invalid and not sent, 3 unclear."""
+        """Run it. Exit code 0 for agreed, 1 refused, 2 invalid and not sent, 3 unclear."""
         body = change.read(self.file)
         if _complain_of(self.file, body):
             return 2
--- a/minthitch/mesh/raft/election.py
+++ b/minthitch/mesh/raft/election.py
@@ -160,9 +160,8 @@
         member = self._member
         source_votes = source in member.log.voters
         if member.is_leader and not source_votes:
-            self._reconfiguration.add_learner(
-                now, source
-            )  # replaced while it was away: the log will show it that
+            # The sender was replaced while it was away: the log will show it that.
+            self._reconfiguration.add_learner(now, source)
             return
         leader_is_alive = self.hears_live_leader(now)
         if leader_is_alive and member.leader is not None and not source_votes:
--- a/minthitch/mesh/raft/persistence.py
+++ b/minthitch/mesh/raft/persistence.py
@@ -28,9 +28,8 @@
         self.write_id = 0  # of the newest write
         self.writing = False
         self._submitted = self.durable
-        self._waiting: list[
-            tuple[int, str, RequestVoteResponse]
-        ] = []  # each until the write of that id is durable
+        # Each waits until the write of that id is durable.
+        self._waiting: list[tuple[int, str, RequestVoteResponse]] = []
 
     @property
     def _hard_state(self) -> HardState:
--- a/rigs/simulation/fault_injector.py
+++ b/rigs/simulation/fault_injector.py
@@ -135,7 +135,8 @@
                     target = self.loop.random.choice((origin, self.site.leader()))
                     self._call_soon(self._fail_one, now, target, "core")
                 else:
-                    self._fail_one(now, self._sender(event), self._sender(event).ip)
+                    sidecar = self._sender(event)
+                    self._fail_one(now, sidecar, sidecar.ip)
 
         self._subscribe(listener)
 
@@ -311,9 +312,7 @@
             others = [control.ip for control in self.site.controls]
         pairs = [(ip, node.ip) for ip in others if kind != "mute"]
         pairs += [(node.ip, ip) for ip in others if kind != "deaf"]
-        new = [pair for pair in pairs if pair not in network.cuts]
-        for pair in new:
-            network.cut(*pair)
+        new = network.partition(pairs)
         self._keep_active(fault, scope, lambda: network.heal(new))
         if kind == "pair" and others[0] not in (scope, *(f.ip for f in self.site.controls)):
             self._keep_active(fault, others[0], lambda: None)
--- a/rigs/simulation/mesh.py
+++ b/rigs/simulation/mesh.py
@@ -269,9 +269,8 @@
         self.sidecars = [SidecarNode(self, ip, SERVICES[n // 3]) for n, ip in enumerate(SIDECARS)]
         nodes: list[ControlNode | SidecarNode] = [*self.controls, *self.sidecars]
         self.machines = {node.ip: node for node in nodes}
-        self.writes: list[
-            Callable[[ControlNode], None]
-        ] = []  # hear of each write that begins at a control node
+        # Called when a write begins at a control node.
+        self.writes: list[Callable[[ControlNode], None]] = []
 
     def say(self, what: str, who: str, **data: Any) -> None:
         self.history.add(self.loop.now, what, who, **data)
--- a/rigs/simulation/network.py
+++ b/rigs/simulation/network.py
@@ -257,6 +257,12 @@
     def cut(self, src: str, dst: str) -> None:
         self.cuts.add((src, dst))
 
+    def partition(self, pairs: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
+        """Cuts the pairs that are not cut yet, and returns them: to heal them leaves earlier cuts alone."""
+        new = [pair for pair in pairs if pair not in self.cuts]
+        self.cuts.update(new)
+        return new
+
     def heal(self, pairs: Iterable[tuple[str, str]]) -> None:
         self.cuts.difference_update(pairs)
         self.again()
--- a/rigs/simulation/points/stale_sidecar.py
+++ b/rigs/simulation/points/stale_sidecar.py
@@ -66,9 +66,7 @@
 ) -> None:
     """Each of `ips` from each of `others`, both ways."""
     pairs = [pair for ip in ips for other in others for pair in ((ip, other), (other, ip))]
-    new = [pair for pair in pairs if pair not in site.network.cuts]
-    for one in new:
-        site.network.cut(*one)
+    new = site.network.partition(pairs)
     for scope in scopes:
         site.say("trouble", scope, kind="cut")
 
