--- a/bench/hunt.py
+++ b/bench/hunt.py
@@ -34,23 +34,23 @@
 
     until = 0
 
-    def _learn(self, now: int, request: Request, attempt: Attempt, latency: int) -> None:
-        super()._learn(now, request, attempt, latency)
+    def _record_outcome(self, now: int, request: Request, attempt: Attempt, latency: int) -> None:
+        super()._record_outcome(now, request, attempt, latency)
         if attempt.status is api.Status.CONNECT_FAILED:
             self.until = now + 30 * api.SECOND
 
-    def _pool(self, now: int) -> list[Server]:
-        pool = super()._pool(now)
-        idle = [s for s in pool if s.open < s.links]
+    def _eligible(self, now: int) -> list[Server]:
+        pool = super()._eligible(now)
+        idle = [s for s in pool if s.in_flight < s.connections]
         return idle if now < self.until and len(idle) >= 3 else pool
 
 
 class Twice(Balancer):
     """Sends what may have run again, whatever its class."""
 
-    def _place(self, now: int, request: Request, timed: bool = False) -> None:
+    def _dispatch(self, now: int, request: Request, timed: bool = False) -> None:
         request.spec = replace(request.spec, effect=api.Effect.SAFE)
-        super()._place(now, request, timed)
+        super()._dispatch(now, request, timed)
 
 
 class Astray(Balancer):
@@ -64,24 +64,24 @@
 class Polite(Balancer):
     """Says that a further try is harmless where a call may have run."""
 
-    def _settle(self, request: Request) -> None:
-        request.harmless = True
-        super()._settle(request)
+    def _refuse_or_fail(self, request: Request) -> None:
+        request.repeat_safe = True
+        super()._refuse_or_fail(request)
 
 
 class Tardy(Balancer):
     """Gives up a second behind the client."""
 
-    def _due(self, request: Request) -> int:
+    def _answer_by(self, request: Request) -> int:
         return request.deadline + api.SECOND
 
 
 class Loyal(Balancer):
     """Does not hear that a server drains."""
 
-    def _listed(self, now: int, event: api.ListUpdate) -> None:
+    def _on_list(self, now: int, event: api.ListUpdate) -> None:
         kept = tuple(e for e in event.entries if e.state is not api.State.DRAINING)
-        super()._listed(now, replace(event, entries=kept))
+        super()._on_list(now, replace(event, entries=kept))
 
 
 class Open(Balancer):
@@ -94,9 +94,9 @@
 class Deaf(Balancer):
     """Goes on to what is gone."""
 
-    def _listed(self, now: int, event: api.ListUpdate) -> None:
+    def _on_list(self, now: int, event: api.ListUpdate) -> None:
         ready = tuple(e for e in event.entries if e.state is api.State.READY)
-        super()._listed(now, api.ListUpdate(api.ListKind.CHANGES, ready))
+        super()._on_list(now, api.ListUpdate(api.ListKind.CHANGES, ready))
 
 
 class Shut(Balancer):
--- a/minthitch/decisions/admission.py
+++ b/minthitch/decisions/admission.py
@@ -12,7 +12,7 @@
 CROWD_MOST = 3.0  # and the worthiest: by then the servers' cores are busy and more only waits
 NOISE = 0.5  # spread of calls' times around their mean, in means, that is put down to chance
 CALM_DOUBLES = 120 * api.SECOND  # the calm load is the lowest seen, doubled in this time: fleets change
-FIRST_CALLS = 2.5  # calls out a server, over all nodes, that any bears: so many before answers tell more,
+INITIAL_LIMIT = 2.5  # calls out a server, over all nodes, that any bears: so many before answers tell more,
 GROWTH = 0.25  # and further calls for each answer while queues do not build; as many fewer over CROWD_LEAST
 LOSS = 0.05  # part of the servers' room whose loss at once slows growth for HALF_LIFE, and
 REGROWTH = 0.1  # the part of growth that is left then: queues tell of crowding only when servers are slow
@@ -50,35 +50,44 @@
         crowd = self._judge_crowd(part)
         if now < self.warm_from:
             return self._admits_cold(now, event.cls, worth)
-        works = [1.0 if self.settings.worth_by_work else self._base(now, i) for i in range(len(self.classes))]
+        works = [
+            1.0 if self.settings.worth_by_work else self._base_latency(now, i)
+            for i in range(len(self.classes))
+        ]
         most = max(spec.worth / work for spec, work in zip(self.settings.classes, works, strict=True))
         limit = CROWD_LEAST + (CROWD_MOST - CROWD_LEAST) * worth / works[event.cls] / most
         # Guards against refusing for ever: with fewer calls out than servers the load is not ours.
-        if refused := self.busy >= part and self.random.random() >= 1.0 + limit - crowd:
-            self._say(now, f"refusing: load {load / self.calm:.1f} times the calm one, {self.out} calls out")
+        if refused := self.mean_in_flight >= part and self.random.random() >= 1.0 + limit - crowd:
+            self._say(
+                now,
+                f"refusing: load {load / self.baseline_load:.1f} times the calm one, "
+                f"{self.total_in_flight} calls out",
+            )
         return not refused
 
     def _judge_strain(self, now: int, load: float) -> None:
         """How much longer calls take than they should, against the calm load and against their aims."""
         # Guards against taking chance for calm or crowding: a mean of few answers strays by so much.
         few = NOISE / math.sqrt(max(self.load.ends * self.load.fade(now), 1e-9))
-        self.calm = min(load * (1.0 + few), self.calm * (1.0 + (now - self.calm_at) / CALM_DOUBLES))
+        self.baseline_load = min(
+            load * (1.0 + few), self.baseline_load * (1.0 + (now - self.baseline_at) / CALM_DOUBLES)
+        )
         # Guards against a calm load that was never seen: calls near their aims are too slow in any case.
         # All classes together: the worst of several means of few is far off by chance.
         seen = [c.trials * c.fade(now) + PRIOR for c in self.classes]
         near = sum(c.mean(now, FIRST_MEAN) * n for c, n in zip(self.classes, seen, strict=True)) / sum(seen)
-        slow, self.calm_at = CROWD_LEAST * load * near / AIM_PART / (1.0 + few), now
-        self.strain = max(load / self.calm / (1.0 + few), slow)
+        slow, self.baseline_at = CROWD_LEAST * load * near / AIM_PART / (1.0 + few), now
+        self.slowdown = max(load / self.baseline_load / (1.0 + few), slow)
 
     def _judge_crowd(self, part: float) -> float:
         """How crowded it is, by the strain and by the calls out beside those that may be."""
         # Guards against crowding servers before answers tell; of many nodes each holds its part on average.
-        window, self.arrivals = FIRST_CALLS * part + self.grown, self.arrivals + 1
-        self.pace = min(1.0, max(window / STEADY, 1.0 / self.arrivals))
-        self.busy += (self.out - self.busy) * self.pace
-        crowd = max(CROWD_LEAST * (self.busy / window) ** 2, self.strain)
-        self.crowd += (min(crowd, CROWD_MOST + 1.0) - self.crowd) * self.pace
-        return self.crowd
+        window, self.arrivals = INITIAL_LIMIT * part + self.extra_limit, self.arrivals + 1
+        self.smoothing = min(1.0, max(window / STEADY, 1.0 / self.arrivals))
+        self.mean_in_flight += (self.total_in_flight - self.mean_in_flight) * self.smoothing
+        crowd = max(CROWD_LEAST * (self.mean_in_flight / window) ** 2, self.slowdown)
+        self.congestion += (min(crowd, CROWD_MOST + 1.0) - self.congestion) * self.smoothing
+        return self.congestion
 
     def _admits_cold(self, now: int, cls: int, worth: float) -> bool:
         """Whether a fleet that is cold as a whole can take a request of this worth in time for its aim.
@@ -91,9 +100,11 @@
         value = values[cls] * worth / self.settings.classes[cls].worth if worth else 0.0
         ahead = sum(len(held) for held, each in zip(self.held, values, strict=True) if each >= value)
         rate = self.flow.ends * self.flow.fade(now) * math.log(2) / LOAD_HALF_LIFE
-        first = FIRST_CALLS * max(len(self.servers), 1) / self.settings.siblings
+        first = INITIAL_LIMIT * max(len(self.servers), 1) / self.settings.siblings
         if refused := ahead >= max(first, WAIT_PART * self.settings.classes[cls].aim * rate):
-            self._say(now, f"refusing: no server is warm, {ahead} requests wait, {self.out} calls out")
+            self._say(
+                now, f"refusing: no server is warm, {ahead} requests wait, {self.total_in_flight} calls out"
+            )
         return not refused
 
     def _room(self, now: int) -> float:
@@ -108,11 +119,11 @@
         part = (len(seen) + PRIOR) / (len(seen) + len(self.refusers) + PRIOR)
         room = sum(s.warmth(now, self.settings) for s in seen)
         room = max(room + part * sum(s.warmth(now, self.settings) for s in rest), 1.0)
-        if room < (1.0 - LOSS) * self.room:
+        if room < (1.0 - LOSS) * self.capacity:
             self.lost = now
-        self.grown *= room / self.room if self.room else 1.0
-        self.room = room
+        self.extra_limit *= room / self.capacity if self.capacity else 1.0
+        self.capacity = room
         return room
 
     def _growth(self, now: int) -> float:
-        return GROWTH * self.pace * (REGROWTH if now < self.lost + HALF_LIFE else 1.0)
+        return GROWTH * self.smoothing * (REGROWTH if now < self.lost + HALF_LIFE else 1.0)
--- a/minthitch/decisions/budget.py
+++ b/minthitch/decisions/budget.py
@@ -8,7 +8,7 @@
 from minthitch import interface as api
 
 
-class ResendBudget:
+class RetryBudget:
     """The stated budget of attempts beyond each request's first, over a sliding window."""
 
     def __init__(self, settings: api.Settings) -> None:
--- a/minthitch/decisions/cold.py
+++ b/minthitch/decisions/cold.py
@@ -22,7 +22,7 @@
 class Cold(Known):
     """Credit of cold servers: what time and their own answers give them."""
 
-    def _pool(self, now: int) -> list[Server]:
+    def _eligible(self, now: int) -> list[Server]:
         """The servers that may take a call: warm ones, and cold ones with room in this node's part.
 
         Guards against pushing over a cold server: each node gives it a part of the rate at which warm ones
@@ -35,10 +35,10 @@
         # are crowded: as much as they answered at best they can do, and so can a cold one in time.
         each = max(
             self.warm.ends * self.warm.fade(now) / warm,
-            self.most * math.exp2((self.most_at - now) / CLASS_HALF_LIFE),
+            self.peak_rate * math.exp2((self.peak_rate_at - now) / CLASS_HALF_LIFE),
         )
-        self.most, self.most_at = each, now
-        least = self._least(now, min(warmth for _, warmth in cold)) if cold else 0.0
+        self.peak_rate, self.peak_rate_at = each, now
+        least = self._min_rate(now, min(warmth for _, warmth in cold)) if cold else 0.0
         self._credit(now, cold, each, least)
         return [s for s, warmth in warmths if warmth >= 1.0 or s.credit >= 1.0]
 
@@ -54,14 +54,14 @@
                 gain = part * since
                 s.credit, s.paid = min(1.0, s.credit + max(gain - s.paid, 0.0)), max(s.paid - gain, 0.0)
 
-    def _least(self, now: int, warmth: float) -> float:
+    def _min_rate(self, now: int, warmth: float) -> float:
         """What time gives any cold server, in calls a nanosecond, though no warm one answers.
 
         Guards against a fleet that is cold as a whole, and would stay dark. By Little's law a server that
         answers within some time does at least one call in that time. Before any answer that is what a call
         usually takes, longer by its coldness. Of that all nodes together use their part of the budget.
         """
-        usual = sum(self._base(now, i) for i in range(len(self.classes))) / len(self.classes)
+        usual = sum(self._base_latency(now, i) for i in range(len(self.classes))) / len(self.classes)
         most = min(1.0, COLD_FIRST * self.settings.cold_multiple) / self.settings.siblings
         return most / (self.cold.mean(now, usual / api.SECOND / warmth) * api.SECOND)
 
--- a/minthitch/decisions/known.py
+++ b/minthitch/decisions/known.py
@@ -6,7 +6,7 @@
 import random
 
 from minthitch import interface as api
-from minthitch.decisions.budget import ResendBudget
+from minthitch.decisions.budget import RetryBudget
 from minthitch.decisions.evidence import CLASS_HALF_LIFE, HALF_LIFE, LOAD_HALF_LIFE, PRIOR, Evidence
 from minthitch.decisions.gamma import REFERENCE
 from minthitch.decisions.requests import Request
@@ -26,28 +26,39 @@
         self.random = random.Random(seed)
         self.servers: dict[int, Server] = {}  # ready ones only: what may be sent to
         self.requests: dict[int, Request] = {}
-        self.fits: dict[tuple[int, int, bool], tuple[float, float]] = {}  # curves worked out before
+        self.curves: dict[tuple[int, int, bool], tuple[float, float]] = {}  # curves worked out before
         self.kinds: dict[int, Evidence] = {}  # all servers of one kind together
         self.classes = [Evidence(CLASS_HALF_LIFE) for _ in settings.classes]  # times in aims
         self.load = Evidence(LOAD_HALF_LIFE, LOAD_KEEPS)  # all calls, times in what their class usually takes
-        self.calm, self.calm_at = math.inf, 0  # the lowest load lately, and when it was judged
+        self.baseline_load, self.baseline_at = math.inf, 0  # the lowest load lately, and when it was judged
         self.shares = [(0.0, 0)] * len(settings.tenants)  # requests in a tenant's share; when counted
-        self.out, self.busy = 0, 0.0  # attempts that are out; on average over the last arrivals
+        self.total_in_flight, self.mean_in_flight = (
+            0,
+            0.0,
+        )  # attempts that are out; on average over the last arrivals
         # Those that wait until a server may take them, by class, as they came.
         self.held: list[dict[int, Request]] = [{} for _ in settings.classes]
         self.warm_from: float = math.inf  # when the first listed server is warm; before, all are cold
-        self.crowd = self.grown = 0.0  # how crowded it is; how many may be out beyond the first few
-        self.room, self.lost = 0.0, -HALF_LIFE  # servers by their warmth, as last counted; when it last fell
-        self.arrivals, self.pace = 0, 1.0  # requests so far; weight of the next one in averages
-        self.strain = 1.0  # how much longer calls take than they should, as judged at the last arrival
+        self.congestion = self.extra_limit = (
+            0.0  # how crowded it is; how many may be out beyond the first few
+        )
+        self.capacity, self.lost = (
+            0.0,
+            -HALF_LIFE,
+        )  # servers by their warmth, as last counted; when it last fell
+        self.arrivals, self.smoothing = 0, 1.0  # requests so far; weight of the next one in averages
+        self.slowdown = 1.0  # how much longer calls take than they should, as judged at the last arrival
         self.load_now, self.load_at = 1.0, -1  # the common load and when it was worked out
         self.warm = Evidence(HALF_LIFE)  # answers of warm servers
         self.cold = Evidence(LOAD_HALF_LIFE, LOAD_KEEPS)  # answers of cold ones, times in seconds
         self.warm_lately = Evidence(LOAD_HALF_LIFE)  # the same, as they are now
-        self.most, self.most_at = 0.0, 0  # the most that a warm server answered in a nanosecond, and when
+        self.peak_rate, self.peak_rate_at = (
+            0.0,
+            0,
+        )  # the most that a warm server answered in a nanosecond, and when
         self.flow = Evidence(LOAD_HALF_LIFE)  # answers, with the times that they usually take
-        self.spare = SPARE_MOST / 2  # further attempts (copies and retries) that answers have earned
-        self.budget = ResendBudget(settings)
+        self.extra_attempts = SPARE_MOST / 2  # further attempts (copies and retries) that answers have earned
+        self.budget = RetryBudget(settings)
         self.refusers = set[Server]()  # listed ones that refused: new connections are not to be counted on
         self.asking = False
         self.said: dict[str, int] = {}  # when such a line for the one on call may be said again
@@ -59,11 +70,11 @@
             self.said[text[:4]] = now + SAY_EVERY
             self.actions.append(api.Log(text))
 
-    def _due(self, request: Request) -> int:
+    def _answer_by(self, request: Request) -> int:
         """Settle two ticks ahead of the client: a timer fires in the first batch at or past its time."""
         return request.deadline - 2 * self.settings.tick
 
-    def _base(self, now: int, cls: int) -> float:
+    def _base_latency(self, now: int, cls: int) -> float:
         """What a call of this class usually takes, in nanoseconds."""
         return max(self.classes[cls].mean(now, FIRST_MEAN), 1e-3) * self.settings.classes[cls].aim
 
@@ -73,7 +84,9 @@
         Guards against silent servers passing for a common load: overdue calls do not count.
         """
         if now != self.load_at:
-            ages = ((now * s.open_rate - s.open_sent, s.open) for s in self.servers.values() if s.open)
+            ages = (
+                (now * s.open_rate - s.open_sent, s.in_flight) for s in self.servers.values() if s.in_flight
+            )
             waiting = sum(age for age, calls in ages if age <= REFERENCE * calls * self.load_now)
             self.load_now, self.load_at = self.load.mean(now, 1.0, waiting), now
         return self.load_now
--- a/minthitch/decisions/outcomes.py
+++ b/minthitch/decisions/outcomes.py
@@ -31,7 +31,7 @@
         attempt.status = event.status
         self._track(attempt, -1)
         if event.status is not api.Status.MOOT:
-            self._learn(now, request, attempt, event.latency)
+            self._record_outcome(now, request, attempt, event.latency)
         elif event.attempt:
             self.budget.moot(attempt.sent)
         self._resize(now, attempt, event.status)
@@ -39,36 +39,36 @@
             self._cancel_others(request, event.attempt)
             self._close(request)
         elif not request.streaming and all(a.status is not None for a in request.attempts):
-            self._place(now, request)
-        self._place_held(now)  # what this answer earned a cold server goes to the worthiest
+            self._dispatch(now, request)
+        self._dispatch_held(now)  # what this answer earned a cold server goes to the worthiest
 
     def _resize(self, now: int, attempt: Attempt, status: api.Status) -> None:
         """How many calls may be out, and copies may go out, after this outcome."""
         if status is api.Status.FULL:
             # Guards against servers that turn away before times tell: too much is out already. Also slows
             # growth while servers throttle one class; harmless there, as the first few calls stay.
-            self.grown = max(self.grown - FULL_SHRINKS * GROWTH * self.pace, 0.0)
+            self.extra_limit = max(self.extra_limit - FULL_SHRINKS * GROWTH * self.smoothing, 0.0)
         if status is api.Status.OK:
-            self.spare = min(SPARE_MOST, self.spare + SPARE_SHARE)
+            self.extra_attempts = min(SPARE_MOST, self.extra_attempts + SPARE_SHARE)
             # Guards against growing with the queues themselves: answers at their usual times need so many.
             self.flow.note(now, attempt.base, True, False)
             need = ROOM * self.flow.time * math.log(2) / LOAD_HALF_LIFE
-            if self.strain < GROWTH_MOST and self.grown < need:
-                self.grown += self._growth(now)
+            if self.slowdown < GROWTH_MOST and self.extra_limit < need:
+                self.extra_limit += self._growth(now)
             else:
                 # Guards against holding a window that keeps servers slow: they recover once nearly idle. A
                 # node with few calls out yields by less: its strain strays by chance.
-                yields = self.pace**2 if self.strain > GROWTH_MOST else 0.0
-                part = 1.0 if self.grown > need or self.strain > CROWD_LEAST else yields
-                self.grown = max(self.grown - GROWTH * self.pace * part, 0.0)
+                yields = self.smoothing**2 if self.slowdown > GROWTH_MOST else 0.0
+                part = 1.0 if self.extra_limit > need or self.slowdown > CROWD_LEAST else yields
+                self.extra_limit = max(self.extra_limit - GROWTH * self.smoothing * part, 0.0)
 
-    def _learn(self, now: int, request: Request, attempt: Attempt, latency: int) -> None:
+    def _record_outcome(self, now: int, request: Request, attempt: Attempt, latency: int) -> None:
         """Take in how an attempt ended. A cancelled one only tells that it took longer than it had."""
         ok = attempt.status is api.Status.OK
         lost = not ok and attempt.status is not api.Status.CANCELLED
         server, waited = attempt.server, latency / attempt.expected
         self._learn_connections(now, attempt)
-        server.own.note(now, waited, ok, lost)
+        server.evidence.note(now, waited, ok, lost)
         # Guards against a kind that is damned by a few silent servers: they return, and others of it start.
         self.kinds[server.entry.kind].note(now, min(waited, OVERDUE), ok, lost)
         # The common load is taken out, or a busy start would pass for what the class usually takes.
@@ -87,12 +87,12 @@
         """Whether its server takes connections, by an answer or a refusal."""
         server = attempt.server
         if attempt.status is api.Status.OK:
-            server.links, server.used = max(server.links, server.open + 1), now
+            server.connections, server.used = max(server.connections, server.in_flight + 1), now
             if attempt.sent > server.refused and server in self.refusers:  # it takes connections again
                 self.refusers.remove(server)
                 server.refused, server.rest = 0, SHUT // 2
         elif attempt.status is api.Status.CONNECT_FAILED:
             server.rest = min(2 * server.rest, max(self.settings.idle_close, SHUT))
-            server.shut, server.links, server.refused = now + server.rest, 0, now
+            server.connect_after, server.connections, server.refused = now + server.rest, 0, now
             if self.servers.get(server.entry.server) is server:
                 self.refusers.add(server)
--- a/minthitch/decisions/placing.py
+++ b/minthitch/decisions/placing.py
@@ -16,26 +16,26 @@
 class Placing(Choice):
     """What goes out, what waits until a server may take it, and what is answered here."""
 
-    def _place(self, now: int, request: Request, timed: bool = False) -> None:
+    def _dispatch(self, now: int, request: Request, timed: bool = False) -> None:
         """Send to the cheapest set of servers that the request's class allows; hold if there is none.
 
         While calls of it are out, this is one more copy, raced with those that are overdue. `timed`: it is
         held, and its timer is set.
         """
         spec, tried, anchor, allow = request.spec, request.attempts, request.anchor, self.settings
-        room = allow.max_attempts - len(tried) if now < self._due(request) else 0
-        further = int(min(self.spare, self.budget.left(now)))
+        room = allow.max_attempts - len(tried) if now < self._answer_by(request) else 0
+        further = int(min(self.extra_attempts, self.budget.left(now)))
         out = any(a.status is None for a in tried)
         races = spec.effect is not api.Effect.UNSAFE and allow.may_duplicate and allow.may_cancel
         if room <= 0 or (anchor and spec.effect is api.Effect.UNSAFE) or (tried and further < 1):
-            return None if out else self._settle(request)
-        if out and (not races or self.strain >= GROWTH_MOST or self.crowd >= CROWD_LEAST):
+            return None if out else self._refuse_or_fail(request)
+        if out and (not races or self.slowdown >= GROWTH_MOST or self.congestion >= CROWD_LEAST):
             return None  # guards against copies that only lengthen queues
         most = 1 if out or not races else min(SET_MOST, room, further + (not tried))
-        base, load = self._base(now, request.cls), self._load(now)
-        pool = self._pool(now)
+        base, load = self._base_latency(now, request.cls), self._load(now)
+        pool = self._eligible(now)
         if anchor and spec.effect is api.Effect.KEYED and now >= anchor.sent + spec.window:
-            return None if out else self._settle(request)
+            return None if out else self._refuse_or_fail(request)
         pool = self._open_to(now, request, pool, out)
         if not pool:
             return None if out else self._hold(now, request, timed)
@@ -45,18 +45,20 @@
             # Guards against silent servers and connections: the set was right when it was sent only.
             patience = int(OVERDUE * base * load)
             request.late = now + patience
-            if request.late < self._due(request):
+            if request.late < self._answer_by(request):
                 self.actions.append(api.SetTimer(request.id << 1 | 1, patience))
         return None
 
     def _hold(self, now: int, request: Request, timed: bool) -> None:
         """No server may take it now: it waits for one, or is settled."""
         if not request.anchor and now + HOLD >= request.half:
-            return self._settle(request)  # guards against clients that wait for nothing: they may ask again
+            return self._refuse_or_fail(
+                request
+            )  # guards against clients that wait for nothing: they may ask again
         self.held[request.cls][request.id], request.held = request, True
         return None if timed else self.actions.append(api.SetTimer(request.id << 1 | 1, HOLD))
 
-    def _place_held(self, now: int, cls: int = -1) -> None:
+    def _dispatch_held(self, now: int, cls: int = -1) -> None:
         """Where all servers are cold, requests held that are worth more than this class's go first."""
         if now >= self.warm_from or not any(self.held):
             return
@@ -66,14 +68,14 @@
             if cls >= 0 and values[best] <= values[cls]:
                 return
             first = next(iter(self.held[best].values()))
-            self._place(now, first, timed=True)
+            self._dispatch(now, first, timed=True)
             if first.held:
                 return
 
     def _send(self, now: int, request: Request, server: Server, base: float, load: float) -> None:
         # Guards against storms: copies and retries are earned by answers only, as every tier multiplies them.
         if request.attempts:
-            self.spare -= 1.0
+            self.extra_attempts -= 1.0
             self.budget.note(now, self.budget.sent)
         attempt = Attempt(server, now, base, base * load)
         self._release(request)
@@ -87,8 +89,8 @@
     def _track(self, attempt: Attempt, by: int) -> None:
         """Keep the sums over open attempts, whose age counts as time waited."""
         server = attempt.server
-        server.open += by
-        self.out += by
+        server.in_flight += by
+        self.total_in_flight += by
         server.open_rate += by / attempt.base
         server.open_sent += by * attempt.sent / attempt.base
 
@@ -102,9 +104,9 @@
             if attempt.status is None and index != winner and self.settings.may_cancel:
                 self.actions.append(api.Cancel(request.id, index))
 
-    def _settle(self, request: Request) -> None:
+    def _refuse_or_fail(self, request: Request) -> None:
         """The final answer where no server gave one: a refusal only if a further try is harmless."""
-        if request.harmless or request.anchor is None:
+        if request.repeat_safe or request.anchor is None:
             # Guards against all that were refused together coming back together, before queues are shorter.
             pause = self.random.uniform(*BACK_PART) * request.spec.aim if self.settings.retry_after else 0.0
             self.actions.append(api.Refuse(request.id, min(int(pause), self.settings.max_retry_after)))
--- a/minthitch/decisions/requests.py
+++ b/minthitch/decisions/requests.py
@@ -22,7 +22,7 @@
         "deadline",
         "half",
         "late",
-        "harmless",
+        "repeat_safe",
         "attempts",
         "closed",
         "streaming",
@@ -34,7 +34,7 @@
         self.half = (now + event.deadline) // 2  # half of its time is gone
         self.late = event.deadline  # when what is out is overdue
         keyed_all = spec.effect is api.Effect.KEYED and spec.group is api.Group.ALL
-        self.harmless = spec.effect is api.Effect.SAFE or keyed_all  # a repeat at any server does nothing
+        self.repeat_safe = spec.effect is api.Effect.SAFE or keyed_all  # a repeat at any server does nothing
         self.attempts: list[Attempt] = []
         self.closed = self.streaming = self.held = False  # held: no server may take it yet
 
--- a/minthitch/decisions/servers.py
+++ b/minthitch/decisions/servers.py
@@ -13,31 +13,34 @@
 
     __slots__ = (
         "entry",
-        "own",
-        "open",
+        "evidence",
+        "in_flight",
         "open_rate",
         "open_sent",
         "credit",
         "credit_at",
-        "links",
+        "connections",
         "used",
         "lately",
         "paid",
-        "shut",
+        "connect_after",
         "rest",
         "refused",
     )
 
     def __init__(self, entry: api.ServerEntry, now: int, credit: float, window: int) -> None:
-        self.entry, self.own = entry, Evidence(HALF_LIFE)
+        self.entry, self.evidence = entry, Evidence(HALF_LIFE)
         self.paid = 0.0  # calls that its answers earned it, which time does not give it once more
         self.lately = Evidence(window // 4)  # calls sent while it is cold
-        self.open = 0  # this node's attempts that are out; below, sums over them
+        self.in_flight = 0  # this node's attempts that are out; below, sums over them
         self.open_rate = self.open_sent = 0.0  # 1 / usual time; send time / usual time
         self.credit, self.credit_at = credit, now  # calls a cold server may still get
-        self.links, self.used = 0, 0  # connections that answered; when one of them last did
+        self.connections, self.used = 0, 0  # connections that answered; when one of them last did
         self.refused = 0  # when it last refused one; 0 = it has answered since
-        self.shut, self.rest = now, SHUT // 2  # until when it is not asked for a new one; how long that was
+        self.connect_after, self.rest = (
+            now,
+            SHUT // 2,
+        )  # until when it is not asked for a new one; how long that was
 
     def may_take(self, spec: api.RequestClass) -> bool:
         """Placement: whether the class is open to this server's zone and kind, at every attempt."""
--- a/minthitch/engine/trace.py
+++ b/minthitch/engine/trace.py
@@ -85,8 +85,9 @@
             mark = "r" if isinstance(action, api.Refuse) else "f"
             part = len(self.servers) / self.settings.siblings
             return (
-                f"{mark} {action.request} strain={self.strain:.2f} crowd={self.crowd:.2f} "
-                f"busy={self.busy:.2f} out={self.out} grown={self.grown:.2f} part={part:.2f} "
-                f"spare={self.spare:.1f} calm={self.calm:.2f} load={self.load_now:.2f}"
+                f"{mark} {action.request} strain={self.slowdown:.2f} crowd={self.congestion:.2f} "
+                f"busy={self.mean_in_flight:.2f} out={self.total_in_flight} grown={self.extra_limit:.2f} "
+                f"part={part:.2f} spare={self.extra_attempts:.1f} calm={self.baseline_load:.2f} "
+                f"load={self.load_now:.2f}"
             )
         return None
--- a/minthitch/memory.py
+++ b/minthitch/memory.py
@@ -45,12 +45,12 @@
     return {
         "classes": {spec.name: _out(evidence, now) for spec, evidence in classes},
         "kinds": {kinds[k]: _out(e, now) for k, e in balancer.kinds.items() if k in kinds},
-        "servers": {servers[n]: _out(s.own, now) for n, s in balancer.servers.items() if n in servers},
+        "servers": {servers[n]: _out(s.evidence, now) for n, s in balancer.servers.items() if n in servers},
         "shared": {name: _out(getattr(balancer, name), now) for name in SHARED},
-        "grown": balancer.grown,
-        "spare": balancer.spare,
-        "calm": balancer.calm if math.isfinite(balancer.calm) else 0.0,
-        "calm_age": max(now - balancer.calm_at, 0),
+        "grown": balancer.extra_limit,
+        "spare": balancer.extra_attempts,
+        "calm": balancer.baseline_load if math.isfinite(balancer.baseline_load) else 0.0,
+        "calm_age": max(now - balancer.baseline_at, 0),
     }
 
 
@@ -76,18 +76,21 @@
     for name, row in table["servers"].items():
         known = balancer.servers.get(servers.get(name, -1))
         if known is not None:
-            _in(known.own, row, now)
+            _in(known.evidence, row, now)
     for name in SHARED:
         # How many answers come belongs to the calls that are served here; their times do not.
         _in(getattr(balancer, name), table["shared"][name], now, 1.0 if name == "load" else part)
-    balancer.grown, balancer.spare = part * _number(table["grown"]), part * _number(table["spare"])
+    balancer.extra_limit, balancer.extra_attempts = (
+        part * _number(table["grown"]),
+        part * _number(table["spare"]),
+    )
     if calm := _number(table["calm"]):
-        balancer.calm, balancer.calm_at = calm, now - int(_number(table["calm_age"]))
+        balancer.baseline_load, balancer.baseline_at = calm, now - int(_number(table["calm_age"]))
 
 
 def take_over(balancer: Balancer, now: int, table: Table) -> None:
     """The other process ends: its calls come here from now on. Raises ValueError, KeyError or TypeError."""
-    balancer.grown += _number(table["grown"])
+    balancer.extra_limit += _number(table["grown"])
     for name in ("warm", "flow"):
         mine, other = getattr(balancer, name), Evidence(getattr(balancer, name).half_life)
         _in(other, table["shared"][name], now)
--- a/minthitch/policy.py
+++ b/minthitch/policy.py
@@ -9,9 +9,9 @@
 import math
 
 from minthitch import interface as api
-from minthitch.decisions.admission import FIRST_CALLS
-from minthitch.decisions.budget import ResendBudget
-from minthitch.decisions.choice import POOL_MOST, TARGET, Candidate
+from minthitch.decisions.admission import INITIAL_LIMIT
+from minthitch.decisions.budget import RetryBudget
+from minthitch.decisions.choice import MAX_CANDIDATES, TARGET, Candidate
 from minthitch.decisions.cold import COLD_PART
 from minthitch.decisions.evidence import CLASS_HALF_LIFE, Evidence
 from minthitch.decisions.gamma import REFERENCE, SHAPE_MAX, fit_curve, fit_shape, gammainc
@@ -23,8 +23,8 @@
 
 __all__ = [
     "CLASS_HALF_LIFE",
-    "FIRST_CALLS",
-    "POOL_MOST",
+    "INITIAL_LIMIT",
+    "MAX_CANDIDATES",
     "REFERENCE",
     "SHAPE_MAX",
     "TARGET",
@@ -33,7 +33,7 @@
     "Candidate",
     "Evidence",
     "Request",
-    "ResendBudget",
+    "RetryBudget",
     "Server",
     "cheapest_set",
     "fit_curve",
@@ -42,7 +42,9 @@
 ]
 
 AVOIDED_SHARE = 0.5  # share of calls answered within the reference time below which a server is shown as down
-ASK_PART = 0.25  # list calls are repeated within this part of the time after which the node counts as told
+RESUBSCRIBE_PART = (
+    0.25  # list calls are repeated within this part of the time after which the node counts as told
+)
 
 
 class Balancer(Outcomes):
@@ -57,7 +59,7 @@
         elif isinstance(event, api.TimerFired):
             self._fired(now, event.token)
         elif isinstance(event, api.ListUpdate):
-            self._listed(now, event)
+            self._on_list(now, event)
         elif isinstance(event, api.RequestGone) and (gone := self.requests.get(event.request)):
             self._cancel_others(gone, -1)  # guards against work, in every tier below, that nobody waits for
             self._close(gone)
@@ -66,13 +68,13 @@
             self._cancel_others(request, event.attempt)
         return self.actions
 
-    def _listed(self, now: int, event: api.ListUpdate) -> None:
+    def _on_list(self, now: int, event: api.ListUpdate) -> None:
         if self.settings.ask_for_list and event.kind is api.ListKind.CACHED:
             self.actions.append(api.Subscribe())
         elif self.settings.ask_for_list and event.kind is api.ListKind.FAILED and not self.asking:
             self._say(now, f"list failed: going on with the {len(self.servers)} servers of the last one")
             self.asking = True  # anew after a jittered pause: when the list fails, all nodes fail together
-            pause = self.random.uniform(ASK_PART / 4, ASK_PART) * self.settings.ask_within
+            pause = self.random.uniform(RESUBSCRIBE_PART / 4, RESUBSCRIBE_PART) * self.settings.ask_within
             self.actions.append(api.SetTimer(0, int(pause)))
         if event.kind in (api.ListKind.FULL, api.ListKind.CACHED):
             named = {e.server for e in event.entries}
@@ -94,7 +96,7 @@
             # others evenly over time, at each node and at each server.
             places = self.random.sample(range(len(new)), len(new))
             for server, place in zip(new, places, strict=True):
-                part = self._least(now, server.warmth(now, self.settings))
+                part = self._min_rate(now, server.warmth(now, self.settings))
                 at_once = min(part * self.settings.cold_window, COLD_PART / self.settings.siblings)
                 server.credit = (place + server.credit) / len(new) + at_once
         self.refusers = {s for s in self.refusers if self.servers.get(s.entry.server) is s}
@@ -103,12 +105,12 @@
         request = Request(now, event, self.settings.classes[event.cls])
         self.requests[request.id] = request
         self.budget.note(now, self.budget.taken)
-        if now >= self._due(request) or not self._admit(now, event):
-            self._settle(request)
+        if now >= self._answer_by(request) or not self._admit(now, event):
+            self._refuse_or_fail(request)
         else:
-            self.actions.append(api.SetTimer(request.id << 1 | 1, self._due(request) - now))
-            self._place_held(now, request.cls)
-            self._place(now, request)
+            self.actions.append(api.SetTimer(request.id << 1 | 1, self._answer_by(request) - now))
+            self._dispatch_held(now, request.cls)
+            self._dispatch(now, request)
 
     def _fired(self, now: int, token: int) -> None:
         request = self.requests.get(token >> 1)
@@ -116,17 +118,17 @@
             self.asking = False
             self.actions.append(api.Subscribe())
         elif request and not request.closed and not request.streaming:
-            if now >= self._due(request):
-                self._settle(request)
+            if now >= self._answer_by(request):
+                self._refuse_or_fail(request)
             elif now >= request.late or all(a.status is not None for a in request.attempts):
-                self._place_held(now, request.cls)
-                self._place(now, request)
+                self._dispatch_held(now, request.cls)
+                self._dispatch(now, request)
 
     def avoided(self, now: int) -> int:
         """Ready servers that are not chosen while others are: most of their calls miss, or are overdue."""
         return sum(
             1
             for s in self.servers.values()
-            if s.own.share(now) < AVOIDED_SHARE
-            or (s.open and now * s.open_rate - s.open_sent > OVERDUE * s.open * self._load(now))
+            if s.evidence.share(now) < AVOIDED_SHARE
+            or (s.in_flight and now * s.open_rate - s.open_sent > OVERDUE * s.in_flight * self._load(now))
         )
--- a/minthitch/recovery/learned.py
+++ b/minthitch/recovery/learned.py
@@ -36,7 +36,7 @@
 
 def rate(balancer: Balancer, now: int) -> float:
     """Answers a second of a warm server here, as the most of late."""
-    kept = balancer.most * math.exp2((balancer.most_at - now) / CLASS_HALF_LIFE) * SECOND
+    kept = balancer.peak_rate * math.exp2((balancer.peak_rate_at - now) / CLASS_HALF_LIFE) * SECOND
     return min(kept, MOST_RATE)
 
 
@@ -48,7 +48,7 @@
     for name, times in trusted.kinds.items():
         _take(balancer.kinds.setdefault(number_of(name), Evidence(CLASS_HALF_LIFE)), times, now)
     if trusted.rate > rate(balancer, now):
-        balancer.most, balancer.most_at = trusted.rate / SECOND, now
+        balancer.peak_rate, balancer.peak_rate_at = trusted.rate / SECOND, now
 
 
 def _take(evidence: Evidence, times: Times, now: int) -> None:
--- a/rigs/cluster/without.py
+++ b/rigs/cluster/without.py
@@ -15,25 +15,25 @@
 class Dark(Balancer):
     """Cold servers get what warm ones tell, and where none is warm nothing, as before."""
 
-    def _least(self, now: int, warmth: float) -> float:
+    def _min_rate(self, now: int, warmth: float) -> float:
         return 0.0
 
 
 class Eager(Balancer):
     """Takes a cold server for a warm one."""
 
-    def _pool(self, now: int) -> list[Server]:
+    def _eligible(self, now: int) -> list[Server]:
         return list(self.servers.values())
 
 
 def _nothing_from_time() -> None:
-    setattr(Balancer, "_least", Dark._least)  # noqa: B010
+    setattr(Balancer, "_min_rate", Dark._min_rate)  # noqa: B010
 
 
 def _no_order() -> None:
     """What waits goes as it comes, and all classes are refused alike."""
     admits: Any = Balancer._admits_cold
-    setattr(Balancer, "_place_held", lambda self, now, cls=-1: None)  # noqa: B010
+    setattr(Balancer, "_dispatch_held", lambda self, now, cls=-1: None)  # noqa: B010
     without = lambda self, now, cls, worth: admits(self, now, cls, 0.0)  # noqa: E731
     setattr(Balancer, "_admits_cold", without)  # noqa: B010
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -130,7 +130,7 @@
         if (i, request, attempt) in self.ended:
             return
         self.ended.add((i, request, attempt))
-        book = self.nodes[i].books[request]
+        book = self.nodes[i].records[request]
         if (i, request, attempt) in self.taken:
             machine = self.machines[book.sent[attempt][0]]
             machine.out -= 1
--- a/tests/rules.py
+++ b/tests/rules.py
@@ -72,7 +72,7 @@
 
 
 @dataclass
-class Book:
+class RequestRecord:
     """What the referee knows of one request."""
 
     arrived: RequestArrived
@@ -88,12 +88,14 @@
     def __init__(self, setup: Settings, seed: int = 1) -> None:
         self.setup, self.balancer = setup, Balancer(setup, seed)
         self.now = 10 * SECOND
-        self.books: dict[int, Book] = {}
+        self.records: dict[int, RequestRecord] = {}
         self.known: dict[int, ServerEntry] = {}
         self.barred: dict[int, int] = {}  # server: since when it drains or is gone
         self.timers: list[tuple[int, int]] = []
         self.log: list[Action] = []
-        self.further: list[tuple[int, Book, int]] = []  # attempts beyond a first: when, of which request
+        self.further: list[
+            tuple[int, RequestRecord, int]
+        ] = []  # attempts beyond a first: when, of which request
         self.asked: int | None = None  # when the list was last asked for
         self.subscribed = self.ask_failed = False
         self.free: dict[int, int] = {}  # when a server has served all it has been sent (see `queue`)
@@ -108,16 +110,16 @@
 
     def _observe(self, event: Event) -> None:
         if isinstance(event, RequestArrived):
-            self.books[event.request] = Book(event, max(event.deadline, self.now), self.now)
-        elif isinstance(event, AttemptEnded) and event.request in self.books:
-            book = self.books[event.request]
+            self.records[event.request] = RequestRecord(event, max(event.deadline, self.now), self.now)
+        elif isinstance(event, AttemptEnded) and event.request in self.records:
+            book = self.records[event.request]
             if event.attempt < len(book.sent) and book.sent[event.attempt][2] is None:
                 server, when, _ = book.sent[event.attempt]
                 book.sent[event.attempt] = (server, when, event.status)
                 if event.status is Status.OK and not book.answers:
                     book.answers = 1
-        elif isinstance(event, RequestGone) and event.request in self.books:
-            self.books[event.request].answers = 1
+        elif isinstance(event, RequestGone) and event.request in self.records:
+            self.records[event.request].answers = 1
         elif isinstance(event, ListUpdate):
             self._observe_list(event)
 
@@ -144,9 +146,9 @@
             self._judge_send(action)
         elif isinstance(action, Cancel):
             assert self.setup.may_cancel
-            assert action.attempt < len(self.books[action.request].sent), "cancel of an attempt never made"
+            assert action.attempt < len(self.records[action.request].sent), "cancel of an attempt never made"
         elif isinstance(action, (Refuse, Fail)):
-            book = self.books[action.request]
+            book = self.records[action.request]
             assert book.answers == 0, "a second final answer"
             assert self.now <= book.due + self.setup.answer_slack, "answered too late"
             book.answers = 1
@@ -171,7 +173,7 @@
             assert isinstance(action, (Log, Refresh))
 
     def _judge_send(self, action: Send) -> None:
-        book = self.books[action.request]
+        book = self.records[action.request]
         spec = self.setup.classes[book.arrived.cls]
         assert book.answers == 0, "sent after the final answer"
         assert action.server in self.known, "sent to a server that no list named"
@@ -207,7 +209,7 @@
         made = sum(
             when >= since and book.sent[index][2] is not Status.MOOT for when, book, index in self.further
         )
-        taken = sum(book.taken_at > since for book in self.books.values())
+        taken = sum(book.taken_at > since for book in self.records.values())
         allowed = self.setup.budget_free + self.setup.budget_share * taken
         assert made <= allowed, f"{made} further attempts where {allowed} are allowed"
 
@@ -220,7 +222,7 @@
         return self.feed(RequestArrived(number, self.setup.classes.index(cls), self.now + left))
 
     def end(self, number: int, attempt: int, status: Status, closed: bool = False) -> list[Action]:
-        server, when, _ = self.books[number].sent[attempt]
+        server, when, _ = self.records[number].sent[attempt]
         return self.feed(
             AttemptEnded(number, attempt, server, status, self.now - when, closed or status is Status.OK)
         )
@@ -237,7 +239,7 @@
 
     def unanswered(self) -> list[int]:
         return [
-            n for n, b in self.books.items() if not b.answers and self.now > b.due + self.setup.answer_slack
+            n for n, b in self.records.items() if not b.answers and self.now > b.due + self.setup.answer_slack
         ]
 
     def train(
@@ -249,10 +251,10 @@
     ) -> None:
         """Serve `rounds` requests one by one; each server answers in `latency`, or in its own time."""
         for _ in range(rounds):
-            number = 1_000_000 + len(self.books)
+            number = 1_000_000 + len(self.records)
             self.request(number, cls)
-            while not self.books[number].answers:
-                book = self.books[number]
+            while not self.records[number].answers:
+                book = self.records[number]
                 ends = [
                     (when + (slow or {}).get(server, latency), i)
                     for i, (server, when, status) in enumerate(book.sent)
@@ -264,14 +266,14 @@
                 self.wait(max(min(ends)[0] - self.now, 0))
                 if not book.answers:
                     self.end(number, min(ends)[1], Status.OK)
-            for i, (_, _, status) in enumerate(self.books[number].sent):
+            for i, (_, _, status) in enumerate(self.records[number].sent):
                 if status is None:
                     self.end(number, i, Status.CANCELLED, True)
 
     def started(self, number: int, service: int) -> list[tuple[int, int, int]]:
         """When the attempts of a request end at servers that serve one call after another."""
         ends = []
-        for index, (server, when, _) in enumerate(self.books[number].sent):
+        for index, (server, when, _) in enumerate(self.records[number].sent):
             self.free[server] = max(self.free.get(server, 0), when) + service
             ends.append((self.free[server], number, index))
         return ends
@@ -281,7 +283,7 @@
         ends: list[tuple[int, int, int]] = []
         refused = 0
         for _ in range(count):
-            number = 1_000_000 + len(self.books)
+            number = 1_000_000 + len(self.records)
             refused += Refuse(number) in self.request(number, classes[number % len(classes)])
             ends = self.serve(ends + self.started(number, service), self.now + every)
         self.serve(ends, max((e[0] for e in ends), default=self.now))
@@ -290,7 +292,7 @@
     def serve(self, ends: list[tuple[int, int, int]], until: int) -> list[tuple[int, int, int]]:
         for due, number, index in sorted(e for e in ends if e[0] <= until):
             self.wait(max(due - self.now, 0))
-            late = bool(self.books[number].answers)
+            late = bool(self.records[number].answers)
             actions = self.end(number, index, Status.CANCELLED if late else Status.OK, late)
             known = {e[1:] for e in ends}
             for action in actions:  # a copy that was sent meanwhile, and is not served in turn
@@ -311,9 +313,9 @@
             cls = rng.randrange(len(setup.classes))
             left = rng.choice([-5, 0, 1, 40, 500, 3000]) * MS
             node.feed(RequestArrived(step, cls, node.now + left, cost=rng.choice([0, 0, 5 * MS])))
-        elif roll < 0.70 and node.books:
-            number = rng.choice(list(node.books))
-            book = node.books[number]
+        elif roll < 0.70 and node.records:
+            number = rng.choice(list(node.records))
+            book = node.records[number]
             pending = [i for i, s in enumerate(book.sent) if s[2] is None]
             if pending:
                 index = rng.choice(pending)
@@ -327,8 +329,8 @@
         elif roll < 0.74:
             node.feed(AttemptEnded(10_000 + step, 0, 1, Status.OK, 5, True))
             node.feed(TimerFired(rng.randrange(1 << 34)))
-        elif roll < 0.77 and node.books:
-            node.feed(RequestGone(rng.choice([*node.books, 99_999])))
+        elif roll < 0.77 and node.records:
+            node.feed(RequestGone(rng.choice([*node.records, 99_999])))
         elif roll < 0.84:
             kind = rng.choice([ListKind.FULL, ListKind.CHANGES, ListKind.CHANGES, ListKind.FAILED])
             named = [] if kind is ListKind.FAILED else rng.sample(range(1, 12), rng.randint(0, 8))
--- a/tests/test_curve.py
+++ b/tests/test_curve.py
@@ -33,9 +33,9 @@
     node = policy.Balancer(api.Settings(classes=(api.RequestClass("a", api.SECOND, api.SECOND),)), 1)
     server = policy.Server(api.ServerEntry(1), 0, 1.0, api.SECOND)
     for i in range(40):
-        server.own.note(0, 0.1 + i, True, False)
+        server.evidence.note(0, 0.1 + i, True, False)
         node._candidate(0, 1.0, server)
-        assert len(node.fits) <= 5
+        assert len(node.curves) <= 5
 
 
 def test_fit_reproduces_the_papers_worked_value() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -7,7 +7,7 @@
 import pytest
 
 from minthitch.interface import SECOND, ListKind, ListUpdate, RequestArrived, ServerEntry, Status
-from minthitch.policy import FIRST_CALLS, Attempt, Request
+from minthitch.policy import INITIAL_LIMIT, Attempt, Request
 from tests.fleet import Crew, Machine
 from tests.rules import MS, SAFE, UNSAFE, Node, entries, settings
 
@@ -49,7 +49,7 @@
     for first in range(0, 80, 8):  # eight at a time, so that each server that may take one gets one
         for number in range(first, first + 8):
             node.request(number, UNSAFE)
-        at, cold = node.now, {n for n in range(first, first + 8) if node.books[n].sent[0][0] == 9}
+        at, cold = node.now, {n for n in range(first, first + 8) if node.records[n].sent[0][0] == 9}
         ends = [(at + (latency if n in cold else 100 * MS), n) for n in range(first, first + 8)]
         for due, number in sorted(ends):
             node.wait(due - node.now)
@@ -79,7 +79,7 @@
     node.feed(ListUpdate(ListKind.CHANGES, (ServerEntry(9, started=node.now),)))
     for number in range(240):
         node.request(number, UNSAFE)
-        if node.books[number].sent[0][0] == 9:
+        if node.records[number].sent[0][0] == 9:
             sent.append(number)
             node.wait(20 * MS)
             node.end(number, 0, Status.OK)
@@ -104,29 +104,29 @@
     """Calls that eight servers bore crowd the four that are left, before any answer tells of it."""
     node = trained()
     node.request(1)
-    before = node.balancer.grown
+    before = node.balancer.extra_limit
     node.feed(full(4))
     node.request(2)
     assert before > 0
-    assert node.balancer.grown == pytest.approx(before / 2, rel=0.05)
+    assert node.balancer.extra_limit == pytest.approx(before / 2, rel=0.05)
 
 
 def test_what_refuses_is_not_counted_as_room_before_the_list_says_so() -> None:
     """What a lost third had borne crowded the rest for the 4 s that the list took (zone+mass, seed 11)."""
     node = trained()
     node.request(1)
-    before = node.balancer.room
+    before = node.balancer.capacity
     for server in list(node.balancer.servers.values())[:4]:
         attempt = Attempt(server, node.now, float(MS), float(MS))
         attempt.status = Status.CONNECT_FAILED
         request = Request(node.now, RequestArrived(9, 0, node.now + SECOND), SAFE)
-        node.balancer._learn(node.now, request, attempt, MS)
+        node.balancer._record_outcome(node.now, request, attempt, MS)
     node.wait(3 * SECOND)  # nothing was heard of any for so long
     node.request(2)
-    assert before == 8 and node.balancer.room < 4, "of the other four as many may refuse"
+    assert before == 8 and node.balancer.capacity < 4, "of the other four as many may refuse"
     node.feed(full(8, started=1))
     node.request(3)
-    assert node.balancer.room == 8, "processes that started anew refused nothing"
+    assert node.balancer.capacity == 8, "processes that started anew refused nothing"
 
 
 @pytest.mark.parametrize(("strain", "less"), [(1.4, False), (1.6, True), (2.5, True)])
@@ -134,18 +134,18 @@
     """Held from 1.5 to 2 times the calm load it kept servers slow to the day's end (zone+mass, 11)."""
     node = trained()
     node.request(1)
-    node.balancer.grown, node.balancer.strain, node.balancer.pace = 0.5, strain, 1.0
-    before = node.balancer.grown
+    node.balancer.extra_limit, node.balancer.slowdown, node.balancer.smoothing = 0.5, strain, 1.0
+    before = node.balancer.extra_limit
     node.end(1, 0, Status.OK)
-    assert (node.balancer.grown < before) is less
+    assert (node.balancer.extra_limit < before) is less
 
 
 def test_cold_servers_count_by_what_they_can_do() -> None:
     node = trained()
     node.feed(full(8, started=node.now))
     node.request(1)
-    assert node.balancer.room == pytest.approx(8 * node.setup.cold_share, rel=0.05)
-    assert FIRST_CALLS * node.balancer.room / node.setup.siblings < 8
+    assert node.balancer.capacity == pytest.approx(8 * node.setup.cold_share, rel=0.05)
+    assert INITIAL_LIMIT * node.balancer.capacity / node.setup.siblings < 8
 
 
 def test_after_a_loss_the_window_grows_slowly_for_a_while() -> None:
@@ -153,13 +153,13 @@
     lost, kept = trained(), trained()
     lost.feed(full(4))
     for node in (lost, kept):
-        node.balancer.grown = 0.5
+        node.balancer.extra_limit = 0.5
         node.queue(30, 60 * MS, 50 * MS)
-    assert lost.balancer.grown < 0.5 + 0.3 * (kept.balancer.grown - 0.5)
+    assert lost.balancer.extra_limit < 0.5 + 0.3 * (kept.balancer.extra_limit - 0.5)
     lost.wait(15 * SECOND)
-    before = lost.balancer.grown
+    before = lost.balancer.extra_limit
     lost.queue(30, 60 * MS, 50 * MS)
-    assert lost.balancer.grown > before + 0.5
+    assert lost.balancer.extra_limit > before + 0.5
 
 
 def test_what_may_be_out_is_bounded_by_what_the_answers_need() -> None:
@@ -169,4 +169,4 @@
     node.queue(400, 25 * MS, 100 * MS)
     needed = node.balancer.flow.time * math.log(2) / (2 * SECOND)  # calls out, at their usual times
     assert 4.0 <= needed <= 5.0
-    assert needed < node.balancer.grown <= 1.6 * needed
+    assert needed < node.balancer.extra_limit <= 1.6 * needed
--- a/tests/test_lab_hunt.py
+++ b/tests/test_lab_hunt.py
@@ -110,15 +110,19 @@
 class Shy(Balancer):
     """The fault that was found: after any refused connect nothing but open connections for 30 s."""
 
-    def _learn(self, now: int, request: Any, attempt: Any, latency: int) -> None:
-        super()._learn(now, request, attempt, latency)
+    def _record_outcome(self, now: int, request: Any, attempt: Any, latency: int) -> None:
+        super()._record_outcome(now, request, attempt, latency)
         if attempt.status is Status.CONNECT_FAILED:
             self.shy = now + 30 * SECOND
 
     shy = 0
 
-    def _connects(self, now: int, server: Any, scarce: bool) -> bool:
-        return server.open < server.links if now < self.shy else super()._connects(now, server, scarce)
+    def _can_connect(self, now: int, server: Any, scarce: bool) -> bool:
+        return (
+            server.in_flight < server.connections
+            if now < self.shy
+            else super()._can_connect(now, server, scarce)
+        )
 
 
 def back(run: Run, first: int, last: int) -> float:
--- a/tests/test_many_nodes.py
+++ b/tests/test_many_nodes.py
@@ -48,7 +48,7 @@
         node = Node(MANY, seed)
         node.listed(20)
         for server in range(1, 21):
-            node.balancer.servers[server].own.note(node.now, 0.2 if server == 1 else 1.0, True, False)
+            node.balancer.servers[server].evidence.note(node.now, 0.2 if server == 1 else 1.0, True, False)
         node.request(1)
         sends += [a.server for a in node.log if isinstance(a, Send)]
     assert sends.count(1) < 20
@@ -61,7 +61,7 @@
         node = Node(MANY, seed)
         node.listed(130)
         node.queue(200, 200 * MS, 600 * MS, (SAFE, UNSAFE))
-        for book in node.books.values():
+        for book in node.records.values():
             if not book.sent:
                 turned[CLASSES[book.arrived.cls].name] += 1
     assert turned[SAFE.name] > 1.3 * turned[UNSAFE.name] > 0
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -48,7 +48,7 @@
         old = node.balancer._candidate(node.now, 5.0, node.balancer.servers[number])
         new = balancer._candidate(now, 5.0, balancer.servers[numbers[name]])
         assert new[:2] == pytest.approx(old[:2], rel=0.05)  # a call or two are still out there
-    assert balancer._base(now, 0) == pytest.approx(node.balancer._base(node.now, 0))
+    assert balancer._base_latency(now, 0) == pytest.approx(node.balancer._base_latency(node.now, 0))
     assert balancer._load(now) == pytest.approx(node.balancer._load(node.now), rel=0.05)
     slow, other = (balancer._candidate(now, 5.0, balancer.servers[n])[0] for n in (5, 4))
     assert slow > 1.5 * other  # it is slow by another number too
@@ -56,13 +56,13 @@
 
 def test_it_serves_a_part_beside_the_last_one_and_all_once_that_ends() -> None:
     node = taught()
-    assert node.balancer.grown > 0
+    assert node.balancer.extra_limit > 0
     balancer, now, numbers = fresh()
     memory.recall(balancer, now, told(node), numbers, {"k": 0}, 0.5)
-    assert balancer.grown == pytest.approx(node.balancer.grown / 2)
+    assert balancer.extra_limit == pytest.approx(node.balancer.extra_limit / 2)
     flow = balancer.flow.time * balancer.flow.fade(now)
     memory.take_over(balancer, now, told(node))
-    assert balancer.grown == pytest.approx(1.5 * node.balancer.grown)
+    assert balancer.extra_limit == pytest.approx(1.5 * node.balancer.extra_limit)
     assert balancer.flow.time == pytest.approx(3 * flow)
 
 
@@ -71,10 +71,10 @@
     table["servers"] = {"s9": table["servers"]["s1"]}
     del table["classes"][SAFE.name]
     balancer, now, numbers = fresh()
-    before = balancer._base(now, 0)
+    before = balancer._base_latency(now, 0)
     memory.recall(balancer, now, table, numbers, {}, 0.5)
-    assert balancer._base(now, 0) == before
-    assert all(not server.own.trials for server in balancer.servers.values())
+    assert balancer._base_latency(now, 0) == before
+    assert all(not server.evidence.trials for server in balancer.servers.values())
 
 
 def _spoil(value: Any, rng: random.Random) -> Any:
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -33,7 +33,7 @@
         ends: list[tuple[int, int, int]] = []
         for number in range(150):
             refused += any(isinstance(a, Refuse) for a in node.request(number, UNSAFE))
-            if node.books[number].sent:
+            if node.records[number].sent:
                 took = int(min(rng.lognormvariate(-1.1, 1.5) * 250, 2500)) * MS
                 ends.append((node.now + took, number, 0))
             ends = node.serve(ends, node.now + 250 * MS)
@@ -46,12 +46,12 @@
     node = Node(settings())
     node.listed(4)
     node.queue(400, 14 * MS, 50 * MS)
-    grown = node.balancer.grown
+    grown = node.balancer.extra_limit
     assert grown > 1.0
     for number in range(3):
         node.request(number, UNSAFE)
         node.end(number, 0, Status.FULL)
-    assert node.balancer.grown < grown - 1.0
+    assert node.balancer.extra_limit < grown - 1.0
 
 
 def test_calls_that_wait_do_not_widen_the_window() -> None:
@@ -60,11 +60,11 @@
     node.listed(4)
     for number in range(300):
         node.request(number, UNSAFE)
-        node.balancer.busy = 40.0  # as a queue would have it
+        node.balancer.mean_in_flight = 40.0  # as a queue would have it
         node.wait(20 * MS)
-        if node.books[number].sent:
+        if node.records[number].sent:
             node.end(number, 0, Status.OK)
-    assert node.balancer.grown < 20
+    assert node.balancer.extra_limit < 20
 
 
 def test_after_a_failed_connect_a_node_keeps_to_its_open_connections() -> None:
@@ -74,10 +74,10 @@
     node.train(60)
     node.feed(ListUpdate(ListKind.CHANGES, tuple(ServerEntry(s) for s in range(6, 60))))
     node.request(1, UNSAFE)
-    node.feed(AttemptEnded(1, 0, node.books[1].sent[0][0], Status.CONNECT_FAILED, 120 * MS))
-    before = len(node.books)
+    node.feed(AttemptEnded(1, 0, node.records[1].sent[0][0], Status.CONNECT_FAILED, 120 * MS))
+    before = len(node.records)
     node.train(40)
-    later = {s[0] for number, b in list(node.books.items())[before:] for s in b.sent}
+    later = {s[0] for number, b in list(node.records.items())[before:] for s in b.sent}
     assert later <= {1, 2, 3, 4, 5}
 
 
@@ -87,11 +87,11 @@
     node.listed(8)
     for server, known in node.balancer.servers.items():  # the node's own zone takes twice as long
         for _ in range(20):
-            known.own.note(node.now, 1.0 if server % 2 else 0.5, True, False)
+            known.evidence.note(node.now, 1.0 if server % 2 else 0.5, True, False)
     for number in range(20):
         node.request(number, UNSAFE)
         node.end(number, 0, Status.OK)
-    sends = [s[0] for number in range(20) for s in node.books[number].sent]
+    sends = [s[0] for number in range(20) for s in node.records[number].sent]
     assert sum(s % 2 == 0 for s in sends) > 10
 
 
@@ -110,7 +110,7 @@
     sizes = []
     for number in range(120):
         judged.clear()
-        node.balancer.spare = 10.0  # calm: copies are not short
+        node.balancer.extra_attempts = 10.0  # calm: copies are not short
         sends = [a.server for a in node.request(number, SAFE, 1500 * MS) if isinstance(a, Send)]
         chosen = [c for c in judged if c[2].entry.server in sends]
         fit = [
@@ -134,15 +134,15 @@
     node.listed(4)
     node.train(40)
     node.request(1)
-    first = len(node.books[1].sent)
+    first = len(node.records[1].sent)
     node.wait(150 * MS)
-    assert len(node.books[1].sent) == first
+    assert len(node.records[1].sent) == first
     node.wait(SECOND)
-    assert len(node.books[1].sent) > first and not node.books[1].answers
+    assert len(node.records[1].sent) > first and not node.records[1].answers
     node.train(10, cls=UNSAFE)
     node.request(2, UNSAFE)
     node.wait(2 * SECOND)
-    assert len(node.books[2].sent) == 1  # it may have run
+    assert len(node.records[2].sent) == 1  # it may have run
 
 
 def test_a_request_that_no_server_may_take_is_refused_before_half_its_time() -> None:
@@ -150,6 +150,6 @@
     node = Node(settings(tier=1))
     node.feed(ListUpdate(ListKind.FULL, ()))
     node.request(1)
-    answers = [node.books[1].answers]
-    node.wait((node.books[1].due - node.now) // 2)
-    assert answers + [node.books[1].answers] == [0, 1]
+    answers = [node.records[1].answers]
+    node.wait((node.records[1].due - node.now) // 2)
+    assert answers + [node.records[1].answers] == [0, 1]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -33,7 +33,7 @@
     Tenant,
     TimerFired,
 )
-from minthitch.policy import POOL_MOST, Balancer, Candidate, ResendBudget, Server
+from minthitch.policy import MAX_CANDIDATES, Balancer, Candidate, RetryBudget, Server
 from tests.rules import (
     ALL_CLASSES,
     BOUND,
@@ -102,14 +102,14 @@
 
 
 def test_the_referee_sees_a_module_without_a_budget(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ResendBudget, "left", lambda *_: 9.0)
+    monkeypatch.setattr(RetryBudget, "left", lambda *_: 9.0)
     with pytest.raises(AssertionError, match="further attempts where"):
         for seed in range(5):
             hostile_day(settings(budget_share=0.01), seed)
 
 
 def test_the_referee_sees_a_node_that_stops_asking_for_the_list(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(policy, "ASK_PART", 1000.0)
+    monkeypatch.setattr(policy, "RESUBSCRIBE_PART", 1000.0)
     node = Node(settings(ask_for_list=True, ask_within=SECOND, tier=1))
     node.listed(4)
     node.feed(ListUpdate(ListKind.FAILED))
@@ -144,7 +144,7 @@
     node.wait(3 * SECOND)  # answered by the node; its attempt is still out
     assert list(node.balancer.requests) == [1]
     node.end(1, 0, Status.TIMEOUT, True)
-    assert not node.balancer.requests and node.balancer.out == 0
+    assert not node.balancer.requests and node.balancer.total_in_flight == 0
 
 
 def test_a_bound_class_with_no_server_open_to_it_is_held_then_refused() -> None:
@@ -152,17 +152,17 @@
     node.feed(ListUpdate(ListKind.FULL, tuple(ServerEntry(s, kind=0) for s in range(1, 6))))
     node.request(1, BOUND)
     node.wait(SECOND)
-    assert not node.books[1].sent and not node.books[1].answers
+    assert not node.records[1].sent and not node.records[1].answers
     node.feed(ListUpdate(ListKind.CHANGES, (ServerEntry(9, kind=2),)))
     node.wait(SECOND)
-    assert [s[0] for s in node.books[1].sent] == [9]
+    assert [s[0] for s in node.records[1].sent] == [9]
     node.request(2, BOUND_UNSAFE)
     node.wait(3 * SECOND)
     assert Refuse(2) in node.log
 
 
 def test_the_budget_counts_refused_requests_as_taken_and_leaves_moot_attempts_out() -> None:
-    budget = ResendBudget(settings(budget_share=0.5, budget_free=1.0, budget_window=SECOND))
+    budget = RetryBudget(settings(budget_share=0.5, budget_free=1.0, budget_window=SECOND))
     for when in (0, 1, 2, 3):
         budget.note(when, budget.taken)
     assert budget.left(3) == 3.0
@@ -180,7 +180,7 @@
         node = Node(settings(tier=1, budget_share=share, budget_free=free))
         node.listed(8)
         node.train(40, latency=900 * MS)
-        return max(len(b.sent) for b in node.books.values())
+        return max(len(b.sent) for b in node.records.values())
 
     assert widest(None, 0.0) > 1
     assert widest(0.0, 0.0) == 1
@@ -198,7 +198,7 @@
     node.listed(0)
     node.request(1, cls)  # type: ignore[arg-type]
     node.wait(3 * SECOND - MS)
-    assert node.books[1].answers == 1
+    assert node.records[1].answers == 1
     assert kinds(node.log, Refuse)
     assert not kinds(node.log, Send)
 
@@ -216,7 +216,7 @@
     node.listed(6)
     node.request(1, cls)  # type: ignore[arg-type]
     for _ in range(40):
-        pending = [i for i, s in enumerate(node.books[1].sent) if s[2] is None]
+        pending = [i for i, s in enumerate(node.records[1].sent) if s[2] is None]
         for index in pending:
             node.end(1, index, Status.FULL)
         node.wait(100 * MS)
@@ -229,10 +229,10 @@
     node = Node(settings())
     node.listed(6)
     node.request(1, UNSAFE)
-    assert len(node.books[1].sent) == 1
+    assert len(node.records[1].sent) == 1
     node.end(1, 0, status)
     node.wait(2990 * MS)
-    assert (len(node.books[1].sent) > 1) == (status in PROVEN)
+    assert (len(node.records[1].sent) > 1) == (status in PROVEN)
     if status in UNPROVEN:
         assert kinds(node.log, Fail)
         assert not kinds(node.log, Refuse)
@@ -244,7 +244,7 @@
     node.listed(8)
     node.request(1, cls)  # type: ignore[arg-type]
     node.end(1, 0, Status.ERROR)
-    assert len(node.books[1].sent) >= 2  # the referee checks the group
+    assert len(node.records[1].sent) >= 2  # the referee checks the group
     node.wait(4 * SECOND)
     assert kinds(node.log, Fail)
     assert not kinds(node.log, Refuse)
@@ -255,13 +255,13 @@
     node.listed(8)
     node.request(1, KEYED_ALL)
     node.wait(2100 * MS)
-    sent = len(node.books[1].sent)
+    sent = len(node.records[1].sent)
     for index in range(sent):
-        if node.books[1].sent[index][2] is None:
+        if node.records[1].sent[index][2] is None:
             node.end(1, index, Status.RESET)
     node.wait(SECOND)
-    assert len(node.books[1].sent) == sent
-    assert node.books[1].answers == 1
+    assert len(node.records[1].sent) == sent
+    assert node.records[1].answers == 1
 
 
 def test_a_keyed_request_that_never_ran_may_go_to_any_group() -> None:
@@ -271,8 +271,8 @@
         node.listed(8)
         node.request(1, KEYED_CELL)
         node.end(1, 0, Status.CONNECT_FAILED)
-        first = node.books[1].sent[0][0]
-        reached |= {(s[0] - first) % 4 for s in node.books[1].sent[1:]}
+        first = node.records[1].sent[0][0]
+        reached |= {(s[0] - first) % 4 for s in node.records[1].sent[1:]}
     assert len(reached) > 1
 
 
@@ -295,7 +295,7 @@
     node.listed(8)
     node.train(40, latency=900 * MS)  # slow servers: one alone seldom reaches the target in 1 s
     node.request(1, SAFE, 1200 * MS)
-    assert len(node.books[1].sent) > 1
+    assert len(node.records[1].sent) > 1
     actions = node.end(1, 1, Status.OK)
     assert Cancel(1, 0) in actions
     assert Cancel(1, 1) not in actions
@@ -305,7 +305,7 @@
     node = Node(settings(may_duplicate=False, tier=1))
     node.listed(8)
     node.train(40, latency=900 * MS)
-    assert max(len(b.sent) for b in node.books.values()) == 1
+    assert max(len(b.sent) for b in node.records.values()) == 1
     node = Node(settings(may_cancel=False, tier=1))
     node.listed(8)
     node.train(40, latency=900 * MS)
@@ -332,7 +332,7 @@
             for number in range(first, first + 8):
                 node.end(number, 0, Status.OK)
         for number in range(64):
-            for server, when, _ in node.books[number].sent:
+            for server, when, _ in node.records[number].sent:
                 sends += [when - began] if server == new else []
                 warm += server != new
     rate = warm / ((4 if new == 9 else 3) * 6.4)  # sends a second to a warm server, over all nodes
@@ -401,7 +401,7 @@
     sent = 0
     for number in range(200):
         node.request(number)
-        for index, (server, _, status) in enumerate(node.books[number].sent):
+        for index, (server, _, status) in enumerate(node.records[number].sent):
             sent += server == 9
             if status is None:
                 node.end(number, index, Status.FULL)
@@ -413,11 +413,11 @@
     node = Node(settings())
     node.listed(2)
     node.request(1, UNSAFE)
-    ended = AttemptEnded(1, 0, node.books[1].sent[0][0], Status.FULL, MS)
+    ended = AttemptEnded(1, 0, node.records[1].sent[0][0], Status.FULL, MS)
     node.feed(ended)
-    assert len(node.books[1].sent) == 2
+    assert len(node.records[1].sent) == 2
     node.feed(ended)
-    assert node.balancer.out == 1
+    assert node.balancer.total_in_flight == 1
 
 
 def test_nothing_is_sent_after_the_final_answer_even_if_the_host_does_not_say_closed() -> None:
@@ -425,7 +425,7 @@
     node.listed(4)
     node.request(1, UNSAFE)
     node.wait(3 * SECOND)
-    assert node.books[1].answers == 1
+    assert node.records[1].answers == 1
     assert not kinds(node.end(1, 0, Status.FULL), Send)
 
 
@@ -433,7 +433,7 @@
     node = Node(settings())
     node.listed(4)
     node.request(1, UNSAFE)
-    node.now = node.books[1].due - MS  # its timer comes later in the same batch
+    node.now = node.records[1].due - MS  # its timer comes later in the same batch
     assert kinds(node.end(1, 0, Status.FULL), Refuse)
 
 
@@ -441,8 +441,8 @@
     node = Node(settings())
     node.listed(4)
     node.request(1)
-    node.feed(StreamStarted(1, 0, node.books[1].sent[0][0], MS))
-    node.books[1].answers = 1
+    node.feed(StreamStarted(1, 0, node.records[1].sent[0][0], MS))
+    node.records[1].answers = 1
     node.wait(5 * SECOND)  # the referee objects to a refusal now
     assert not kinds(node.feed(AttemptEnded(1, 0, 1, Status.RESET, SECOND)), Send)
 
@@ -455,11 +455,11 @@
     for number in range(300):
         node.request(number)
         for _ in range(4):
-            for index, (_, _, status) in enumerate(node.books[number].sent):
+            for index, (_, _, status) in enumerate(node.records[number].sent):
                 if status is None:
                     node.end(number, index, Status.FULL)
         node.wait(10 * MS)
-        sends += len(node.books[number].sent)
+        sends += len(node.records[number].sent)
     assert sends < 1.1 * 300
 
 
@@ -476,7 +476,7 @@
     node.log.clear()
     for number in range(200):
         node.request(number, UNSAFE)
-        server = node.books[number].sent[0][0]
+        server = node.records[number].sent[0][0]
         node.wait(20 * MS)
         node.end(number, 0, Status.ERROR if server == 1 else Status.OK)
     assert share_of(node, 1) < 0.05
@@ -494,7 +494,7 @@
     for number in range(150):
         node.request(number, UNSAFE)
         node.wait(30 * MS)
-        if node.books[number].sent[0][0] != 1:
+        if node.records[number].sent[0][0] != 1:
             node.end(number, 0, Status.OK)
     assert share_of(node, 1) < 0.05  # no outcome ever came: the age of the open calls must tell
 
@@ -538,10 +538,10 @@
     node = Node(settings())
     node.listed(4)
     node.queue(400, 14 * MS, 50 * MS)  # nine tenths of what four servers can do
-    grown = node.balancer.grown
+    grown = node.balancer.extra_limit
     assert grown > 0.0
     node.queue(600, 5 * MS, 50 * MS)
-    assert node.balancer.grown < grown / 2
+    assert node.balancer.extra_limit < grown / 2
 
 
 def test_servers_that_vanish_with_calls_out_stop_nothing() -> None:
@@ -563,8 +563,10 @@
         node.queue(100, 40 * MS, 50 * MS)
         node.log.clear()
         node.queue(600, 9 * MS, 50 * MS, (SAFE, UNSAFE))  # 1.4 times what they can do
-        early = [a.request for a in node.log if isinstance(a, Refuse) and not node.books[a.request].sent]
-        turned[first] = sum(node.books[r].arrived.cls == CLASSES.index((SAFE, UNSAFE)[first]) for r in early)
+        early = [a.request for a in node.log if isinstance(a, Refuse) and not node.records[a.request].sent]
+        turned[first] = sum(
+            node.records[r].arrived.cls == CLASSES.index((SAFE, UNSAFE)[first]) for r in early
+        )
     assert turned[0] > 2 * turned[1]  # worth 2 and 5
 
 
@@ -577,10 +579,10 @@
     for number in range(200):
         node.request(number)
         node.wait(20 * MS)
-        for index, (server, _, status) in enumerate(node.books[number].sent):
-            if server != 1 and status is None and not node.books[number].answers:
+        for index, (server, _, status) in enumerate(node.records[number].sent):
+            if server != 1 and status is None and not node.records[number].answers:
                 node.end(number, index, Status.OK)
-    assert not [a for a in node.log if isinstance(a, Refuse) and not node.books[a.request].sent]
+    assert not [a for a in node.log if isinstance(a, Refuse) and not node.records[a.request].sent]
 
 
 def test_the_load_told_by_calls_that_are_out_is_no_more_than_their_age() -> None:
@@ -606,7 +608,7 @@
     node = Node(settings(tier=1))
     node.listed(400)
     node.request(0)
-    assert len(seen) == POOL_MOST
+    assert len(seen) == MAX_CANDIDATES
     node.train(1500)
     assert len({a.server for a in node.log if isinstance(a, Send)}) > 350
 
