--- a/minthitch/benchlink.py
+++ b/minthitch/benchlink.py
@@ -1,7 +1,8 @@
-"""The simulator's wire: frames in, events out; actions in, frames out. Decides nothing.
+"""Adapter between the simulator's binary protocol and the balancer. It makes no decisions.
 
-All words and layouts of the wire live here. One process hosts many instances, which share
-nothing: each has a Balancer of its own in the table.
+Frames of event records come in on stdin, and frames of action records go out on stdout. All codes and record
+layouts of the protocol are here. One process hosts many instances, each with its own Balancer and no shared
+state.
 """
 
 from __future__ import annotations
@@ -20,9 +21,10 @@
 REPLY_HEADER = struct.Struct(">III")
 EVENT_SIZE, ACTION_SIZE, ENTRY_SIZE = 48, 24, 23
 MAX_FRAME = 1 << 30
-MAX_DELAY = 71 * 60 * api.SECOND - api.SECOND  # the longest timer the wire takes, less a second
+MAX_DELAY = 71 * 60 * api.SECOND - api.SECOND  # the longest timer that the protocol allows, less a second
 MAX_U32 = (1 << 32) - 1
 
+# Layouts of event records, and of an entry of a server list.
 REPLY = struct.Struct(">xHIHIHBQBB4f")
 REMINDER = struct.Struct(">xHQ")
 UP = struct.Struct(">xHQII")
@@ -36,6 +38,7 @@
 DIRECTORY = struct.Struct(">xHIBH")
 ENTRY = struct.Struct(">BBBHIHQf")
 
+# Layouts of action records.
 SHED = struct.Struct(">BHIQ9x")
 OBSERVE = struct.Struct(">BHB20x")
 SLEEP = struct.Struct(">BHQQ5x")
@@ -47,7 +50,7 @@
 TO_SERVER = struct.Struct(">BHIH15x")
 SHARE = struct.Struct(">BHHII11x")
 ALL_PEERS = 0xFFFF
-MOST_LISTS = 16
+MAX_LISTS = 16
 
 STATUS = {
     0: api.Status.OK,
@@ -71,10 +74,10 @@
 
 
 class WireError(Exception):
-    """Input that this wire does not allow; the text says what and where."""
+    """Input that the protocol does not allow; the message says what and where."""
 
 
-class Link:
+class Adapter:
     """The instances of one process, and the frames to and from them."""
 
     def __init__(self, make: Callable[[api.Settings, int], Balancer] = Balancer) -> None:
@@ -85,7 +88,7 @@
         self.tail = bytearray()
 
     def answer(self, frame: bytes) -> bytes:
-        """The reply to one whole frame."""
+        """The reply frame to one complete frame."""
         length, count, now, batch = HEADER.unpack_from(frame)
         tail_at = HEADER.size + count * EVENT_SIZE
         if length != len(frame) or tail_at > length:
@@ -115,7 +118,7 @@
                 job,
                 seq,
                 host << 16 | port,
-                self._look(STATUS, result, "outcome"),
+                self._lookup(STATUS, result, "outcome"),
                 spent,
                 bool(closed),
                 tuple(stats[:n]),
@@ -130,13 +133,13 @@
             )
         elif code == 8:
             number, offset, size = LIST.unpack_from(frame, at)
-            if number >= MOST_LISTS:
-                raise WireError(f"list number {number} is not below {MOST_LISTS}")
+            if number >= MAX_LISTS:
+                raise WireError(f"list number {number} is not below {MAX_LISTS}")
             data = self._slice(frame, tail_at, offset, size * ENTRY_SIZE)
             self.lists[number] = tuple(
                 api.ServerEntry(
                     host << 16 | port,
-                    self._look(STATE, state, "server state"),
+                    self._lookup(STATE, state, "server state"),
                     zone,
                     cell,
                     kind,
@@ -148,7 +151,7 @@
             return
         elif code == 11:
             inst, _generation, form, number = DIRECTORY.unpack_from(frame, at)
-            kind = self._look(LIST_KIND, form, "list kind")
+            kind = self._lookup(LIST_KIND, form, "list kind")
             if kind is not api.ListKind.FAILED and number not in self.lists:
                 raise WireError(f"list {number} was never given")
             event = api.ListUpdate(kind, () if kind is api.ListKind.FAILED else self.lists[number])
@@ -174,7 +177,7 @@
         elif code == 10:
             inst, host, port, result, spent, n, *stats = CHECK_RESULT.unpack_from(frame, at)
             event = api.ProbeEnded(
-                host << 16 | port, self._look(STATUS, result, "outcome"), spent, tuple(stats[:n])
+                host << 16 | port, self._lookup(STATUS, result, "outcome"), spent, tuple(stats[:n])
             )
         elif code == 5:
             inst, sender, offset, size = HEARD.unpack_from(frame, at)
@@ -188,14 +191,14 @@
             raise WireError(f"class {event.cls} is not in the settings")
         try:
             actions = balancer.handle(now, event)
-        except Exception as err:  # the decisions failed: the day's report should say how
+        except Exception as err:  # a bug in the decisions; the simulator's report shows the text
             self._text(71, inst, f"{type(err).__name__}: {err}")
             return
         for action in actions:
             self._action(inst, action)
 
     @staticmethod
-    def _look(table: dict[int, T], code: int, what: str) -> T:
+    def _lookup(table: dict[int, T], code: int, what: str) -> T:
         if code not in table:
             raise WireError(f"unknown {what} {code}")
         return table[code]
@@ -242,8 +245,8 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer frames until the input ends."""
-    link = Link()
+    """Answer frames until end of input."""
+    adapter = Adapter()
     while head := _read(source, HEADER.size, "a header"):
         length = HEADER.unpack(head)[0]
         if not HEADER.size <= length <= MAX_FRAME:
@@ -251,12 +254,12 @@
         body = _read(source, length - HEADER.size, "a frame")
         if len(body) != length - HEADER.size:
             raise WireError("input ends after a header")
-        sink.write(link.answer(head + body))
+        sink.write(adapter.answer(head + body))
         sink.flush()
 
 
 def main() -> int:
-    gc.disable()  # nothing here makes cycles; the collector's walks would only cost CPU
+    gc.disable()  # no reference cycles arise here; collections would only cost CPU
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as err:
--- a/minthitch/interface.py
+++ b/minthitch/interface.py
@@ -1,7 +1,7 @@
-"""What goes into and comes out of the decision module: settings, events, actions.
+"""The interface of the balancer: its settings, the events it takes and the actions it returns.
 
-Times are integer nanoseconds on one monotonic clock. A server, request or timer token is
-a plain int chosen by the host. Nothing here decides anything.
+Times are integer nanoseconds on one monotonic clock. Servers and requests are plain ints chosen by the host;
+timer tokens are chosen by the balancer. This module holds data types only.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 
 
 class Effect(Enum):
-    """What a repeat of a request does."""
+    """The effect of executing a request a second time."""
 
-    SAFE = "safe"  # nothing
-    KEYED = "keyed"  # dropped by the servers of one group, for a while
-    UNSAFE = "unsafe"  # takes effect again
+    SAFE = "safe"  # none
+    KEYED = "keyed"  # none: the servers of one group drop repeats within a window of time
+    UNSAFE = "unsafe"  # it takes effect again
 
 
 class Group(Enum):
-    """Which servers drop the repeat of a keyed request that one of them has seen."""
+    """Which servers drop the repeat of a keyed request that one of them has received."""
 
     ALL = "all"
     ZONE = "zone"
@@ -34,13 +34,13 @@
     """How an attempt or a probe ended."""
 
     OK = "ok"
-    ERROR = "error"  # the server answered with an error; it may have run
-    FULL = "full"  # turned away unread
-    TIMEOUT = "timeout"  # may have run, may still run
+    ERROR = "error"  # the server answered with an error; the request may have run
+    FULL = "full"  # the server rejected it without reading it
+    TIMEOUT = "timeout"  # may have run, or may still run
     CONNECT_FAILED = "connect failed"
-    RESET = "reset"  # connection broke; may have run
+    RESET = "reset"  # the connection broke; may have run
     CANCELLED = "cancelled"  # may have run
-    MOOT = "moot"  # never left the node
+    MOOT = "moot"  # it never left the node
 
     @property
     def never_ran(self) -> bool:
@@ -49,111 +49,130 @@
 
 
 class State(Enum):
+    """A server's state in the list."""
+
     READY = "ready"
     DRAINING = "draining"
     GONE = "gone"
 
 
 class ListKind(Enum):
-    FULL = "full"  # every server there is
-    CHANGES = "changes"  # only what changed
-    CACHED = "cached"  # the full list as last held, perhaps stale
+    """What a list update contains."""
+
+    FULL = "full"  # all servers
+    CHANGES = "changes"  # only the entries that changed
+    CACHED = "cached"  # all servers as last known, perhaps out of date
     FAILED = "failed"  # a call for the list failed, or the subscription broke
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
+    """A class of requests: its latency target, the effect of repeats, its worth and its placement."""
+
     name: str
-    aim: int  # an answer within this earns the full worth
-    deadline: int  # the client's whole patience
+    aim: int  # latency target: an answer within this earns the full worth
+    deadline: int  # the client gives up after this
     effect: Effect = Effect.UNSAFE
     group: Group = Group.ALL  # keyed only
-    window: int = 0  # keyed only: how long repeats are dropped, from the first send that may have run
+    window: int = (
+        0  # keyed only: for how long repeats are dropped, counted from the first send that may have run
+    )
     worth: float = 1.0
-    late_worth: float = 0.0  # share of the worth paid after the aim
+    late_worth: float = 0.0  # share of the worth that an answer after the aim earns
     stream: bool = False
-    zones: tuple[int, ...] | None = None  # placement: the only zones it may be sent to; None = any
-    kinds: tuple[int, ...] | None = None  # placement: the only kinds of machine; None = any
-    aim_stretch: float = 0.0  # the aim grows by this multiple of a request's own work, up to the deadline
+    zones: tuple[int, ...] | None = None  # placement: the only zones it may be sent to; None = all
+    kinds: tuple[int, ...] | None = None  # placement: the only kinds of machine it may be sent to; None = all
+    aim_stretch: float = 0.0  # the aim grows by this multiple of the request's own work, up to the deadline
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
+    """A customer with a rate within which its requests keep their full worth."""
+
     name: str
-    allowance: float  # requests a second within its share, over all nodes; 0 = no limit
+    allowance: float  # requests per second, over all nodes; 0 = no limit
 
 
 @dataclass(frozen=True, slots=True)
 class Objective:
-    """What the operators count, as weights of one sum, and two figures that belong to them."""
+    """The operators' objective: weights of one sum, and two parameters of its terms."""
 
-    whole: float = 1.0  # the whole day
-    worst_window: float = 0.0  # its worst 10 s
-    worst_class: float = 0.0
-    worst_tenant: float = 0.0
-    tail: float = 0.0  # in full only while at most tail_miss of a class's requests miss their aims
+    whole: float = 1.0  # the result over the whole day
+    worst_window: float = 0.0  # the result in the worst 10 s
+    worst_class: float = 0.0  # the result of the worst class
+    worst_tenant: float = 0.0  # the result of the worst tenant
+    tail: float = 0.0  # in full only if at most the share tail_miss of a class's requests miss their aims
     tail_miss: float = 0.01
-    nines: float = 0.0  # -log10 of the share of worth not served in time, in full at top_nines
+    nines: float = 0.0  # -log10 of the share of worth not served in time; in full at top_nines
     top_nines: float = 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """Points of the result, as fractions of 1, each times its own rate."""
+    """Deductions from the result, as fractions of 1; each is multiplied by its own rate.
+
+    The comments say at which rate a price is deducted in full.
+    """
 
-    cross_zone: float = 0.0  # attempts that cross zones, as many as first tries
-    waste: float = 0.0  # server work for no answer, as much as was asked for
-    late_fail: float = 0.0  # all worth unserved once its aim has passed
-    probe: float = 0.0  # one probe a first try
-    peer: float = 0.0  # 256 bytes to one peer a first try
-    handshake: float = 0.0  # one new connection a first try
-    connection: float = 0.0  # 100 open connections a server
-    discovery: float = 0.0  # 100 list lines a first try
+    cross_zone: float = 0.0  # one attempt in another zone per first attempt
+    waste: float = 0.0  # as much server work without an answer as was requested
+    late_fail: float = 0.0  # all worth not served once its aim has passed
+    probe: float = 0.0  # one probe per first attempt
+    peer: float = 0.0  # 256 bytes to one peer per first attempt
+    handshake: float = 0.0  # one new connection per first attempt
+    connection: float = 0.0  # 100 open connections per server
+    discovery: float = 0.0  # 100 lines of the server list per first attempt
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a balancer is told at its start. Every field but `classes` has a default."""
+    """The settings a balancer is started with. Every field except `classes` has a default."""
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
-    tier: int = 0  # the tier this node sends to; 0 is the one that clients reach
+    tier: int = 0  # the tier this node sends to; 0 is the one that serves clients
     zone: int = 0
     node: int = 0
-    siblings: int = 1  # nodes that send to the same tier, this one included
-    tick: int = MILLISECOND  # least time between two batches of events
-    ask_for_list: bool = False  # changes come only to a subscriber
-    ask_within: int = 10 * SECOND  # not asked for this long (4 times, after a failed call): counts as told
-    drain_grace: int = 0
-    answer_slack: int = 0
-    cold_share: float = 1.0  # a started server can do at least this part of its work
-    cold_time: int = 0  # and is warm after this
-    cold_multiple: float = 1.0  # sent more than this multiple of what it can do,
-    cold_window: int = SECOND  # for this long, it falls over
-    budget_share: float | None = None  # further attempts for each request taken; None = no budget
-    budget_free: float = 0.0  # and this many whatever the traffic,
-    budget_window: int = 5 * SECOND  # both counted over this time
-    may_cancel: bool = True
-    may_duplicate: bool = True
+    siblings: int = 1  # number of nodes that send to the same tier, this one included
+    tick: int = MILLISECOND  # minimum time between two batches of events
+    ask_for_list: bool = False  # list changes are sent only after a Subscribe
+    ask_within: int = (
+        10 * SECOND
+    )  # a list not asked for during this time (4 times as long after a failed call) must not be used
+    drain_grace: int = 0  # for how long a server that drains or is gone may still be sent to
+    answer_slack: int = 0  # how long after the deadline a final answer may still be given
+    cold_share: float = 1.0  # a server that just started has at least this share of its full capacity
+    cold_time: int = 0  # and has all of it (is warm) after this time
+    cold_multiple: float = (
+        1.0  # a cold server fails under overload if sent more than this multiple of its capacity
+    )
+    cold_window: int = SECOND  # within a window of this length
+    budget_share: float | None = (
+        None  # attempts beyond the first allowed per request received; None = no budget
+    )
+    budget_free: float = 0.0  # allowed in addition, whatever the traffic;
+    budget_window: int = 5 * SECOND  # both are counted over this sliding window
+    may_cancel: bool = True  # attempts may be cancelled
+    may_duplicate: bool = True  # several attempts of a request may be in flight at once
     may_probe: bool = False
     may_tell: bool = False
-    max_attempts: int = 1
-    retry_after: bool = False
+    max_attempts: int = 1  # attempts per request, the first included
+    retry_after: bool = False  # refusals may state when to try again
     max_retry_after: int = 0
-    connect_timeout: int = 0  # a connection not up by then has failed; 0 = not stated
-    idle_close: int = 0  # idle connections close after this; 0 = not stated
-    streams: int = 1  # attempts that one connection carries at once
-    passes_deadline: bool = True  # below the first tier: a call carries the time that its caller has left
-    over_share_worth: float = 1.0
-    worth_by_work: bool = False
+    connect_timeout: int = 0  # a connection not established by then has failed; 0 = not stated
+    idle_close: int = 0  # idle connections are closed after this; 0 = not stated
+    streams: int = 1  # concurrent attempts per connection
+    passes_deadline: bool = True  # below the first tier: calls carry the time that their caller has left
+    over_share_worth: float = 1.0  # factor on the worth of requests over their tenant's allowance
+    worth_by_work: bool = False  # the worth of a class is per unit of work, not per request
     weights: str = "off"  # what ServerEntry.weight means: off, nominal, rough or live
     objective: Objective = Objective()
     prices: Prices = Prices()
     report_columns: tuple[str, ...] = ()
-    reports_in_answers: bool = False  # load reports come with outcomes too, not with probes alone
-    zones: tuple[str, ...] = ()  # names, for the host: ServerEntry.zone and .kind are positions here
+    reports_in_answers: bool = False  # load reports come with outcomes too, not only with probes
+    zones: tuple[str, ...] = ()  # names, for the host: ServerEntry.zone and .kind are indexes into these
     kinds: tuple[str, ...] = ()
-    max_open: int = 0  # requests open at once, kept by the host; 0 = not stated
+    max_open: int = 0  # limit on requests open at once, enforced by the host; 0 = not stated
 
     def __post_init__(self) -> None:
         if not self.classes:
@@ -161,16 +180,18 @@
         for spec in self.classes:
             if spec.aim <= 0 or spec.deadline <= 0:
                 raise ValueError(f"settings: class {spec.name!r} needs an aim and a deadline above 0")
-            _not_below_zero(f"class {spec.name!r}: ", spec, "window", "worth", "late_worth", "aim_stretch")
+            _require_non_negative(
+                f"class {spec.name!r}: ", spec, "window", "worth", "late_worth", "aim_stretch"
+            )
         for tenant in self.tenants:
-            _not_below_zero(f"tenant {tenant.name!r}: ", tenant, "allowance")
+            _require_non_negative(f"tenant {tenant.name!r}: ", tenant, "allowance")
         if self.siblings < 1 or self.max_attempts < 1 or self.tick <= 0 or self.cold_window <= 0:
             raise ValueError("settings: siblings, max_attempts, tick and cold_window must be above 0")
         if not 0 < self.cold_share <= 1 or not 0 < self.cold_multiple < math.inf:
             raise ValueError("settings: cold_share must lie in (0, 1] and cold_multiple above 0")
         if self.budget_window <= 0 or self.streams < 1:
             raise ValueError("settings: budget_window and streams must be above 0")
-        _not_below_zero(
+        _require_non_negative(
             "",
             self,
             "tier",
@@ -188,25 +209,27 @@
             "max_open",
         )
         if self.budget_share is not None:
-            _not_below_zero("", self, "budget_share")
+            _require_non_negative("", self, "budget_share")
         for part in (self.objective, self.prices):
-            _not_below_zero("", part, *part.__slots__)
+            _require_non_negative("", part, *part.__slots__)
 
 
-def _not_below_zero(where: str, owner: object, *names: str) -> None:
+def _require_non_negative(where: str, owner: object, *names: str) -> None:
     for name in names:
-        if not 0 <= getattr(owner, name) < math.inf:  # NaN fails this too
+        if not 0 <= getattr(owner, name) < math.inf:  # also rejects NaN
             raise ValueError(f"settings: {where}{name} must be finite and not below 0")
 
 
 @dataclass(frozen=True, slots=True)
 class ServerEntry:
+    """One server in the list."""
+
     server: int
     state: State = State.READY
     zone: int = 0
     cell: int = 0
     kind: int = 0
-    started: int = 0  # clock time of its latest start; 0 = long ago
+    started: int = 0  # clock time of its last start; 0 = long ago
     weight: float = 1.0
 
 
@@ -215,34 +238,42 @@
 
 @dataclass(frozen=True, slots=True)
 class ListUpdate:
+    """The server list, or changes to it."""
+
     kind: ListKind
     entries: tuple[ServerEntry, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
+    """A client sent a request."""
+
     request: int
     cls: int  # index into Settings.classes
-    deadline: int  # clock time at which the client gives up this try
+    deadline: int  # clock time at which the client gives up on this request
     tenant: int = 0
     key: int = 0
-    cost: int = 0  # expected work; 0 = not hinted
-    repeat: bool = False  # the client says that it tried before
+    cost: int = 0  # hint of the expected work; 0 = no hint
+    repeat: bool = False  # the client marked this as a retry of its own
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
+    """An attempt has its outcome."""
+
     request: int
-    attempt: int  # 0, 1, 2 ... in the order of sends
+    attempt: int  # 0, 1, 2 ... in the order of the request's sends
     server: int
     status: Status
     latency: int
-    closed: bool = False  # the request is over, by this outcome or earlier
+    closed: bool = False  # the request is over, with this outcome or before it
     report: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
+    """The first part of a streamed answer arrived: the request is answered by this attempt."""
+
     request: int
     attempt: int
     server: int
@@ -251,16 +282,22 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestGone:
+    """The client no longer waits for the request."""
+
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
+    """A timer set by SetTimer is due."""
+
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeEnded:
+    """A probe has its outcome."""
+
     server: int
     status: Status
     latency: int
@@ -269,6 +306,8 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
+    """Another node sent a message with Tell."""
+
     sender: int
     data: bytes
 
@@ -290,6 +329,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
+    """Start an attempt: send the request to the server."""
+
     request: int
     server: int
     timeout: int = 0  # 0 = until the client gives up
@@ -297,13 +338,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
+    """Cancel an attempt in flight."""
+
     request: int
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: not done, and trying again is harmless."""
+    """Final answer: the request took no effect, or a retry has none, so trying again is harmless."""
 
     request: int
     retry_after: int = 0
@@ -311,30 +354,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer that promises nothing about the effect."""
+    """Final answer: the request may or may not have taken effect."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
+    """Deliver TimerFired with this token after the delay."""
+
     token: int
     delay: int
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask for the changes of the server list from now on."""
+    """Subscribe to changes of the server list."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refresh:
-    """Ask for the whole server list, once."""
+    """Request the full server list once."""
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Examine a server; only where `may_probe`."""
+    """Probe a server; only if `may_probe`."""
 
     server: int
 
@@ -348,7 +393,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tell:
-    """At most 256 bytes to one peer, or to all where `peer` is None; only where `may_tell`."""
+    """Send at most 256 bytes to one peer, or to all if `peer` is None; only if `may_tell`."""
 
     data: bytes
     peer: int | None = None
@@ -356,6 +401,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
+    """Write a line to the log."""
+
     text: str = field(default="")
 
 
--- a/minthitch/settings.py
+++ b/minthitch/settings.py
@@ -1,4 +1,4 @@
-"""The settings' nested JSON to Settings: the one reader for the node and the adapter. Decides nothing."""
+"""Reads Settings from their nested JSON, for the node and for the simulator's adapter."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 
 from minthitch import interface as api
 
+# JSON values and keys, and what they stand for in minthitch.interface.
 EFFECT = {"repeatable": api.Effect.SAFE, "by_key": api.Effect.KEYED, "once": api.Effect.UNSAFE}
 OBJECTIVE = (
     ("whole", "whole", 0.0),
@@ -31,7 +32,7 @@
 
 
 class SettingsError(ValueError):
-    """Settings that can't be used; the text says what and where."""
+    """Invalid settings; the message names the key and what is wrong with it."""
 
 
 def _number(table: dict[str, Any], name: str, default: float | None, where: str) -> float:
@@ -50,8 +51,8 @@
     return value
 
 
-def _places(row: dict[str, Any], name: str, where: str) -> tuple[int, ...] | None:
-    """Positions of zones or kinds; None where the key is absent: any will do."""
+def _positions(row: dict[str, Any], name: str, where: str) -> tuple[int, ...] | None:
+    """Positions in the lists of zones or kinds; None, which allows all, if the key is absent."""
     value = row.get(name)
     if value is None:
         return None
@@ -82,7 +83,7 @@
 
 
 def read_settings(text: bytes) -> api.Settings:
-    """Settings from the JSON of an instance's first message."""
+    """Parse the settings from JSON text."""
     try:
         top = json.loads(text)
     except (ValueError, RecursionError) as err:
@@ -91,10 +92,10 @@
 
 
 def from_object(top: object) -> api.Settings:
-    """Settings from the decoded JSON.
+    """Build the settings from decoded JSON.
 
-    Unknown keys are skipped. Needed are `classes`, and in each its aim and its deadline; all
-    else falls back to the defaults of api.Settings and api.RequestClass.
+    Unknown keys are ignored. Required are `classes`, and `objectiveNs` and `deadlineNs` in each class; all
+    other keys default to the values of api.Settings and api.RequestClass.
     """
     if not isinstance(top, dict):
         raise SettingsError("settings: not an object")
@@ -117,8 +118,8 @@
                 worth=_number(row, "worth", 1.0, where),
                 late_worth=_number(row, "lateValue", 0.0, where),
                 stream=_flag(row, "stream", False),
-                zones=_places(row, "confinedTo", where),
-                kinds=_places(row, "flavorsAllowed", where),
+                zones=_positions(row, "confinedTo", where),
+                kinds=_positions(row, "flavorsAllowed", where),
                 aim_stretch=_number(row, "aimStretch", 0.0, where),
             )
         )
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter: the worked frames of the wire's page byte for byte, bad input, instances apart."""
+"""The simulator's adapter: the protocol page's examples byte for byte, bad input, separate instances."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
 
 
 class Recorder(Balancer):
-    """Keeps the events it is given and answers with the actions it was told to."""
+    """Records the events it is given, and returns preset actions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
@@ -78,24 +78,24 @@
         return replies
 
 
-def recorded() -> tuple[benchlink.Link, Recorder]:
-    link = benchlink.Link(Recorder)
-    link.answer(frame([up()], SETTINGS))
-    balancer = link.balancers[3]
+def recorded() -> tuple[benchlink.Adapter, Recorder]:
+    adapter = benchlink.Adapter(Recorder)
+    adapter.answer(frame([up()], SETTINGS))
+    balancer = adapter.balancers[3]
     assert isinstance(balancer, Recorder)
-    return link, balancer
+    return adapter, balancer
 
 
 def test_the_empty_batch() -> None:
     batch = bytes.fromhex("00000014 00000000 00000001f568bf90 00000001")
-    assert benchlink.Link().answer(batch) == bytes.fromhex("0000000c 00000000 00000001")
+    assert benchlink.Adapter().answer(batch) == bytes.fromhex("0000000c 00000000 00000001")
 
 
-def test_the_worked_batch_and_reply() -> None:
-    """The page's frame is for instances 3 and 5; its reply holds a send, a timer and a log line."""
-    link = benchlink.Link(Recorder)
-    link.answer(frame([up(3), up(5)], SETTINGS))
-    three, five = link.balancers[3], link.balancers[5]
+def test_the_example_batch_and_reply() -> None:
+    """The example frame is for instances 3 and 5; its reply has a send, a timer and a log line."""
+    adapter = benchlink.Adapter(Recorder)
+    adapter.answer(frame([up(3), up(5)], SETTINGS))
+    three, five = adapter.balancers[3], adapter.balancers[5]
     assert isinstance(three, Recorder)
     assert isinstance(five, Recorder)
     three.replies = [Send(0x5D3A91C4, SERVER, 80_000_000), SetTimer(77, 500_000_000)]
@@ -111,7 +111,7 @@
         batch=12,
     )
     assert batch[:4] == bytes.fromhex("000000a4")
-    reply = link.answer(batch)
+    reply = adapter.answer(batch)
     assert three.seen == [
         (0x1F568BF90, RequestArrived(0x5D3A91C4, 0, 0x203B6DB90, 0, 0x91F03B7C55D20A64, 12_000_000)),
         (0x1F568BF90, TimerFired(77)),
@@ -126,13 +126,13 @@
     )
 
 
-def test_the_worked_list() -> None:
-    link, balancer = recorded()
+def test_the_example_list() -> None:
+    adapter, balancer = recorded()
     tail = bytes.fromhex(
         "0000010000 0a124a07 2bc3 0000000000000000 3f800000".replace(" ", "")
         + "0000010000 0a9011f2 2bec 000000016b969d00 3fc00000".replace(" ", "")
     )
-    link.answer(
+    adapter.answer(
         frame([record("08 0000 00000000 00000002", 48), record("0b 0003 00000029 04 0000", 48)], tail)
     )
     assert balancer.seen[-1][1] == ListUpdate(
@@ -144,9 +144,9 @@
     )
 
 
-def test_the_worked_reply_event_and_the_other_events() -> None:
-    link, balancer = recorded()
-    link.answer(
+def test_the_example_reply_event_and_the_other_events() -> None:
+    adapter, balancer = recorded()
+    adapter.answer(
         frame(
             [
                 record("01 0003 5d3a91c4 0000 0a124a07 2bc3 00 00000000011a49a0 01 00", 48),
@@ -170,9 +170,9 @@
 
 
 def test_the_other_actions() -> None:
-    link, balancer = recorded()
+    adapter, balancer = recorded()
     balancer.replies = [Refuse(9, 5), Fail(9), Cancel(9, 2), Subscribe()]
-    reply = link.answer(frame([record("02 0003 00", 48)]))
+    reply = adapter.answer(frame([record("02 0003 00", 48)]))
     assert reply[12:] == (
         record("41 0003 00000009 0000000000000005", 24)
         + record("46 0003 00000009", 24)
@@ -182,9 +182,9 @@
 
 
 def test_the_actions_that_no_decision_takes_yet() -> None:
-    link, balancer = recorded()
+    adapter, balancer = recorded()
     balancer.replies = [Refresh(), Probe(SERVER), HangUp(SERVER), Tell(b"hi"), Tell(b"you", 2)]
-    reply = link.answer(frame([record("02 0003 00", 48)]))
+    reply = adapter.answer(frame([record("02 0003 00", 48)]))
     assert reply[12:] == (
         record("49 0003", 24)
         + record("44 0003 0a124a07 2bc3", 24)
@@ -195,14 +195,14 @@
     )
 
 
-def test_a_failing_decision_is_told_as_broken() -> None:
+def test_an_exception_in_the_balancer_is_reported() -> None:
     class Failing(Balancer):
         def handle(self, now: int, event: Event) -> list[Action]:
             raise IndexError("out of range")
 
-    link = benchlink.Link(Failing)
-    link.answer(frame([up()], SETTINGS))
-    reply = link.answer(frame([record("02 0003 00", 48)]))
+    adapter = benchlink.Adapter(Failing)
+    adapter.answer(frame([up()], SETTINGS))
+    reply = adapter.answer(frame([record("02 0003 00", 48)]))
     text = b"IndexError: out of range"
     assert reply[12:] == record(f"47 0003 00000000 {len(text):08x}", 24) + text
 
@@ -262,11 +262,11 @@
 
 
 def test_a_killed_instance_starts_empty_and_its_batch_holds_no_action_of_the_dead_one() -> None:
-    link, balancer = recorded()
+    adapter, balancer = recorded()
     balancer.replies = [Fail(9)]
-    reply = link.answer(frame([record("02 0003 00", 48), record("07 0003", 48), up()], SETTINGS))
+    reply = adapter.answer(frame([record("02 0003 00", 48), record("07 0003", 48), up()], SETTINGS))
     assert len(reply) == 12
-    assert link.balancers[3] is not balancer
+    assert adapter.balancers[3] is not balancer
 
 
 def test_settings_are_read_with_defaults_and_unknown_keys_skipped() -> None:
@@ -364,10 +364,10 @@
         return frame([arrival.pack(6, i, step, 0, 0, 0, now + 3 * 10**9, 0, 0) for i in insts], now=now)
 
     def actions(insts: list[int]) -> dict[int, list[bytes]]:
-        link = benchlink.Link()
+        adapter = benchlink.Adapter()
         found: dict[int, list[bytes]] = {i: [] for i in insts}
         for batch in [opening(insts)] + [traffic(insts, step) for step in range(1, 20)]:
-            reply = link.answer(batch)
+            reply = adapter.answer(batch)
             for at in range(12, len(reply), 24):
                 found[int.from_bytes(reply[at + 1 : at + 3], "big")].append(reply[at : at + 24])
         return found
