--- a/bench/hunt.py
+++ b/bench/hunt.py
@@ -48,9 +48,9 @@
 class Twice(Balancer):
     """Sends what may have run again, whatever its class."""
 
-    def _dispatch(self, now: int, request: Request, timed: bool = False) -> None:
+    def _dispatch(self, now: int, request: Request, timer_set: bool = False) -> None:
         request.spec = replace(request.spec, effect=api.Effect.SAFE)
-        super()._dispatch(now, request, timed)
+        super()._dispatch(now, request, timer_set)
 
 
 class Astray(Balancer):
--- a/minthitch/decisions/__init__.py
+++ b/minthitch/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""What the balancer decides with, by concern. Each part stands alone as far as it can and loads little."""
+"""The balancer's decisions, one module per concern, with as few imports between them as possible."""
--- a/minthitch/decisions/outcomes.py
+++ b/minthitch/decisions/outcomes.py
@@ -5,94 +5,99 @@
 import math
 
 from minthitch import interface as api
-from minthitch.decisions.admission import CROWD_LEAST, GROWTH, GROWTH_MOST, Admission
+from minthitch.decisions.admission import CONGESTION_LOW, LIMIT_STEP, QUEUEING_SLOWDOWN, Admission
 from minthitch.decisions.evidence import LOAD_HALF_LIFE
 from minthitch.decisions.gamma import REFERENCE
-from minthitch.decisions.known import SPARE_MOST
-from minthitch.decisions.placing import OVERDUE, Placing
+from minthitch.decisions.known import MAX_EXTRA_ATTEMPTS
+from minthitch.decisions.placing import OVERDUE_FACTOR, Dispatch
 from minthitch.decisions.requests import Attempt, Request
-from minthitch.decisions.servers import SHUT
+from minthitch.decisions.servers import CONNECT_BACKOFF
 
-SPARE_SHARE = 0.2  # further attempts allowed per answer got: bounds what the tiers multiply to about 1.2 each
-FULL_SHRINKS = 12.0  # answers' growth that one call turned away as full undoes: one in twelve is many
-ROOM = 1.5  # calls out that may be, as a multiple of what the answers got would need at their usual times
+EXTRA_PER_ANSWER = (
+    0.2  # extra attempts that an answer pays for: each tier multiplies calls by about 1.2 at most
+)
+FULL_PENALTY = 12.0  # one FULL undoes the growth of this many answers: one FULL in twelve is a lot
+LIMIT_MARGIN = 1.5  # the limit may exceed the calls in flight that the answers account for by this factor
 
 
-class Outcomes(Placing, Admission):
-    """Evidence, the window and what copies may cost, by how attempts end."""
+class Outcomes(Dispatch, Admission):
+    """Updates of the evidence, the in-flight limit and the extra attempts when an attempt ends."""
 
-    def _ended(self, now: int, event: api.AttemptEnded) -> None:
+    def _on_attempt_ended(self, now: int, event: api.AttemptEnded) -> None:
         request = self.requests.get(event.request)
         if request is None or event.attempt >= len(request.attempts):
             return
         attempt = request.attempts[event.attempt]
-        if attempt.status is not None:  # told before
+        if attempt.status is not None:  # reported before
             return
         attempt.status = event.status
-        self._track(attempt, -1)
+        self._count_in_flight(attempt, -1)
         if event.status is not api.Status.MOOT:
             self._record_outcome(now, request, attempt, event.latency)
         elif event.attempt:
-            self.budget.moot(attempt.sent)
-        self._resize(now, attempt, event.status)
+            self.budget.refund(attempt.sent_at)
+        self._adjust_limits(now, attempt, event.status)
         if event.closed or event.status is api.Status.OK or request.closed:
             self._cancel_others(request, event.attempt)
             self._close(request)
         elif not request.streaming and all(a.status is not None for a in request.attempts):
             self._dispatch(now, request)
-        self._dispatch_held(now)  # what this answer earned a cold server goes to the worthiest
+        self._dispatch_held(
+            now
+        )  # credit that this answer earned a cold server goes to the request worth most
 
-    def _resize(self, now: int, attempt: Attempt, status: api.Status) -> None:
-        """How many calls may be out, and copies may go out, after this outcome."""
+    def _adjust_limits(self, now: int, attempt: Attempt, status: api.Status) -> None:
+        """Adjust the in-flight limit and the extra attempts to this outcome."""
         if status is api.Status.FULL:
-            # Guards against servers that turn away before times tell: too much is out already. Also slows
-            # growth while servers throttle one class; harmless there, as the first few calls stay.
-            self.extra_limit = max(self.extra_limit - FULL_SHRINKS * GROWTH * self.smoothing, 0.0)
+            # Servers turn calls away before latencies rise: too many are in flight already. This also slows
+            # growth while servers throttle a single class, which does no harm, as the initial limit stays.
+            self.extra_limit = max(self.extra_limit - FULL_PENALTY * LIMIT_STEP * self.smoothing, 0.0)
         if status is api.Status.OK:
-            self.extra_attempts = min(SPARE_MOST, self.extra_attempts + SPARE_SHARE)
-            # Guards against growing with the queues themselves: answers at their usual times need so many.
-            self.flow.note(now, attempt.base, True, False)
-            need = ROOM * self.flow.time * math.log(2) / LOAD_HALF_LIFE
-            if self.slowdown < GROWTH_MOST and self.extra_limit < need:
-                self.extra_limit += self._growth(now)
+            self.extra_attempts = min(MAX_EXTRA_ATTEMPTS, self.extra_attempts + EXTRA_PER_ANSWER)
+            # By Little's law, answers at their base latency account for so many calls in flight. Calls in
+            # flight themselves would not do as a bound: a queue adds to them, and the limit would follow it.
+            self.flow.note(now, attempt.base_latency, True, False)
+            need = LIMIT_MARGIN * self.flow.time * math.log(2) / LOAD_HALF_LIFE
+            if self.slowdown < QUEUEING_SLOWDOWN and self.extra_limit < need:
+                self.extra_limit += self._limit_growth(now)
             else:
-                # Guards against holding a window that keeps servers slow: they recover once nearly idle. A
-                # node with few calls out yields by less: its strain strays by chance.
-                yields = self.smoothing**2 if self.slowdown > GROWTH_MOST else 0.0
-                part = 1.0 if self.extra_limit > need or self.slowdown > CROWD_LEAST else yields
-                self.extra_limit = max(self.extra_limit - GROWTH * self.smoothing * part, 0.0)
+                # A limit that is merely held would keep servers slow: they recover only when nearly idle. A
+                # node with few calls in flight shrinks it by less, as its slowdown varies by chance.
+                queueing = self.smoothing**2 if self.slowdown > QUEUEING_SLOWDOWN else 0.0
+                part = 1.0 if self.extra_limit > need or self.slowdown > CONGESTION_LOW else queueing
+                self.extra_limit = max(self.extra_limit - LIMIT_STEP * self.smoothing * part, 0.0)
 
     def _record_outcome(self, now: int, request: Request, attempt: Attempt, latency: int) -> None:
-        """Take in how an attempt ended. A cancelled one only tells that it took longer than it had."""
+        """Record how an attempt ended. A cancelled one shows only that it took longer than it was given."""
         ok = attempt.status is api.Status.OK
-        lost = not ok and attempt.status is not api.Status.CANCELLED
-        server, waited = attempt.server, latency / attempt.expected
-        self._learn_connections(now, attempt)
-        server.evidence.note(now, waited, ok, lost)
-        # Guards against a kind that is damned by a few silent servers: they return, and others of it start.
-        self.kinds[server.entry.kind].note(now, min(waited, OVERDUE), ok, lost)
-        # The common load is taken out, or a busy start would pass for what the class usually takes.
-        self.classes[request.cls].note(now, latency / request.spec.aim / self._load(now), ok, lost)
-        if ok or waited <= REFERENCE:
-            self.load.note(now, latency / attempt.base, ok, lost)
+        failed = not ok and attempt.status is not api.Status.CANCELLED
+        server, elapsed = attempt.server, latency / attempt.expected
+        self._record_connection(now, attempt)
+        server.evidence.note(now, elapsed, ok, failed)
+        # Capped, or a few silent servers would discredit a kind: they come back, and others of it start.
+        self.kinds[server.entry.kind].note(now, min(elapsed, OVERDUE_FACTOR), ok, failed)
+        # Divided by the common load, or a busy start would raise the base latency of the class.
+        self.classes[request.cls].note(now, latency / request.spec.aim / self._load(now), ok, failed)
+        if ok or elapsed <= REFERENCE:
+            self.load.note(now, latency / attempt.base_latency, ok, failed)
         if server.warmth(now, self.settings) >= 1.0:
-            self.warm.note(now, waited, ok, lost)
-            self.warm_lately.note(now, waited, ok, lost)
+            self.warm.note(now, elapsed, ok, failed)
+            self.warm_recent.note(now, elapsed, ok, failed)
             return
-        self.cold.note(now, latency / api.SECOND, ok, lost)
+        self.cold.note(now, latency / api.SECOND, ok, failed)
         if ok:
-            self._earned(now, server, waited)
+            self._earn_credit(now, server, elapsed)
 
-    def _learn_connections(self, now: int, attempt: Attempt) -> None:
-        """Whether its server takes connections, by an answer or a refusal."""
+    def _record_connection(self, now: int, attempt: Attempt) -> None:
+        """Record whether the server accepts connections, by an answer or a failed connect."""
         server = attempt.server
         if attempt.status is api.Status.OK:
-            server.connections, server.used = max(server.connections, server.in_flight + 1), now
-            if attempt.sent > server.refused and server in self.refusers:  # it takes connections again
-                self.refusers.remove(server)
-                server.refused, server.rest = 0, SHUT // 2
+            server.connections, server.answered_at = max(server.connections, server.in_flight + 1), now
+            if attempt.sent_at > server.connect_failed_at and server in self.unreachable:
+                self.unreachable.remove(server)  # it accepts connections again
+                server.connect_failed_at, server.backoff = 0, CONNECT_BACKOFF // 2
         elif attempt.status is api.Status.CONNECT_FAILED:
-            server.rest = min(2 * server.rest, max(self.settings.idle_close, SHUT))
-            server.connect_after, server.connections, server.refused = now + server.rest, 0, now
+            server.backoff = min(2 * server.backoff, max(self.settings.idle_close, CONNECT_BACKOFF))
+            server.connect_after, server.connections, server.connect_failed_at = now + server.backoff, 0, now
             if self.servers.get(server.entry.server) is server:
-                self.refusers.add(server)
+                self.unreachable.add(server)
--- a/minthitch/policy.py
+++ b/minthitch/policy.py
@@ -1,7 +1,8 @@
-"""Every decision of the balancer, with minthitch/decisions. Events and actions: minthitch/interface.py.
+"""The balancer of one node, with minthitch/decisions. Events and actions: minthitch/interface.py.
 
-Request Replication (docs/design): per server a latency curve fitted to this node's own outcomes; per call
-the cheapest set of servers whose joint chance to answer in time reaches the target, raced; losers cancelled.
+Request Replication (docs/design): each server has a latency curve fitted to this node's own outcomes. Each
+call goes to the cheapest set of servers whose joint chance to answer in time reaches the target. They race,
+and the losers are cancelled.
 """
 
 from __future__ import annotations
@@ -12,11 +13,11 @@
 from minthitch.decisions.admission import INITIAL_LIMIT
 from minthitch.decisions.budget import RetryBudget
 from minthitch.decisions.choice import MAX_CANDIDATES, TARGET, Candidate
-from minthitch.decisions.cold import COLD_PART
+from minthitch.decisions.cold import COLD_SHARE
 from minthitch.decisions.evidence import CLASS_HALF_LIFE, Evidence
 from minthitch.decisions.gamma import REFERENCE, SHAPE_MAX, fit_curve, fit_shape, gammainc
 from minthitch.decisions.outcomes import Outcomes
-from minthitch.decisions.placing import OVERDUE
+from minthitch.decisions.placing import OVERDUE_FACTOR
 from minthitch.decisions.requests import Attempt, Request
 from minthitch.decisions.servers import Server
 from minthitch.decisions.sets import cheapest_set
@@ -41,27 +42,25 @@
     "gammainc",
 ]
 
-AVOIDED_SHARE = 0.5  # share of calls answered within the reference time below which a server is shown as down
-RESUBSCRIBE_PART = (
-    0.25  # list calls are repeated within this part of the time after which the node counts as told
-)
+AVOIDED_SHARE = 0.5  # a server is shown as down if a smaller share of its calls meets the reference time
+RESUBSCRIBE_PART = 0.25  # a failed list call is repeated within this part of ask_within, the time allowed
 
 
 class Balancer(Outcomes):
-    """One node's decisions. Feed events in order; carry out the actions in order."""
+    """One node's decisions. Feed it events in order, and carry out the returned actions in order."""
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
         self.actions = []
         if isinstance(event, api.AttemptEnded):
-            self._ended(now, event)
+            self._on_attempt_ended(now, event)
         elif isinstance(event, api.RequestArrived):
-            self._arrived(now, event)
+            self._on_arrival(now, event)
         elif isinstance(event, api.TimerFired):
-            self._fired(now, event.token)
+            self._on_timer(now, event.token)
         elif isinstance(event, api.ListUpdate):
             self._on_list(now, event)
         elif isinstance(event, api.RequestGone) and (gone := self.requests.get(event.request)):
-            self._cancel_others(gone, -1)  # guards against work, in every tier below, that nobody waits for
+            self._cancel_others(gone, -1)  # or every tier below would work for a client that has left
             self._close(gone)
         elif isinstance(event, api.StreamStarted) and (request := self.requests.get(event.request)):
             request.streaming = True
@@ -71,40 +70,41 @@
     def _on_list(self, now: int, event: api.ListUpdate) -> None:
         if self.settings.ask_for_list and event.kind is api.ListKind.CACHED:
             self.actions.append(api.Subscribe())
-        elif self.settings.ask_for_list and event.kind is api.ListKind.FAILED and not self.asking:
-            self._say(now, f"list failed: going on with the {len(self.servers)} servers of the last one")
-            self.asking = True  # anew after a jittered pause: when the list fails, all nodes fail together
+        elif self.settings.ask_for_list and event.kind is api.ListKind.FAILED and not self.resubscribing:
+            self._log(now, f"list failed: going on with the {len(self.servers)} servers of the last one")
+            self.resubscribing = True  # after a random pause, as a failure of the list hits all nodes at once
             pause = self.random.uniform(RESUBSCRIBE_PART / 4, RESUBSCRIBE_PART) * self.settings.ask_within
             self.actions.append(api.SetTimer(0, int(pause)))
         if event.kind in (api.ListKind.FULL, api.ListKind.CACHED):
-            named = {e.server for e in event.entries}
-            self.servers = {s: v for s, v in self.servers.items() if s in named}
+            listed = {e.server for e in event.entries}
+            self.servers = {s: v for s, v in self.servers.items() if s in listed}
         new = list[Server]()
         for entry in event.entries:
             known = self.servers.get(entry.server)
             if entry.state is not api.State.READY:
                 self.servers.pop(entry.server, None)
             elif known is None or known.entry.started != entry.started:
-                credit = self.random.random()  # or all nodes would send at once
+                credit = self.random.random()  # random, or all nodes would send to it at once
                 self.servers[entry.server] = Server(entry, now, credit, self.settings.cold_window)
                 new.append(self.servers[entry.server])
             else:
                 known.entry = entry
-        self.warm_from = min((s.warm_from(self.settings) for s in self.servers.values()), default=math.inf)
-        if new and now < self.warm_from:
-            # Guards against seconds in the dark: of all nodes' first calls a half goes out at once, and the
-            # others evenly over time, at each node and at each server.
-            places = self.random.sample(range(len(new)), len(new))
-            for server, place in zip(new, places, strict=True):
-                part = self._min_rate(now, server.warmth(now, self.settings))
-                at_once = min(part * self.settings.cold_window, COLD_PART / self.settings.siblings)
-                server.credit = (place + server.credit) / len(new) + at_once
-        self.refusers = {s for s in self.refusers if self.servers.get(s.entry.server) is s}
+        self.first_warm_at = min((s.warm_at(self.settings) for s in self.servers.values()), default=math.inf)
+        if new and now < self.first_warm_at:
+            # While all servers are cold, random credit alone could leave a node without a server for seconds.
+            # Of all nodes' first calls half go out at once and the others evenly over time, at each node and
+            # at each server.
+            ranks = self.random.sample(range(len(new)), len(new))
+            for server, rank in zip(new, ranks, strict=True):
+                rate = self._min_rate(now, server.warmth(now, self.settings))
+                at_once = min(rate * self.settings.cold_window, COLD_SHARE / self.settings.siblings)
+                server.credit = (rank + server.credit) / len(new) + at_once
+        self.unreachable = {s for s in self.unreachable if self.servers.get(s.entry.server) is s}
 
-    def _arrived(self, now: int, event: api.RequestArrived) -> None:
+    def _on_arrival(self, now: int, event: api.RequestArrived) -> None:
         request = Request(now, event, self.settings.classes[event.cls])
         self.requests[request.id] = request
-        self.budget.note(now, self.budget.taken)
+        self.budget.note(now, self.budget.arrived_at)
         if now >= self._answer_by(request) or not self._admit(now, event):
             self._refuse_or_fail(request)
         else:
@@ -112,23 +112,27 @@
             self._dispatch_held(now, request.cls)
             self._dispatch(now, request)
 
-    def _fired(self, now: int, token: int) -> None:
+    def _on_timer(self, now: int, token: int) -> None:
         request = self.requests.get(token >> 1)
         if token == 0:
-            self.asking = False
+            self.resubscribing = False
             self.actions.append(api.Subscribe())
         elif request and not request.closed and not request.streaming:
             if now >= self._answer_by(request):
                 self._refuse_or_fail(request)
-            elif now >= request.late or all(a.status is not None for a in request.attempts):
+            elif now >= request.overdue_at or all(a.status is not None for a in request.attempts):
                 self._dispatch_held(now, request.cls)
                 self._dispatch(now, request)
 
     def avoided(self, now: int) -> int:
-        """Ready servers that are not chosen while others are: most of their calls miss, or are overdue."""
+        """How many ready servers are passed over for others: most of their calls fail, or are overdue."""
         return sum(
             1
             for s in self.servers.values()
             if s.evidence.share(now) < AVOIDED_SHARE
-            or (s.in_flight and now * s.open_rate - s.open_sent > OVERDUE * s.in_flight * self._load(now))
+            or (
+                s.in_flight
+                and now * s.inverse_base_sum - s.scaled_sent_sum
+                > OVERDUE_FACTOR * s.in_flight * self._load(now)
+            )
         )
--- a/tests/rules.py
+++ b/tests/rules.py
@@ -1,4 +1,4 @@
-"""A referee for the module's actions: keeps the books of one node and checks the rules on them."""
+"""Checks every action of a balancer against the rules that it must keep, by a record of its requests."""
 
 from __future__ import annotations
 
@@ -73,38 +73,37 @@
 
 @dataclass
 class RequestRecord:
-    """What the referee knows of one request."""
+    """What the checks know of one request."""
 
     arrived: RequestArrived
-    due: int  # the client's deadline, or the arrival of a request whose time was over by then
+    due: int  # the client's deadline, or the arrival time if that is later
     taken_at: int = 0
     sent: list[tuple[int, int, Status | None]] = field(default_factory=list)  # server, time, outcome
     answers: int = 0
 
 
 class Node:
-    """A balancer under a referee. `feed` raises AssertionError when an action breaks a rule."""
+    """A balancer whose actions are checked. `feed` raises AssertionError when one breaks a rule."""
 
     def __init__(self, setup: Settings, seed: int = 1) -> None:
         self.setup, self.balancer = setup, Balancer(setup, seed)
         self.now = 10 * SECOND
         self.records: dict[int, RequestRecord] = {}
         self.known: dict[int, ServerEntry] = {}
-        self.barred: dict[int, int] = {}  # server: since when it drains or is gone
+        self.withdrawn_at: dict[int, int] = {}  # server: since when it has been draining or gone
         self.timers: list[tuple[int, int]] = []
         self.log: list[Action] = []
-        self.further: list[
-            tuple[int, RequestRecord, int]
-        ] = []  # attempts beyond a first: when, of which request
-        self.asked: int | None = None  # when the list was last asked for
+        # Attempts beyond a first: when, of which request, index.
+        self.extra_attempts: list[tuple[int, RequestRecord, int]] = []
+        self.asked: int | None = None  # when the node last subscribed to the list
         self.subscribed = self.ask_failed = False
-        self.free: dict[int, int] = {}  # when a server has served all it has been sent (see `queue`)
+        self.free: dict[int, int] = {}  # when a server has served all it has been sent (see `started`)
 
     def feed(self, event: Event) -> list[Action]:
         self._observe(event)
         actions = self.balancer.handle(self.now, event)
         for action in actions:
-            self._judge(action)
+            self._check(action)
         self.log += actions
         return actions
 
@@ -130,20 +129,20 @@
         if event.kind is not ListKind.FAILED:
             if event.kind is not ListKind.CHANGES:
                 for server in set(self.known) - {e.server for e in event.entries}:
-                    self.barred.setdefault(server, self.now)
+                    self.withdrawn_at.setdefault(server, self.now)
             for entry in event.entries:
                 if entry.state is State.READY:
                     self.known[entry.server] = entry
-                    self.barred.pop(entry.server, None)
+                    self.withdrawn_at.pop(entry.server, None)
                 else:
-                    self.barred.setdefault(entry.server, self.now)
+                    self.withdrawn_at.setdefault(entry.server, self.now)
 
-    def _judge(self, action: Action) -> None:
+    def _check(self, action: Action) -> None:
         if isinstance(action, SetTimer):
             assert action.delay >= 0
             self.timers.append((self.now + action.delay, action.token))
         elif isinstance(action, Send):
-            self._judge_send(action)
+            self._check_send(action)
         elif isinstance(action, Cancel):
             assert self.setup.may_cancel
             assert action.attempt < len(self.records[action.request].sent), "cancel of an attempt never made"
@@ -172,12 +171,14 @@
         else:
             assert isinstance(action, (Log, Refresh))
 
-    def _judge_send(self, action: Send) -> None:
+    def _check_send(self, action: Send) -> None:
         book = self.records[action.request]
         spec = self.setup.classes[book.arrived.cls]
         assert book.answers == 0, "sent after the final answer"
         assert action.server in self.known, "sent to a server that no list named"
-        assert self.now <= self.barred.get(action.server, self.now) + self.setup.drain_grace, "drain not kept"
+        assert self.now <= self.withdrawn_at.get(action.server, self.now) + self.setup.drain_grace, (
+            "drain not kept"
+        )
         assert len(book.sent) < self.setup.max_attempts
         ran = [s for s in book.sent if s[2] is None or not s[2].never_ran]
         if any(s[2] is None for s in book.sent):
@@ -195,25 +196,26 @@
         assert spec.kinds is None or target.kind in spec.kinds, "sent to a kind that the class may not use"
         book.sent.append((action.server, self.now, None))
         if len(book.sent) > 1:
-            self.further.append((self.now, book, len(book.sent) - 1))
-            self._judge_budget()
+            self.extra_attempts.append((self.now, book, len(book.sent) - 1))
+            self._check_budget()
         if self.setup.ask_for_list and not self.subscribed and self.asked is not None:
             patience = self.setup.ask_within * (4 if self.ask_failed else 1)
             assert self.now - self.asked <= patience, "sent on a list that has not been asked for"
 
-    def _judge_budget(self) -> None:
-        """Further attempts in the window up to now, this one included, against requests taken in it."""
+    def _check_budget(self) -> None:
+        """Extra attempts in the window up to now, this one included, against the requests received in it."""
         if self.setup.budget_share is None:
             return
         since = self.now - self.setup.budget_window
         made = sum(
-            when >= since and book.sent[index][2] is not Status.MOOT for when, book, index in self.further
+            when >= since and book.sent[index][2] is not Status.MOOT
+            for when, book, index in self.extra_attempts
         )
         taken = sum(book.taken_at > since for book in self.records.values())
         allowed = self.setup.budget_free + self.setup.budget_share * taken
         assert made <= allowed, f"{made} further attempts where {allowed} are allowed"
 
-    # Driving ----------------------------------------------------------------------------
+    # Driving the node -------------------------------------------------------------------
 
     def listed(self, count: int, started: int = 0) -> None:
         self.feed(ListUpdate(ListKind.CACHED, entries(count, started)))
@@ -228,7 +230,7 @@
         )
 
     def wait(self, span: int) -> None:
-        """Let time pass; timers fire as they come due."""
+        """Let time pass; timers fire when they are due."""
         until = self.now + span
         while self.timers and min(self.timers)[0] <= until:
             due = min(self.timers)
@@ -249,7 +251,7 @@
         slow: dict[int, int] | None = None,
         cls: RequestClass = SAFE,
     ) -> None:
-        """Serve `rounds` requests one by one; each server answers in `latency`, or in its own time."""
+        """Serve `rounds` requests one by one; a server answers in `latency`, or as `slow` says for it."""
         for _ in range(rounds):
             number = 1_000_000 + len(self.records)
             self.request(number, cls)
@@ -271,7 +273,7 @@
                     self.end(number, i, Status.CANCELLED, True)
 
     def started(self, number: int, service: int) -> list[tuple[int, int, int]]:
-        """When the attempts of a request end at servers that serve one call after another."""
+        """When the attempts of a request end, at servers that serve one call at a time."""
         ends = []
         for index, (server, when, _) in enumerate(self.records[number].sent):
             self.free[server] = max(self.free.get(server, 0), when) + service
@@ -279,7 +281,7 @@
         return ends
 
     def queue(self, count: int, every: int, service: int, classes: tuple[RequestClass, ...] = (SAFE,)) -> int:
-        """Requests at a steady pace to servers that serve one call after another; how many were refused."""
+        """Requests at a constant rate to servers that serve one call at a time; how many were refused."""
         ends: list[tuple[int, int, int]] = []
         refused = 0
         for _ in range(count):
@@ -295,7 +297,7 @@
             late = bool(self.records[number].answers)
             actions = self.end(number, index, Status.CANCELLED if late else Status.OK, late)
             known = {e[1:] for e in ends}
-            for action in actions:  # a copy that was sent meanwhile, and is not served in turn
+            for action in actions:  # a copy sent in the meantime, which no server serves here
                 if isinstance(action, Cancel) and (number, action.attempt) not in known:
                     self.end(number, action.attempt, Status.CANCELLED, True)
         self.wait(max(until - self.now, 0))
@@ -303,7 +305,7 @@
 
 
 def hostile_day(setup: Settings, seed: int, steps: int = 400) -> Node:
-    """Random events, legal but ugly: late and repeated outcomes, unknown ids, servers going and coming."""
+    """Random valid events: late and repeated outcomes, unknown ids, servers that go and come back."""
     rng = random.Random(seed)
     node = Node(setup, seed)
     node.feed(ListUpdate(ListKind.CACHED, entries(rng.randint(0, 8), kinds=3)))
--- a/tests/test_curve.py
+++ b/tests/test_curve.py
@@ -1,4 +1,4 @@
-"""The curve and the set search: against the paper's figures, degenerate inputs and brute force."""
+"""Curve fit and set search, against the paper's figures, degenerate inputs and brute force."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
     last = 0.0
     for x in [a * 10 ** (e / 20) for e in range(-80, 41)] + [0.0, a, a + 1.0, a + 1.0 - 1e-9, 1e6, 1e300]:
         assert policy.gammainc(a, x) == pytest.approx(float(gammainc(a, x)), rel=1e-9, abs=1e-12)
-    for i in range(1000):  # it never falls: the search for a shape relies on it
+    for i in range(1000):  # the search for a shape relies on it never falling
         value = policy.gammainc(a, i * a / 200)
         assert 0.0 <= value <= 1.0 and value >= last - 1e-12
         last = value
 
 
-def test_curves_kept_stay_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(choice, "FITS_MOST", 5)
+def test_the_curve_cache_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(choice, "MAX_CURVES", 5)
     monkeypatch.setattr(choice, "fit_curve", lambda mean, share, most: (1.0, mean))
     node = policy.Balancer(api.Settings(classes=(api.RequestClass("a", api.SECOND, api.SECOND),)), 1)
     server = policy.Server(api.ServerEntry(1), 0, 1.0, api.SECOND)
@@ -52,7 +52,7 @@
 
 
 def test_the_papers_set_example() -> None:
-    """S4 and S5 pass 0.96 within 9 s at a price of 20, half of S1's (so do S2 and S4, a tie)."""
+    """S4 and S5 reach 0.96 within 9 s at a price of 20, half of S1's (so do S2 and S4, a tie)."""
 
     def chance(mean: float, limit: float, share: float) -> float:
         shape = fit_shape(limit / mean, share, 256)
@@ -82,7 +82,7 @@
 
 
 def test_two_roots_give_the_lower_one_above_one() -> None:
-    """Just above r = m the CDF at r dips with k before it rises: the first crossing counts."""
+    """Just above r = mean the CDF at r falls with k before it rises: the first crossing counts."""
     found = fit_shape(1.02, 0.60)
     assert found is not None
     assert 1 <= found < 10
@@ -101,7 +101,7 @@
 
 
 def test_a_share_below_the_exponential_gives_the_exponential_through_the_share() -> None:
-    """Calls that fail fast leave the mean low: the share alone must then speak."""
+    """Calls that fail fast leave the mean low: the fit must then use the share alone."""
     shape, mean = fit_curve(0.1, 0.3)
     assert shape == 1.0
     assert gammainc(shape, policy.REFERENCE / mean) == pytest.approx(0.3)
--- a/tests/test_decisions_split.py
+++ b/tests/test_decisions_split.py
@@ -1,7 +1,7 @@
-"""The decisions are those that were taken before policy.py was split into minthitch/decisions.
+"""Refactoring changes no decision: digests of all actions over simulated days stay the same.
 
-The digests were worked out with the module as it was in one piece. A change that is meant to decide
-otherwise works them out anew: `python -m tests.test_decisions_split` prints them.
+They were computed before policy.py was split into minthitch/decisions. A change that is meant to decide
+differently has to compute them again: `python -m tests.test_decisions_split` prints them.
 """
 
 from __future__ import annotations
@@ -60,7 +60,7 @@
 
 
 class Day:
-    """Hostile servers and clients around one balancer: its actions lead to events, in one seeded order."""
+    """A seeded simulation of unreliable servers and clients around one balancer."""
 
     def __init__(
         self,
@@ -73,9 +73,9 @@
         self.balancer = make(setup, seed)
         self.now, self.number, self.calls = 30 * SECOND, 0, 0
         self.due: list[tuple[int, int, api.Event]] = []
-        self.out: dict[tuple[int, int], int] = {}  # attempts that are out: their server
+        self.out: dict[tuple[int, int], int] = {}  # attempts in flight: their server
         self.sent: dict[int, int] = {}
-        self.idle: dict[int, int] = {}  # when a server has done all that it has
+        self.idle: dict[int, int] = {}  # when a server has finished all its work
         self.entries = {s: self._entry(s) for s in range(1, 13)}
 
     def _entry(self, server: int) -> api.ServerEntry:
@@ -100,7 +100,7 @@
                 yield self._handled(self._listed())
 
     def _arrive(self) -> None:
-        """The next request; now and then they are far more than the servers can do."""
+        """Schedules the next request; in bursts they far exceed the servers' capacity."""
         self.calls += 1
         delay = int(self.random.expovariate(300 if self.calls % 400 > 250 else 40) * SECOND)
         patience = self.random.choice((400 * MS, SECOND, 3 * SECOND, 3 * SECOND))
@@ -126,7 +126,7 @@
             return api.ListUpdate(api.ListKind.FAILED)
         if draw < 0.3:
             return api.ListUpdate(api.ListKind.CACHED, tuple(self.entries.values()))
-        if draw < 0.35:  # the power was lost
+        if draw < 0.35:  # a power loss restarts all servers
             self.entries = {s: replace(e, started=self.now) for s, e in self.entries.items()}
             return api.ListUpdate(api.ListKind.FULL, tuple(self.entries.values()))
         entry = self.entries.get(server, self._entry(server))
@@ -152,7 +152,7 @@
         work = int(self.random.uniform(0.2, 1.8) * (60 + 50 * kind) * MS)
         self.idle[send.server] = max(self.idle.get(send.server, 0), self.now) + work
         took = self.idle[send.server] - self.now
-        if draw < 0.03 or (send.server == 5 and self.now // (9 * SECOND) % 4 == 2):  # silent
+        if draw < 0.03 or (send.server == 5 and self.now // (9 * SECOND) % 4 == 2):  # no answer
             self._ends(5 * SECOND, send.request, attempt, api.Status.TIMEOUT, 5 * SECOND)
         elif draw < 0.08 or (send.server == 7 and self.now // (7 * SECOND) % 3 == 1):
             odd = self.random.choice(ODD)
@@ -170,7 +170,7 @@
 
 
 def digest(name: str, make: Callable[[api.Settings, int], Balancer] = Balancer) -> tuple[str, int]:
-    """The hash of all actions of a day, and how many events there were."""
+    """The hash of all actions of a day, and the number of events."""
     whole, events = hashlib.sha256(), 0
     for actions in Day(SETUPS[name], 7, name == "cold", make).run(900):
         whole.update(repr(actions).encode())
@@ -179,7 +179,7 @@
 
 
 @pytest.mark.parametrize("name", SETUPS)
-def test_the_parts_decide_as_the_whole_did(name: str) -> None:
+def test_the_decisions_match_the_recorded_digests(name: str) -> None:
     found, events = digest(name)
     assert events > 2_000
     assert found == DIGESTS[name]
--- a/tests/test_golden_node.py
+++ b/tests/test_golden_node.py
@@ -1,4 +1,4 @@
-"""Snapshots and records of commit a6e14cd are read as they were (see tests/golden)."""
+"""Files written by commit a6e14cd are still read with the same content (see tests/golden)."""
 
 from __future__ import annotations
 
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -1,4 +1,4 @@
-"""Promises about the text of the module, and that nothing depends on hash seeds."""
+"""Limits on the source of the decisions, and independence of the hash seed."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 def test_the_module_stays_within_its_size() -> None:
     lines = MODULE.splitlines()
-    assert len(lines) <= 1200  # what the operators run
+    assert len(lines) <= 1200  # the limit that the operators set
     assert max(map(len, lines)) <= 110
     assert "minthitch/interface.py" in lines[0]
 
--- a/tests/test_odd_lists.py
+++ b/tests/test_odd_lists.py
@@ -1,4 +1,4 @@
-"""Lists with entries that can't be read: each is left out for itself, and the rest is used."""
+"""Server lists with invalid entries: only these are left out, and the rest is used."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 
 
 def test_a_list_of_odd_entries_only_is_no_list() -> None:
-    """Taken for an empty one, it would withdraw every server."""
+    """Treated as an empty list, it would remove every server."""
     with pytest.raises(ListError, match="no entry can be used"):
         listing({"host": "a"}, 7)
 
--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -161,9 +161,8 @@
         balancer = r.node.engine.balancer
         assert isinstance(balancer, Balancer)
         server = next(iter(balancer.servers.values()))
-        assert (
-            server.evidence.trials == 0 and server.connect_after < balancer.load_at
-        )  # the lack is the node's own
+        # the lack is the node's own
+        assert server.evidence.trials == 0 and server.connect_after < balancer.load_at
         first.cancel()
 
 
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -1,4 +1,4 @@
-"""One small test for each failure found in the rounds; docs/rounds.md has the figures."""
+"""Regression tests, one for each failure found in simulation rounds; docs/rounds.md has the figures."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def test_a_node_with_few_heavy_tailed_answers_does_not_refuse_at_a_third_of_its_aims() -> None:
-    """Guards against taking chance for crowding (kamloops big-1: a third refused at 0.6 of capacity)."""
+    """Guards against taking chance for congestion, which refused a third at 0.6 of capacity (big-1)."""
     refused = 0
     for seed in range(6):
         rng = random.Random(seed)
@@ -41,26 +41,26 @@
     assert refused < 0.02 * 900
 
 
-def test_calls_turned_away_as_full_shrink_the_window() -> None:
-    """Guards against filling servers until they turn slow (music overload: all choked within 6 s)."""
+def test_full_outcomes_lower_the_in_flight_limit() -> None:
+    """Guards against filling servers until they slow down: in one overload all did within 6 s."""
     node = Node(settings())
     node.listed(4)
     node.queue(400, 14 * MS, 50 * MS)
-    grown = node.balancer.extra_limit
-    assert grown > 1.0
+    before = node.balancer.extra_limit
+    assert before > 1.0
     for number in range(3):
         node.request(number, UNSAFE)
         node.end(number, 0, Status.FULL)
-    assert node.balancer.extra_limit < grown - 1.0
+    assert node.balancer.extra_limit < before - 1.0
 
 
-def test_calls_that_wait_do_not_widen_the_window() -> None:
-    """Guards against growth bounded by the calls out, which a queue swells (lahore overload)."""
+def test_waiting_calls_do_not_raise_the_in_flight_limit() -> None:
+    """Guards against a limit bounded by the calls in flight, which a queue increases."""
     node = Node(settings())
     node.listed(4)
     for number in range(300):
         node.request(number, UNSAFE)
-        node.balancer.mean_in_flight = 40.0  # as a queue would have it
+        node.balancer.mean_in_flight = 40.0  # as it would be with a queue
         node.wait(20 * MS)
         if node.records[number].sent:
             node.end(number, 0, Status.OK)
@@ -68,7 +68,7 @@
 
 
 def test_after_a_failed_connect_a_node_keeps_to_its_open_connections() -> None:
-    """Guards against waiting out connect time-outs where tables are full (i1f26b0, guayaquil big-2)."""
+    """Guards against waiting for connect timeouts at servers with full connection tables (i1f26b0, big-2)."""
     node = Node(settings(siblings=50, idle_close=30 * SECOND, tier=1))
     node.listed(5)
     node.train(60)
@@ -82,10 +82,10 @@
 
 
 def test_a_shift_to_one_zone_spills_over() -> None:
-    """Guards against a price of crossing that leaves one zone late while the other idles (kamloops)."""
+    """Guards against a cross-zone price that leaves one zone late while the other is idle."""
     node = Node(settings(prices=Prices(cross_zone=0.04), tier=1))
     node.listed(8)
-    for server, known in node.balancer.servers.items():  # the node's own zone takes twice as long
+    for server, known in node.balancer.servers.items():  # the node's own zone is twice as slow
         for _ in range(20):
             known.evidence.note(node.now, 1.0 if server % 2 else 0.5, True, False)
     for number in range(20):
@@ -96,27 +96,27 @@
 
 
 def test_on_calm_input_the_set_sent_to_is_the_cheapest_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The mechanism decides the ordinary path: brute force over the candidates finds nothing cheaper."""
-    judged: list[Candidate] = []
-    judge = Balancer._candidate
+    """At low load nothing but the set search decides: brute force finds no cheaper set."""
+    candidates: list[Candidate] = []
+    candidate = Balancer._candidate
 
     def recorded(balancer: Balancer, now: int, left: float, server: Server) -> Candidate:
-        judged.append(judge(balancer, now, left, server))
-        return judged[-1]
+        candidates.append(candidate(balancer, now, left, server))
+        return candidates[-1]
 
     monkeypatch.setattr(Balancer, "_candidate", recorded)
     node = Node(settings(tier=1))
     node.listed(8)
     sizes = []
     for number in range(120):
-        judged.clear()
-        node.balancer.extra_attempts = 10.0  # calm: copies are not short
+        candidates.clear()
+        node.balancer.extra_attempts = 10.0  # low load: enough extra attempts
         sends = [a.server for a in node.request(number, SAFE, 1500 * MS) if isinstance(a, Send)]
-        chosen = [c for c in judged if c[2].entry.server in sends]
+        chosen = [c for c in candidates if c[2].entry.server in sends]
         fit = [
             sum(c[0] for c in group)
             for size in (1, 2, 3)
-            for group in combinations(judged, size)
+            for group in combinations(candidates, size)
             if 1 - prod(1 - c[1] for c in group) >= TARGET
         ]
         if fit:
@@ -129,7 +129,7 @@
 
 
 def test_a_call_that_may_be_repeated_is_raced_once_it_is_overdue() -> None:
-    """Guards against waiting out the deadline on a connection that fell silent (silent+leave, c46994f7)."""
+    """Guards against waiting until the deadline on a connection that fell silent (c46994f7)."""
     node = Node(settings(tier=1))
     node.listed(4)
     node.train(40)
@@ -146,7 +146,7 @@
 
 
 def test_a_request_that_no_server_may_take_is_refused_before_half_its_time() -> None:
-    """Guards against clients that wait for nothing until it is too late to ask again."""
+    """Guards against clients that wait in vain until it is too late for a retry."""
     node = Node(settings(tier=1))
     node.feed(ListUpdate(ListKind.FULL, ()))
     node.request(1)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The rules, through scripted events and through hostile random ones."""
+"""The balancer keeps its rules, under scripted and under adversarial random events."""
 
 from __future__ import annotations
 
@@ -51,8 +51,8 @@
     settings,
 )
 
-PROVEN = [Status.FULL, Status.CONNECT_FAILED, Status.MOOT]
-UNPROVEN = [Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED]
+NEVER_RAN = [Status.FULL, Status.CONNECT_FAILED, Status.MOOT]
+MAY_HAVE_RUN = [Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED]
 
 
 def kinds(actions: Sequence[object], kind: type) -> list[object]:
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize("seed", range(120))
 def test_hostile_orders_break_no_rule(seed: int) -> None:
-    """Every effect and group, bound and free, with and without a budget, list pushed or asked for."""
+    """All effects and groups, with and without placement and budget, list pushed or subscribed to."""
     setup = settings(
         may_duplicate=seed % 3 != 0,
         may_cancel=seed % 5 != 0,
@@ -95,20 +95,20 @@
         hostile_day(setup, seed)
 
 
-def test_the_referee_sees_a_module_without_placement(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_checks_detect_missing_placement(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Server, "may_take", lambda *_: True)
     with pytest.raises(AssertionError, match="that the class may not use"):
         hostile_day(settings(classes=ALL_CLASSES), 1)
 
 
-def test_the_referee_sees_a_module_without_a_budget(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(RetryBudget, "left", lambda *_: 9.0)
+def test_the_checks_detect_a_missing_budget(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(RetryBudget, "remaining", lambda *_: 9.0)
     with pytest.raises(AssertionError, match="further attempts where"):
         for seed in range(5):
             hostile_day(settings(budget_share=0.01), seed)
 
 
-def test_the_referee_sees_a_node_that_stops_asking_for_the_list(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_checks_detect_a_node_that_stops_subscribing_to_the_list(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(policy, "RESUBSCRIBE_PART", 1000.0)
     node = Node(settings(ask_for_list=True, ask_within=SECOND, tier=1))
     node.listed(4)
@@ -121,27 +121,27 @@
 
 
 @pytest.mark.parametrize("action", [Probe(1), Tell(b"hi"), Subscribe(), Cancel(1, 0), HangUp(99)])
-def test_the_referee_refuses_actions_that_the_settings_forbid(action: Action) -> None:
+def test_the_checks_reject_actions_that_the_settings_forbid(action: Action) -> None:
     node = Node(settings(may_cancel=False))
     node.listed(3)
     node.request(1, UNSAFE)
     with pytest.raises(AssertionError):
-        node._judge(action)
+        node._check(action)
 
 
 def test_a_peer_message_is_at_most_256_bytes() -> None:
     node = Node(settings(may_tell=True))
-    node._judge(Tell(bytes(256)))
+    node._check(Tell(bytes(256)))
     with pytest.raises(AssertionError):
-        node._judge(Tell(bytes(257)))
+        node._check(Tell(bytes(257)))
 
 
-def test_ended_requests_are_let_go_of() -> None:
+def test_ended_requests_are_removed() -> None:
     node = Node(settings())
     node.listed(4)
     node.queue(50, 20 * MS, 50 * MS)
     node.request(1, UNSAFE)
-    node.wait(3 * SECOND)  # answered by the node; its attempt is still out
+    node.wait(3 * SECOND)  # answered by the node; its attempt is still in flight
     assert list(node.balancer.requests) == [1]
     node.end(1, 0, Status.TIMEOUT, True)
     assert not node.balancer.requests and node.balancer.total_in_flight == 0
@@ -164,15 +164,15 @@
 def test_the_budget_counts_refused_requests_as_taken_and_leaves_moot_attempts_out() -> None:
     budget = RetryBudget(settings(budget_share=0.5, budget_free=1.0, budget_window=SECOND))
     for when in (0, 1, 2, 3):
-        budget.note(when, budget.taken)
-    assert budget.left(3) == 3.0
-    budget.note(4, budget.sent)
-    budget.note(5, budget.sent)
-    assert budget.left(5) == 1.0
-    budget.moot(5)
-    assert budget.left(5) == 2.0
-    assert budget.left(SECOND + 3) == 0.0  # the requests have left the window, the attempt at 4 has not
-    assert budget.left(SECOND + 5) == 1.0
+        budget.note(when, budget.arrived_at)
+    assert budget.remaining(3) == 3.0
+    budget.note(4, budget.extra_sent_at)
+    budget.note(5, budget.extra_sent_at)
+    assert budget.remaining(5) == 1.0
+    budget.refund(5)
+    assert budget.remaining(5) == 2.0
+    assert budget.remaining(SECOND + 3) == 0.0  # the requests have left the window, the attempt at 4 has not
+    assert budget.remaining(SECOND + 5) == 1.0
 
 
 def test_a_set_is_cut_to_what_the_budget_leaves() -> None:
@@ -224,7 +224,7 @@
     assert not kinds(node.log, Fail)
 
 
-@pytest.mark.parametrize("status", PROVEN + UNPROVEN)
+@pytest.mark.parametrize("status", NEVER_RAN + MAY_HAVE_RUN)
 def test_an_unsafe_request_goes_out_again_only_when_it_never_ran(status: Status) -> None:
     node = Node(settings())
     node.listed(6)
@@ -232,8 +232,8 @@
     assert len(node.records[1].sent) == 1
     node.end(1, 0, status)
     node.wait(2990 * MS)
-    assert (len(node.records[1].sent) > 1) == (status in PROVEN)
-    if status in UNPROVEN:
+    assert (len(node.records[1].sent) > 1) == (status in NEVER_RAN)
+    if status in MAY_HAVE_RUN:
         assert kinds(node.log, Fail)
         assert not kinds(node.log, Refuse)
 
@@ -244,7 +244,7 @@
     node.listed(8)
     node.request(1, cls)  # type: ignore[arg-type]
     node.end(1, 0, Status.ERROR)
-    assert len(node.records[1].sent) >= 2  # the referee checks the group
+    assert len(node.records[1].sent) >= 2  # the checks in Node include the group
     node.wait(4 * SECOND)
     assert kinds(node.log, Fail)
     assert not kinds(node.log, Refuse)
@@ -314,18 +314,18 @@
 
 @pytest.mark.parametrize("new", [9, 3])  # a server that is new, and one that comes back
 def test_a_cold_server_gets_its_part_and_all_nodes_together_keep_the_budget(new: int) -> None:
-    """Twenty nodes, one server that just started: no window holds more than its budget."""
+    """Twenty nodes and one server that just started: no cold window has more sends than its budget."""
     setup = settings(siblings=20, tier=1, cold_share=0.1, cold_multiple=1.0)
     sends: list[int] = []
     warm = 0
     for seed in range(20):
         node = Node(setup, seed)
         node.listed(4)
-        node.wait(900 * SECOND)  # whatever a server was granted before it started does not count
+        node.wait(900 * SECOND)  # credit granted before the server started must not count
         node.train(60, latency=100 * MS)
         began = node.now
         node.feed(ListUpdate(ListKind.CHANGES, (ServerEntry(new, started=began),)))
-        for first in range(0, 64, 8):  # eight at a time, so that every server that may take one gets one
+        for first in range(0, 64, 8):  # eight at a time, so that every server that may take a call gets one
             for number in range(first, first + 8):
                 node.request(number, UNSAFE)
             node.wait(800 * MS)
@@ -393,7 +393,7 @@
 
 
 def test_a_cold_server_is_filled_by_what_warm_ones_answer_not_by_what_they_turn_away() -> None:
-    """Under overload most attempts are turned away; counting them pushed cold servers over (i2157a8)."""
+    """In overload most attempts end in FULL; counting them as answers overloaded cold servers (i2157a8)."""
     node = Node(settings(siblings=20, tier=1))
     node.listed(4)
     node.train(10)
@@ -409,7 +409,7 @@
     assert sent <= 5  # ten answers from four warm servers in 10 s: about one in 2 s for the cold one
 
 
-def test_an_outcome_told_twice_counts_once() -> None:
+def test_an_outcome_reported_twice_counts_once() -> None:
     node = Node(settings())
     node.listed(2)
     node.request(1, UNSAFE)
@@ -433,7 +433,7 @@
     node = Node(settings())
     node.listed(4)
     node.request(1, UNSAFE)
-    node.now = node.records[1].due - MS  # its timer comes later in the same batch
+    node.now = node.records[1].due - MS  # the request's timer comes later in the same batch
     assert kinds(node.end(1, 0, Status.FULL), Refuse)
 
 
@@ -443,12 +443,12 @@
     node.request(1)
     node.feed(StreamStarted(1, 0, node.records[1].sent[0][0], MS))
     node.records[1].answers = 1
-    node.wait(5 * SECOND)  # the referee objects to a refusal now
+    node.wait(5 * SECOND)  # the checks would reject a refusal now
     assert not kinds(node.feed(AttemptEnded(1, 0, 1, Status.RESET, SECOND)), Send)
 
 
 def test_copies_and_retries_end_when_nothing_is_answered() -> None:
-    """Guards against the attempt storm of all three first incidents: 8 to 19 attempts a request."""
+    """Guards against a retry storm, as in the first three incidents: 8 to 19 attempts per request."""
     node = Node(settings())
     node.listed(8)
     sends = 0
@@ -469,7 +469,7 @@
 
 
 def test_a_server_that_fails_at_once_does_not_draw_the_calls() -> None:
-    """It is always idle: by calls in flight alone it was the cheapest (busiest at 45 x the mean)."""
+    """It is always idle: priced by calls in flight alone, one got 45 times the mean load."""
     node = Node(settings())
     node.listed(5)
     node.train(20)
@@ -496,20 +496,20 @@
         node.wait(30 * MS)
         if node.records[number].sent[0][0] != 1:
             node.end(number, 0, Status.OK)
-    assert share_of(node, 1) < 0.05  # no outcome ever came: the age of the open calls must tell
+    assert share_of(node, 1) < 0.05  # without any outcome, the age of the calls in flight must show it
 
 
 def test_refusals_start_when_crowded_and_end_soon_after() -> None:
-    """Guards against refusing for ever (lahore overload: 98%): what was learned then must not stay."""
+    """Guards against refusing for ever (98% in one overload): what was learned in it must not persist."""
     node = Node(settings())
     node.listed(4)
-    assert node.queue(100, 40 * MS, 50 * MS) == 0  # a third of what four servers can do
+    assert node.queue(100, 40 * MS, 50 * MS) == 0  # a third of the capacity of four servers
     assert node.queue(600, 5 * MS, 50 * MS) > 200  # two and a half times that
     node.wait(5 * SECOND)
     assert node.queue(100, 40 * MS, 50 * MS) <= 2
 
 
-def test_an_overload_from_the_start_is_met_too() -> None:
+def test_an_overload_from_the_start_is_refused_too() -> None:
     node = Node(settings())
     node.listed(4)
     assert node.queue(1000, 5 * MS, 50 * MS) > 300
@@ -518,7 +518,7 @@
 
 
 def test_a_start_or_a_burst_does_not_crowd_the_servers_before_answers_can_tell() -> None:
-    """A second node that started into a queue sent 71 calls before its first answer (lahore rough-2)."""
+    """Guards against a node that starts into a queue: one sent 71 calls before its first answer."""
     node = Node(settings(siblings=2))
     node.listed(10)
     for number in range(200):
@@ -526,22 +526,22 @@
     assert 10 <= len([a for a in node.log if isinstance(a, Send)]) <= 2.5 * 10 / 2 * 2 + 1
     node = Node(settings(siblings=2))
     node.listed(10)
-    node.queue(200, 40 * MS, 100 * MS)  # two fifths of what ten servers can do, half of them this node's
+    node.queue(200, 40 * MS, 100 * MS)  # two fifths of the capacity of ten servers, half of it this node's
     node.log.clear()
     for number in range(500):
         node.request(number)
     assert 10 <= len([a for a in node.log if isinstance(a, Send)]) <= 60
 
 
-def test_the_window_of_calls_out_shrinks_while_queues_grow() -> None:
-    """Guards against a window grown while calm that keeps servers crowded later (i3b50b5)."""
+def test_the_in_flight_limit_shrinks_while_queues_grow() -> None:
+    """Guards against a limit that grew at low load and keeps servers congested later (i3b50b5)."""
     node = Node(settings())
     node.listed(4)
-    node.queue(400, 14 * MS, 50 * MS)  # nine tenths of what four servers can do
-    grown = node.balancer.extra_limit
-    assert grown > 0.0
+    node.queue(400, 14 * MS, 50 * MS)  # nine tenths of the capacity of four servers
+    before = node.balancer.extra_limit
+    assert before > 0.0
     node.queue(600, 5 * MS, 50 * MS)
-    assert node.balancer.extra_limit < grown / 2
+    assert node.balancer.extra_limit < before / 2
 
 
 def test_servers_that_vanish_with_calls_out_stop_nothing() -> None:
@@ -571,7 +571,7 @@
 
 
 def test_silent_servers_are_not_taken_for_a_common_load() -> None:
-    """A quarter of the fleet silent must not make the node refuse (peshawar, a zone lost)."""
+    """With a quarter of the fleet silent, as when a zone is lost, the node must not refuse."""
     node = Node(settings())
     node.listed(4)
     node.train(60)
@@ -586,23 +586,24 @@
 
 
 def test_the_load_told_by_calls_that_are_out_is_no_more_than_their_age() -> None:
-    """Guards against a load that feeds on itself: 150 waiting calls made it millions (peshawar)."""
+    """Guards against a load estimate that feeds back on itself: 150 waiting calls raised it to millions."""
     node = Node(settings(tier=1))
     node.listed(10)
     for number in range(150):
         node.request(number, UNSAFE)
         node.wait(2 * MS)
-    assert node.balancer._load(node.now) < 150 * 300 / 200 / 2 + 1  # calls, ms out, ms usually, prior
+    # Calls, their age in ms, the base latency in ms, the weight of the prior.
+    assert node.balancer._load(node.now) < 150 * 300 / 200 / 2 + 1
 
 
 def test_a_large_fleet_costs_no_more_per_call_and_is_used_whole(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against running out of CPU: a fleet that grew past 200 took it all (i8baef8)."""
+    """Guards against a CPU cost that grows with the fleet: beyond 200 servers it took all CPU (i8baef8)."""
     seen: list[Server] = []
-    judge = Balancer._candidate
+    candidate = Balancer._candidate
 
     def counted(balancer: Balancer, now: int, left: float, server: Server) -> Candidate:
         seen.append(server)
-        return judge(balancer, now, left, server)
+        return candidate(balancer, now, left, server)
 
     monkeypatch.setattr(Balancer, "_candidate", counted)
     node = Node(settings(tier=1))
@@ -617,7 +618,7 @@
     return [a.text for a in node.log if isinstance(a, Log)]
 
 
-def test_refusing_is_said_once_in_ten_seconds() -> None:
+def test_refusing_is_logged_once_in_ten_seconds() -> None:
     node = Node(settings())
     node.listed(4)
     node.queue(100, 40 * MS, 50 * MS)
@@ -627,7 +628,7 @@
     assert all(line.startswith("refusing: load ") for line in lines(node))
 
 
-def test_a_failed_list_is_said() -> None:
+def test_a_failed_list_is_logged() -> None:
     node = Node(settings(ask_for_list=True))
     node.listed(4)
     node.feed(ListUpdate(ListKind.FAILED))
@@ -635,12 +636,12 @@
 
 
 def test_a_tenant_beyond_its_allowance_is_refused_first() -> None:
-    """Guards against one tenant crowding out the others (karachi, i3b50b5)."""
+    """Guards against one tenant taking the capacity of the others (i3b50b5)."""
     node = Node(settings(tenants=(Tenant("calm", 100.0), Tenant("greedy", 20.0)), over_share_worth=0.1))
     node.listed(4)
     node.queue(100, 40 * MS, 50 * MS)
     ends: list[tuple[int, int, int]] = []
-    for number in range(900):  # each tenant asks for 55 a second; four servers bear some 80
+    for number in range(900):  # each tenant sends 55 a second; four servers can serve about 80
         node.feed(RequestArrived(number, 0, node.now + 3 * SECOND, tenant=number % 2))
         ends = node.serve(ends + node.started(number, 50 * MS), node.now + 9 * MS)
     refused = [a.request for a in node.log if isinstance(a, Refuse) and a.request < 900]
