--- a/minthitch/benchlink.py
+++ b/minthitch/benchlink.py
@@ -25,30 +25,30 @@
 MAX_U32 = (1 << 32) - 1
 
 # Layouts of event records, and of an entry of a server list.
-REPLY = struct.Struct(">xHIHIHBQBB4f")
-REMINDER = struct.Struct(">xHQ")
-UP = struct.Struct(">xHQII")
-LEFT = struct.Struct(">xHI")
-HEARD = struct.Struct(">xHHII")
-JOB_IN = struct.Struct(">xHIBIQQQH")
-KILLED = struct.Struct(">xH")
-LIST = struct.Struct(">xHII")
-STREAMING = struct.Struct(">xHIHQIH")
-CHECK_RESULT = struct.Struct(">xHIHBQB4f")
-DIRECTORY = struct.Struct(">xHIBH")
+ATTEMPT_ENDED = struct.Struct(">xHIHIHBQBB4f")
+TIMER_FIRED = struct.Struct(">xHQ")
+INSTANCE_STARTED = struct.Struct(">xHQII")
+REQUEST_GONE = struct.Struct(">xHI")
+PEER_MESSAGE = struct.Struct(">xHHII")
+REQUEST_ARRIVED = struct.Struct(">xHIBIQQQH")
+INSTANCE_KILLED = struct.Struct(">xH")
+SERVER_LIST = struct.Struct(">xHII")
+STREAM_STARTED = struct.Struct(">xHIHQIH")
+PROBE_ENDED = struct.Struct(">xHIHBQB4f")
+LIST_UPDATE = struct.Struct(">xHIBH")
 ENTRY = struct.Struct(">BBBHIHQf")
 
 # Layouts of action records.
-SHED = struct.Struct(">BHIQ9x")
-OBSERVE = struct.Struct(">BHB20x")
-SLEEP = struct.Struct(">BHQQ5x")
-LOSE = struct.Struct(">BHI17x")
+REFUSE = struct.Struct(">BHIQ9x")
+SUBSCRIBE = struct.Struct(">BHB20x")
+SET_TIMER = struct.Struct(">BHQQ5x")
+FAIL = struct.Struct(">BHI17x")
 TEXT = struct.Struct(">BHII13x")
-TRY = struct.Struct(">BHIQIH3x")
-ABANDON = struct.Struct(">BHIH15x")
+SEND = struct.Struct(">BHIQIH3x")
+CANCEL = struct.Struct(">BHIH15x")
 REFRESH = struct.Struct(">BH21x")
 TO_SERVER = struct.Struct(">BHIH15x")
-SHARE = struct.Struct(">BHHII11x")
+TELL = struct.Struct(">BHHII11x")
 ALL_PEERS = 0xFFFF
 MAX_LISTS = 16
 
@@ -96,7 +96,7 @@
         self.records, self.tail = [], bytearray()
         for index in range(count):
             try:
-                self._event(frame, HEADER.size + index * EVENT_SIZE, tail_at, now)
+                self._handle_event(frame, HEADER.size + index * EVENT_SIZE, tail_at, now)
             except WireError as err:
                 raise WireError(f"batch {batch}, record {index}: {err}") from None
         body = b"".join(self.records)
@@ -109,30 +109,38 @@
             raise WireError(f"offset {offset} and length {size} point outside the tail")
         return frame[tail_at + offset : tail_at + offset + size]
 
-    def _event(self, frame: bytes, at: int, tail_at: int, now: int) -> None:
+    def _handle_event(self, frame: bytes, at: int, tail_at: int, now: int) -> None:
         code = frame[at]
         event: api.Event
         if code == 1:
-            (inst, job, seq, host, port, result, spent, closed, n, *stats) = REPLY.unpack_from(frame, at)
+            (inst, request, attempt, host, port, status, latency, closed, n, *stats) = (
+                ATTEMPT_ENDED.unpack_from(frame, at)
+            )
             event = api.AttemptEnded(
-                job,
-                seq,
+                request,
+                attempt,
                 host << 16 | port,
-                self._lookup(STATUS, result, "outcome"),
-                spent,
+                self._lookup(STATUS, status, "outcome"),
+                latency,
                 bool(closed),
                 tuple(stats[:n]),
             )
         elif code == 2:
-            inst, token = REMINDER.unpack_from(frame, at)
+            inst, token = TIMER_FIRED.unpack_from(frame, at)
             event = api.TimerFired(token)
         elif code == 6:
-            inst, job, cls, tenant, key, expires, cost, bits = JOB_IN.unpack_from(frame, at)
+            inst, request, cls, tenant, key, deadline, cost, flags = REQUEST_ARRIVED.unpack_from(frame, at)
             event = api.RequestArrived(
-                job, cls, expires, tenant, key, cost if bits & HINT_VALID else 0, bool(bits & CLIENT_REPEAT)
+                request,
+                cls,
+                deadline,
+                tenant,
+                key,
+                cost if flags & HINT_VALID else 0,
+                bool(flags & CLIENT_REPEAT),
             )
         elif code == 8:
-            number, offset, size = LIST.unpack_from(frame, at)
+            number, offset, size = SERVER_LIST.unpack_from(frame, at)
             if number >= MAX_LISTS:
                 raise WireError(f"list number {number} is not below {MAX_LISTS}")
             data = self._slice(frame, tail_at, offset, size * ENTRY_SIZE)
@@ -150,16 +158,16 @@
             )
             return
         elif code == 11:
-            inst, _generation, form, number = DIRECTORY.unpack_from(frame, at)
-            kind = self._lookup(LIST_KIND, form, "list kind")
+            inst, _generation, kind_code, number = LIST_UPDATE.unpack_from(frame, at)
+            kind = self._lookup(LIST_KIND, kind_code, "list kind")
             if kind is not api.ListKind.FAILED and number not in self.lists:
                 raise WireError(f"list {number} was never given")
             event = api.ListUpdate(kind, () if kind is api.ListKind.FAILED else self.lists[number])
         elif code == 4:
-            inst, job = LEFT.unpack_from(frame, at)
-            event = api.RequestGone(job)
+            inst, request = REQUEST_GONE.unpack_from(frame, at)
+            event = api.RequestGone(request)
         elif code == 3:
-            inst, seed, offset, size = UP.unpack_from(frame, at)
+            inst, seed, offset, size = INSTANCE_STARTED.unpack_from(frame, at)
             try:
                 settings = read_settings(self._slice(frame, tail_at, offset, size))
             except SettingsError as err:
@@ -167,20 +175,20 @@
             self.balancers[inst] = self.make(settings, seed)
             return
         elif code == 7:
-            (inst,) = KILLED.unpack_from(frame, at)
+            (inst,) = INSTANCE_KILLED.unpack_from(frame, at)
             self.balancers.pop(inst, None)
             self.records = [r for r in self.records if r[1:3] != inst.to_bytes(2, "big")]
             return
         elif code == 9:
-            inst, job, seq, spent, host, port = STREAMING.unpack_from(frame, at)
-            event = api.StreamStarted(job, seq, host << 16 | port, spent)
+            inst, request, attempt, latency, host, port = STREAM_STARTED.unpack_from(frame, at)
+            event = api.StreamStarted(request, attempt, host << 16 | port, latency)
         elif code == 10:
-            inst, host, port, result, spent, n, *stats = CHECK_RESULT.unpack_from(frame, at)
+            inst, host, port, status, latency, n, *stats = PROBE_ENDED.unpack_from(frame, at)
             event = api.ProbeEnded(
-                host << 16 | port, self._lookup(STATUS, result, "outcome"), spent, tuple(stats[:n])
+                host << 16 | port, self._lookup(STATUS, status, "outcome"), latency, tuple(stats[:n])
             )
         elif code == 5:
-            inst, sender, offset, size = HEARD.unpack_from(frame, at)
+            inst, sender, offset, size = PEER_MESSAGE.unpack_from(frame, at)
             event = api.PeerMessage(sender, self._slice(frame, tail_at, offset, size))
         else:
             raise WireError(f"unknown event code {code}")
@@ -192,10 +200,10 @@
         try:
             actions = balancer.handle(now, event)
         except Exception as err:  # a bug in the decisions; the simulator's report shows the text
-            self._text(71, inst, f"{type(err).__name__}: {err}")
+            self._pack_text(71, inst, f"{type(err).__name__}: {err}")
             return
         for action in actions:
-            self._action(inst, action)
+            self._pack_action(inst, action)
 
     @staticmethod
     def _lookup(table: dict[int, T], code: int, what: str) -> T:
@@ -203,20 +211,20 @@
             raise WireError(f"unknown {what} {code}")
         return table[code]
 
-    def _action(self, inst: int, action: api.Action) -> None:
+    def _pack_action(self, inst: int, action: api.Action) -> None:
         if isinstance(action, api.Send):
             host, port = action.server >> 16, action.server & 0xFFFF
-            record = TRY.pack(75, inst, action.request, action.timeout, host, port)
+            record = SEND.pack(75, inst, action.request, action.timeout, host, port)
         elif isinstance(action, api.SetTimer):
-            record = SLEEP.pack(67, inst, action.token, min(max(action.delay, 0), MAX_DELAY))
+            record = SET_TIMER.pack(67, inst, action.token, min(max(action.delay, 0), MAX_DELAY))
         elif isinstance(action, api.Cancel):
-            record = ABANDON.pack(76, inst, action.request, action.attempt)
+            record = CANCEL.pack(76, inst, action.request, action.attempt)
         elif isinstance(action, api.Refuse):
-            record = SHED.pack(65, inst, action.request, action.retry_after)
+            record = REFUSE.pack(65, inst, action.request, action.retry_after)
         elif isinstance(action, api.Fail):
-            record = LOSE.pack(70, inst, action.request)
+            record = FAIL.pack(70, inst, action.request)
         elif isinstance(action, api.Subscribe):
-            record = OBSERVE.pack(66, inst, 1)
+            record = SUBSCRIBE.pack(66, inst, 1)
         elif isinstance(action, api.Refresh):
             record = REFRESH.pack(73, inst)
         elif isinstance(action, (api.Probe, api.HangUp)):
@@ -224,14 +232,14 @@
             record = TO_SERVER.pack(code, inst, action.server >> 16, action.server & 0xFFFF)
         elif isinstance(action, api.Tell):
             peer = ALL_PEERS if action.peer is None else action.peer
-            record = SHARE.pack(69, inst, peer, len(self.tail), len(action.data))
+            record = TELL.pack(69, inst, peer, len(self.tail), len(action.data))
             self.tail += action.data
         else:
-            return self._text(72, inst, action.text)
+            return self._pack_text(72, inst, action.text)
         self.records.append(record)
         return None
 
-    def _text(self, code: int, inst: int, text: str) -> None:
+    def _pack_text(self, code: int, inst: int, text: str) -> None:
         data = text.encode()
         self.records.append(TEXT.pack(code, inst, len(self.tail), len(data)))
         self.tail += data
--- a/minthitch/interface.py
+++ b/minthitch/interface.py
@@ -74,9 +74,7 @@
     deadline: int  # the client gives up after this
     effect: Effect = Effect.UNSAFE
     group: Group = Group.ALL  # keyed only
-    window: int = (
-        0  # keyed only: for how long repeats are dropped, counted from the first send that may have run
-    )
+    window: int = 0  # keyed only: how long repeats are dropped, from the first send that may have run
     worth: float = 1.0
     late_worth: float = 0.0  # share of the worth that an answer after the aim earns
     stream: bool = False
@@ -136,22 +134,18 @@
     siblings: int = 1  # number of nodes that send to the same tier, this one included
     tick: int = MILLISECOND  # minimum time between two batches of events
     ask_for_list: bool = False  # list changes are sent only after a Subscribe
-    ask_within: int = (
-        10 * SECOND
-    )  # a list not asked for during this time (4 times as long after a failed call) must not be used
+    # A node that has not subscribed for this long (4 times as long after a failed call) is held to changes of
+    # the list as if it had been told them.
+    ask_within: int = 10 * SECOND
     drain_grace: int = 0  # for how long a server that drains or is gone may still be sent to
     answer_slack: int = 0  # how long after the deadline a final answer may still be given
     cold_share: float = 1.0  # a server that just started has at least this share of its full capacity
     cold_time: int = 0  # and has all of it (is warm) after this time
-    cold_multiple: float = (
-        1.0  # a cold server fails under overload if sent more than this multiple of its capacity
-    )
-    cold_window: int = SECOND  # within a window of this length
-    budget_share: float | None = (
-        None  # attempts beyond the first allowed per request received; None = no budget
-    )
-    budget_free: float = 0.0  # allowed in addition, whatever the traffic;
-    budget_window: int = 5 * SECOND  # both are counted over this sliding window
+    cold_multiple: float = 1.0  # a cold server fails if it is sent more than this multiple of its capacity
+    cold_window: int = SECOND  # over this time
+    budget_share: float | None = None  # attempts beyond a first allowed per request; None = no budget
+    budget_free: float = 0.0  # the same, allowed whatever the traffic
+    budget_window: int = 5 * SECOND  # sliding window over which both are counted
     may_cancel: bool = True  # attempts may be cancelled
     may_duplicate: bool = True  # several attempts of a request may be in flight at once
     may_probe: bool = False
--- a/minthitch/policy.py
+++ b/minthitch/policy.py
@@ -43,7 +43,7 @@
 ]
 
 AVOIDED_SHARE = 0.5  # a server is shown as down if a smaller share of its calls meets the reference time
-RESUBSCRIBE_PART = 0.25  # a failed list call is repeated within this part of ask_within, the time allowed
+RESUBSCRIBE_PART = 0.25  # a failed list call is repeated within this part of ask_within
 
 
 class Balancer(Outcomes):
