--- a/minthitch/decisions/admission.py
+++ b/minthitch/decisions/admission.py
@@ -6,7 +6,7 @@
 
 from minthitch import interface as api
 from minthitch.decisions.evidence import HALF_LIFE, LOAD_HALF_LIFE, PRIOR_WEIGHT
-from minthitch.decisions.known import PRIOR_MEAN, BalancerState
+from minthitch.decisions.state import PRIOR_MEAN, BalancerState
 
 CONGESTION_LOW = 2.0  # load over the baseline load above which the class worth least is refused,
 CONGESTION_HIGH = 3.0  # and the one worth most: by then the servers' cores are busy, and more calls only wait
--- a/minthitch/decisions/cold.py
+++ b/minthitch/decisions/cold.py
@@ -7,8 +7,8 @@
 from minthitch import interface as api
 from minthitch.decisions.evidence import CLASS_HALF_LIFE, HALF_LIFE, LOAD_HALF_LIFE
 from minthitch.decisions.gamma import REFERENCE
-from minthitch.decisions.known import BalancerState
 from minthitch.decisions.servers import Server
+from minthitch.decisions.state import BalancerState
 
 # Shares are of a cold server's budget, which is what all nodes together may send it. Credit is in calls.
 COLD_SHARE = 0.5  # share granted over time: one node's estimate of the rate of warm servers is rough
--- a/minthitch/decisions/outcomes.py
+++ b/minthitch/decisions/outcomes.py
@@ -6,12 +6,12 @@
 
 from minthitch import interface as api
 from minthitch.decisions.admission import CONGESTION_LOW, LIMIT_STEP, QUEUEING_SLOWDOWN, Admission
+from minthitch.decisions.dispatch import OVERDUE_FACTOR, Dispatch
 from minthitch.decisions.evidence import LOAD_HALF_LIFE
 from minthitch.decisions.gamma import REFERENCE
-from minthitch.decisions.known import MAX_EXTRA_ATTEMPTS
-from minthitch.decisions.placing import OVERDUE_FACTOR, Dispatch
 from minthitch.decisions.requests import Attempt, Request
 from minthitch.decisions.servers import CONNECT_BACKOFF
+from minthitch.decisions.state import MAX_EXTRA_ATTEMPTS
 
 EXTRA_PER_ANSWER = (
     0.2  # extra attempts that an answer pays for: each tier multiplies calls by about 1.2 at most
--- a/minthitch/policy.py
+++ b/minthitch/policy.py
@@ -14,10 +14,10 @@
 from minthitch.decisions.budget import RetryBudget
 from minthitch.decisions.choice import MAX_CANDIDATES, TARGET, Candidate
 from minthitch.decisions.cold import COLD_SHARE
+from minthitch.decisions.dispatch import OVERDUE_FACTOR
 from minthitch.decisions.evidence import CLASS_HALF_LIFE, Evidence
 from minthitch.decisions.gamma import REFERENCE, SHAPE_MAX, fit_curve, fit_shape, gammainc
 from minthitch.decisions.outcomes import Outcomes
-from minthitch.decisions.placing import OVERDUE_FACTOR
 from minthitch.decisions.requests import Attempt, Request
 from minthitch.decisions.servers import Server
 from minthitch.decisions.sets import cheapest_set
