--- a/minthitch/decisions/admission.py
+++ b/minthitch/decisions/admission.py
@@ -12,18 +12,14 @@
 CONGESTION_HIGH = 3.0  # and the one worth most: by then the servers' cores are busy, and more calls only wait
 LATENCY_SPREAD = 0.5  # spread of latencies around their mean, in means, that is taken for chance
 BASELINE_DOUBLES = 120 * api.SECOND  # the baseline is the lowest load seen, doubled over this: fleets change
-INITIAL_LIMIT = (
-    2.5  # calls in flight per server, over all nodes, that any server bears before answers tell more
-)
+INITIAL_LIMIT = 2.5  # calls in flight per server, over all nodes: any server bears so many
 LIMIT_STEP = 0.25  # the limit grows by this per answer while no queue builds, and shrinks by it in congestion
 CAPACITY_LOSS = 0.05  # a loss of this share of the servers' capacity at once slows growth for HALF_LIFE,
 GROWTH_AFTER_LOSS = 0.1  # to this share: queues show congestion only once servers are slow
 SMOOTHING_LIMIT = 5.0  # limit below which averages span SMOOTHING_LIMIT / limit arrivals: few vary by chance
 AIM_SHARE = 0.8  # mean latency of all classes, in aims, at which the class worth least is refused
 QUEUEING_SLOWDOWN = 1.5  # slowdown up to which no queue builds; above it the limit shrinks
-HELD_AIM_SHARE = (
-    0.25  # share of its aim that a request may wait while all servers are cold, by recent answers
-)
+HELD_AIM_SHARE = 0.25  # share of its aim that a request may wait for a cold fleet, by recent answers
 
 
 class Admission(BalancerState):
@@ -63,7 +59,7 @@
         ]
         highest = max(spec.worth / work for spec, work in zip(self.settings.classes, works, strict=True))
         limit = CONGESTION_LOW + (CONGESTION_HIGH - CONGESTION_LOW) * worth / works[event.cls] / highest
-        # With fewer calls in flight than servers the load is not this node's, and it could refuse for ever.
+        # With fewer calls in flight than servers the load is not this node's: it might refuse for ever.
         if refused := self.mean_in_flight >= part and self.random.random() >= 1.0 + limit - congestion:
             self._log(
                 now,
@@ -116,10 +112,10 @@
         return not refused
 
     def _update_capacity(self, now: int) -> float:
-        """The number of servers, cold ones by their warmth; the extra limit shrinks and grows with it.
+        """The number of servers, cold ones counted by their warmth; scales the extra limit with it.
 
-        Calls that servers bore which are now gone or cold would congest the others and keep them slow for
-        long. At the usual growth the limit would make up for the loss within a second or two.
+        With an unchanged limit the calls of servers that are now gone or cold would congest the others, which
+        then stay slow for long. At its usual growth the limit would be back within a second or two.
         """
         seen = [
             s
@@ -142,6 +138,7 @@
         return capacity
 
     def _limit_growth(self, now: int) -> float:
+        """The step by which the extra limit grows with one answer."""
         return (
             LIMIT_STEP
             * self.smoothing
--- a/minthitch/decisions/choice.py
+++ b/minthitch/decisions/choice.py
@@ -24,14 +24,16 @@
 class Choice(ColdServers):
     """The choice of servers for one call."""
 
-    def _sample_permitted(self, now: int, request: Request, pool: list[Server], out: bool) -> list[Server]:
+    def _sample_permitted(
+        self, now: int, request: Request, pool: list[Server], pending: bool
+    ) -> list[Server]:
         """Servers of `pool` that the request may be sent to next; a random sample if there are many.
 
-        `out`: an attempt is in flight. Servers tried before are then left out, else used if no other is left.
+        While an attempt is `pending`, servers tried before are left out; else they are the last resort.
         """
         spec, earlier, used = request.spec, request.may_have_run, [a.server for a in request.attempts]
         pool = [s for s in pool if s.may_take(spec)]
-        pool = [s for s in pool if s not in used] or ([] if out else pool)
+        pool = [s for s in pool if s not in used] or ([] if pending else pool)
         if earlier and spec.effect is api.Effect.KEYED:
             pool = [s for s in pool if self._same_group(spec, s, earlier.server)]
         scarce = any(now < s.connect_failed_at + self.settings.idle_close for s in self.unreachable)
--- a/minthitch/decisions/cold.py
+++ b/minthitch/decisions/cold.py
@@ -49,7 +49,7 @@
         for s, warmth in cold:
             rate = max(min(1.0, share * self.settings.cold_multiple * warmth) * each, min_rate)
             since, s.credit_at = now - s.credit_at, now
-            if s.credit > 1.0:  # decays, or nodes that earned it at different times could spend it at once
+            if s.credit > 1.0:  # decays, or all nodes could earn credit at one time and spend it at another
                 s.credit = 1.0 + (s.credit - 1.0) * math.exp2(-since / self.settings.cold_window)
             else:
                 gain = rate * since
@@ -84,9 +84,8 @@
         # The higher of the recent and the longer-term rate: congested servers answer less every second.
         recent = self.warm_recent.ends * self.warm_recent.fade(now) / LOAD_HALF_LIFE
         each = max(recent, self.warm.ends * self.warm.fade(now) / HALF_LIFE) / max(warm, 1)
-        sent = (
-            server.recent_sends.ends * server.recent_sends.fade(now) - 1.0
-        )  # any node has sent at least one
+        # One send is not counted: with many nodes each of them has sent at least one.
+        sent = server.recent_sends.ends * server.recent_sends.fade(now) - 1.0
         below = not warm or sent <= share * each * server.recent_sends.half_life
         earned = min(CREDIT_PER_ANSWER if below else REDUCED_CREDIT, multiple / 2)
         server.credit, server.prepaid = min(MAX_CREDIT, server.credit + earned), earned
--- a/minthitch/decisions/dispatch.py
+++ b/minthitch/decisions/dispatch.py
@@ -25,20 +25,20 @@
         spec, tried, earlier, allow = request.spec, request.attempts, request.may_have_run, self.settings
         attempts_left = allow.max_attempts - len(tried) if now < self._answer_by(request) else 0
         extra = int(min(self.extra_attempts, self.budget.remaining(now)))
-        out = any(a.status is None for a in tried)
+        pending = any(a.status is None for a in tried)
         races = spec.effect is not api.Effect.UNSAFE and allow.may_duplicate and allow.may_cancel
         if attempts_left <= 0 or (earlier and spec.effect is api.Effect.UNSAFE) or (tried and extra < 1):
-            return None if out else self._refuse_or_fail(request)
-        if out and (not races or self.slowdown >= QUEUEING_SLOWDOWN or self.congestion >= CONGESTION_LOW):
+            return None if pending else self._refuse_or_fail(request)
+        if pending and (not races or self.slowdown >= QUEUEING_SLOWDOWN or self.congestion >= CONGESTION_LOW):
             return None  # when queues build, a copy only lengthens them
-        max_size = 1 if out or not races else min(MAX_COPIES, attempts_left, extra + (not tried))
+        max_size = 1 if pending or not races else min(MAX_COPIES, attempts_left, extra + (not tried))
         base, load = self._base_latency(now, request.cls), self._load(now)
         pool = self._eligible(now)
         if earlier and spec.effect is api.Effect.KEYED and now >= earlier.sent_at + spec.window:
-            return None if out else self._refuse_or_fail(request)
-        pool = self._sample_permitted(now, request, pool, out)
+            return None if pending else self._refuse_or_fail(request)
+        pool = self._sample_permitted(now, request, pool, pending)
         if not pool:
-            return None if out else self._hold(now, request, timer_set)
+            return None if pending else self._hold(now, request, timer_set)
         for _price, _chance, server in self._choose(now, request, pool, max_size, base * load):
             self._send(now, request, server, base, load)
         if races:
--- a/minthitch/decisions/outcomes.py
+++ b/minthitch/decisions/outcomes.py
@@ -13,9 +13,7 @@
 from minthitch.decisions.servers import CONNECT_BACKOFF
 from minthitch.decisions.state import MAX_EXTRA_ATTEMPTS
 
-EXTRA_PER_ANSWER = (
-    0.2  # extra attempts that an answer pays for: each tier multiplies calls by about 1.2 at most
-)
+EXTRA_PER_ANSWER = 0.2  # extra attempts earned per answer: each tier multiplies calls by about 1.2 at most
 FULL_PENALTY = 12.0  # one FULL undoes the growth of this many answers: one FULL in twelve is a lot
 LIMIT_MARGIN = 1.5  # the limit may exceed the calls in flight that the answers account for by this factor
 
@@ -42,9 +40,7 @@
             self._close(request)
         elif not request.streaming and all(a.status is not None for a in request.attempts):
             self._dispatch(now, request)
-        self._dispatch_held(
-            now
-        )  # credit that this answer earned a cold server goes to the request worth most
+        self._dispatch_held(now)  # credit earned by this answer goes to the held request worth most
 
     def _adjust_limits(self, now: int, attempt: Attempt, status: api.Status) -> None:
         """Adjust the in-flight limit and the extra attempts to this outcome."""
--- a/minthitch/decisions/state.py
+++ b/minthitch/decisions/state.py
@@ -13,9 +13,7 @@
 from minthitch.decisions.servers import Server
 
 PRIOR_MEAN = 0.2  # expected latency of a class before any outcome, as a share of its aim: leaves much slack
-MAX_EXTRA_ATTEMPTS = (
-    10.0  # extra attempts saved up at most: enough for a server that dies with calls in flight
-)
+MAX_EXTRA_ATTEMPTS = 10.0  # saved up at most: enough for a server that dies with calls in flight
 LOAD_MIN_SAMPLES = 10.0  # least answers behind the common load, up to HALF_LIFE old: many nodes get few
 LOG_INTERVAL = 10 * api.SECOND  # least time between two log lines of one kind
 
@@ -34,18 +32,13 @@
         # The common load: latencies of all calls, relative to the base latency of their class.
         self.load = Evidence(LOAD_HALF_LIFE, LOAD_MIN_SAMPLES)
         self.baseline_load, self.baseline_at = math.inf, 0  # the lowest recent load; when it was updated
-        self.tenant_tokens = [(0.0, 0)] * len(
-            settings.tenants
-        )  # token bucket per tenant: tokens, last update
+        self.tenant_tokens = [(0.0, 0)] * len(settings.tenants)  # token buckets: tokens, last update
         self.total_in_flight, self.mean_in_flight = 0, 0.0  # attempts in flight; average over recent arrivals
         # Requests that wait until a server may take them, by class, in order of arrival.
         self.held: list[dict[int, Request]] = [{} for _ in settings.classes]
         self.first_warm_at: float = math.inf  # when the first listed server is warm; until then all are cold
         self.congestion = self.extra_limit = 0.0  # smoothed congestion; in-flight limit above the initial one
-        self.capacity, self.capacity_lost_at = (
-            0.0,
-            -HALF_LIFE,
-        )  # servers by warmth; when that last fell sharply
+        self.capacity, self.capacity_lost_at = 0.0, -HALF_LIFE  # servers by warmth; when it last fell sharply
         self.arrivals, self.smoothing = 0, 1.0  # requests so far; weight of the newest one in averages
         self.slowdown = 1.0  # latency over what it should be, as of the last arrival
         self.load_now, self.load_at = 1.0, -1  # the cached common load and the time it is for
--- a/minthitch/policy.py
+++ b/minthitch/policy.py
@@ -47,7 +47,7 @@
 
 
 class Balancer(Outcomes):
-    """One node's decisions. Feed it events in order, and carry out the returned actions in order."""
+    """The decisions of one node. Feed it events in order, and carry out the returned actions in order."""
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
         self.actions = []
@@ -92,8 +92,8 @@
         self.first_warm_at = min((s.warm_at(self.settings) for s in self.servers.values()), default=math.inf)
         if new and now < self.first_warm_at:
             # While all servers are cold, random credit alone could leave a node without a server for seconds.
-            # Of all nodes' first calls half go out at once and the others evenly over time, at each node and
-            # at each server.
+            # So half of all nodes' first calls are sent at once and the others evenly over time, at each node
+            # and at each server.
             ranks = self.random.sample(range(len(new)), len(new))
             for server, rank in zip(new, ranks, strict=True):
                 rate = self._min_rate(now, server.warmth(now, self.settings))
@@ -113,6 +113,7 @@
             self._dispatch(now, request)
 
     def _on_timer(self, now: int, token: int) -> None:
+        """Token 0 is the timer for a new subscription; a request's timers have `id << 1 | 1`."""
         request = self.requests.get(token >> 1)
         if token == 0:
             self.resubscribing = False
