--- a/tests/mesh/founded.py
+++ b/tests/mesh/site_test_case.py
@@ -9,7 +9,7 @@
 from rigs.simulation.mesh import Site
 
 
-class FoundedSite(unittest.TestCase):
+class SiteTestCase(unittest.TestCase):
     """Tests of control nodes in virtual time, without their log lines."""
 
     def setUp(self) -> None:
@@ -17,7 +17,7 @@
         silent.start()
         self.addCleanup(silent.stop)
 
-    def site(self, seed: int) -> Site:
+    def start_site(self, seed: int) -> Site:
         site = Site(seed)
         self.addCleanup(site.loop.close)
         for control in site.controls:
--- a/tests/mesh/test_control_configuration_calls.py
+++ b/tests/mesh/test_control_configuration_calls.py
@@ -15,7 +15,7 @@
 from minthitch.mesh.raft.actions import Timing
 from rigs.simulation.mesh import ControlNode, Site
 from rigs.simulation.size import items
-from tests.mesh.founded import FoundedSite
+from tests.mesh.site_test_case import SiteTestCase
 
 CALLER_WAITS = 1.0  # seconds of silence after which callers of `Ctl` go to another node
 Answer = tuple[float, tuple[Any, ...] | None]
@@ -25,7 +25,7 @@
     return items(range(3), version)
 
 
-class AtANode(FoundedSite):
+class AtANode(SiteTestCase):
     def ask(self, site: Site, control: ControlNode, body: bytes, answers: list[Answer]) -> None:
         asked = site.loop.now
         assert control.server is not None
@@ -56,7 +56,7 @@
                 (0.9, True),
                 (1.2, False),
             ):
-                site = self.site(seed)
+                site = self.start_site(seed)
                 follower, answers = self.follower(site), list[Answer]()
                 self.ask(site, follower, order(1), answers)
                 site.loop.run_until(4.0)
@@ -75,7 +75,7 @@
 
     def test_the_old_patience_is_found(self) -> None:
         """Planted: the callers' second isn't looked at."""
-        site = self.site(1)
+        site = self.start_site(1)
         answers: list[Answer] = []
         with mock.patch.object(configuration_calls, "RESULT_TIMEOUT_S", 3.0):
             follower = self.follower(site)
@@ -86,7 +86,7 @@
 
     def test_without_a_quorum_it_answers_at_once(self) -> None:
         for seed in range(4):
-            site = self.site(seed)
+            site = self.start_site(seed)
             leader, answers = site.leader(), list[Answer]()
             for control in site.controls:
                 if control is not leader:
@@ -99,7 +99,7 @@
     def test_a_leader_that_wakes_up_replaced_takes_nothing(self) -> None:
         """What came while it was frozen is read before it hears of the new leader."""
         for seed in range(8):
-            site = self.site(seed)
+            site = self.start_site(seed)
             leader, answers = site.leader(), list[Answer]()
             site.loop.freeze(leader.machine)
             site.loop.run_until(6.0)
@@ -133,7 +133,7 @@
 
     def test_a_late_result_is_dropped_and_the_repeat_acknowledged(self) -> None:
         """The answers' way is cut: the order is taken, its caller hears "unclear" and asks again."""
-        site = self.site(2)
+        site = self.start_site(2)
         leader, follower, answers = site.leader(), self.follower(site), list[Answer]()
         other = next(c for c in site.controls if c not in (leader, follower))
         self.disconnect(site, leader, follower, back=False)
@@ -146,7 +146,7 @@
 
     def test_a_repeat_joins_the_one_under_way(self) -> None:
         """Else each repeat of an order that takes long would lengthen the log that it waits for."""
-        site = self.site(3)
+        site = self.start_site(3)
         leader, answers = site.leader(), list[Answer]()
         assert leader.server is not None
         last = leader.server.raft.last_index
@@ -162,7 +162,7 @@
         self.assertEqual(leader.server.proposals.unapplied, {})
 
     def test_one_answer(self) -> None:
-        site = self.site(4)
+        site = self.start_site(4)
         results: list[Any] = []
         open_orders: set[PendingCall] = set()
         first = site.loop.on(site.loop.world, PendingCall, site.loop, open_orders, 0.5, results.append)
--- a/tests/mesh/test_control_shutdown.py
+++ b/tests/mesh/test_control_shutdown.py
@@ -14,7 +14,7 @@
 from minthitch.net.callers import Incoming
 from rigs.simulation.mesh import ControlNode, Site
 from rigs.simulation.size import items
-from tests.mesh.founded import FoundedSite
+from tests.mesh.site_test_case import SiteTestCase
 
 
 class StubCore:
@@ -82,7 +82,7 @@
             self.assertEqual(answers, [503], path)
 
 
-class HandsOver(FoundedSite):
+class HandsOver(SiteTestCase):
     def until_led(self, site: Site, old: ControlNode) -> float:
         """Seconds until another surely leads."""
         began = site.loop.now
@@ -97,7 +97,7 @@
     def test_sooner_than_an_election(self) -> None:
         handed, elected = list[float](), list[float]()
         for seed in range(12):
-            site = self.site(seed)
+            site = self.start_site(seed)
             leader = site.leader()
             assert leader.server is not None
             site.loop.on(leader.machine, leader.server.begin_shutdown)
@@ -105,7 +105,7 @@
             site.loop.run_until(site.loop.now + SHUTDOWN_TIMEOUT_S)
             self.assertTrue(leader.server.may_end.is_set())
             self.assertFalse(leader.leads)
-            site = self.site(seed)
+            site = self.start_site(seed)
             leader = site.leader()
             leader.stop()
             elected.append(self.until_led(site, leader))
@@ -114,7 +114,7 @@
     def test_what_was_taken_is_answered_before_it_may_end(self) -> None:
         for seed in range(12):
             for to_leader in (True, False):
-                site = self.site(seed)
+                site = self.start_site(seed)
                 leader = site.leader()
                 node = leader if to_leader else next(c for c in site.controls if not c.leads)
                 answers: list[tuple[Any, bool]] = []
@@ -135,7 +135,7 @@
                 self.assertTrue(server.may_end.is_set())
 
     def test_no_new_order_is_taken_by_the_retiring_leader(self) -> None:
-        site = self.site(1)
+        site = self.start_site(1)
         leader, answers = site.leader(), list[Any]()
         assert leader.server is not None
         last = leader.server.raft.last_index
