--- a/minthitch/mesh/raft/election.py
+++ b/minthitch/mesh/raft/election.py
@@ -1,4 +1,4 @@
-"""Elections: pre-vote, candidacy, and the answers to candidates (dissertation, 3.4 and 9.6)."""
+"""Elections: pre-vote, candidacy, and responses to candidates (dissertation, 3.4 and 9.6)."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Phase(Enum):
-    """How far a candidate is."""
+    """Stage of a candidacy."""
 
     NONE = "no candidate"
     PRE_VOTE = "asking whether an election could be won"
@@ -30,7 +30,7 @@
 
 
 class Election:
-    """What a member does that does not lead, once it does not hear from a leader."""
+    """Starts an election when no leader is heard from, and responds to candidates."""
 
     def __init__(
         self,
@@ -49,8 +49,8 @@
         self._shutdown = shutdown
         self.phase = Phase.NONE
         self._votes: set[str] = set()
-        self._vote_write_id = 0  # of the write with the vote for itself
-        self._leadership_transfer = False  # asked to campaign by the leader: voters ignore its lease
+        self._vote_write_id = 0  # of the write that contains the vote for itself
+        self._leadership_transfer = False  # campaign requested by the leader: voters ignore its lease
         self._next_request_at = 0.0
         member.step_down_listeners.append(self._reset)
 
@@ -58,9 +58,10 @@
         self.phase = Phase.NONE
 
     def hears_live_leader(self, now: float) -> bool:
-        """A leader was heard within the last election timeout: vote for no other (check-quorum).
+        """Whether a leader was heard from within the election timeout; if so, reject others (check-quorum).
 
-        The leader's lease rests on this: so many voters reject candidates until the timeout has passed.
+        The leader's lease relies on this: voters that responded to it reject candidates until the timeout
+        has passed.
         """
         timeout = self._member.timing.election_timeout
         if self._member.is_leader:
@@ -68,7 +69,7 @@
         return now - self._follower.last_contact < timeout
 
     def tick(self, now: float) -> None:
-        """Campaign once the election timeout is over; repeat requests for votes, as messages are lost."""
+        """Campaign once the election timeout expires; repeat vote requests, as messages may be lost."""
         member = self._member
         if not member.election_timer.expired(now):
             if member.role is Role.CANDIDATE and now >= self._next_request_at:
@@ -81,7 +82,7 @@
             member.election_timer.reset(now)
 
     def _may_campaign(self) -> bool:
-        # A member that can't store its vote must neither delay the others nor raise its term again and again.
+        # A member that cannot store its vote must neither delay the others nor raise its term repeatedly.
         member = self._member
         return (
             member.role is not Role.LEARNER
@@ -91,7 +92,7 @@
         )
 
     def _start_pre_vote(self, now: float) -> None:
-        """Ask whether an election could be won. The term is raised only if so."""
+        """Start a pre-vote. The term is raised only if a majority grants it."""
         member = self._member
         member.role = Role.CANDIDATE
         self.phase = Phase.PRE_VOTE
@@ -101,10 +102,10 @@
         self._count_votes(now)
 
     def _start_candidacy(self, now: float, *, leadership_transfer: bool) -> None:
-        """Vote for itself in a new term. No other member learns of it before that is durable.
+        """Vote for itself in a new term. Other members learn of it only once the vote is durable.
 
-        Otherwise a restart could forget the vote, with a shorter log, and take the votes given to the
-        longer one.
+        Otherwise the member could lose the vote and its newest entries in a restart, campaign in the same
+        term again, and count votes that were granted to its longer log.
         """
         member = self._member
         member.role = Role.CANDIDATE
@@ -120,7 +121,7 @@
         self._persistence.flush()
 
     def on_write_finished(self, now: float, write_id: int) -> None:
-        """Ask the others for votes once the vote for itself is durable."""
+        """Request votes from the others once the vote for itself is durable."""
         own_vote = HardState(self._member.term, self._member.name)
         vote_is_durable = write_id >= self._vote_write_id and self._persistence.durable == own_vote
         if self.phase is Phase.PERSISTING and vote_is_durable:
@@ -130,7 +131,7 @@
             self._count_votes(now)
 
     def _request_votes(self, now: float) -> None:
-        """Ask the voters that have not agreed yet."""
+        """Send requests to the voters that have not granted theirs yet."""
         member = self._member
         self._next_request_at = now + member.timing.heartbeat
         last_index, last_term = member.log.last_index, member.log.last_term
@@ -156,16 +157,16 @@
     # Messages -------------------------------------------------------------------------------------
 
     def on_pre_vote(self, now: float, source: str, message: PreVote) -> None:
-        """Agree where the sender could win and no leader is alive."""
+        """Grant the pre-vote if the sender could win and no leader is alive."""
         member = self._member
         source_votes = source in member.log.voters
         if member.is_leader and not source_votes:
-            # The sender was replaced while it was away: the log will show it that.
+            # The sender was replaced as a voter while it was unreachable; it learns that from the log.
             self._reconfiguration.add_learner(now, source)
             return
         leader_is_alive = self.hears_live_leader(now)
         if leader_is_alive and member.leader is not None and not source_votes:
-            # The sender's voters may not include the leader.
+            # The sender's outdated set of voters may not include the leader.
             member.send(member.leader, ForwardedJoin(source))
         granted = (
             message.term > member.term
@@ -175,7 +176,7 @@
         member.send(source, PreVoteResponse(message.term, granted, member.term))
 
     def on_pre_vote_response(self, now: float, source: str, message: PreVoteResponse) -> None:
-        """Count the answer."""
+        """Count a granted pre-vote; adopt a higher term."""
         member = self._member
         if not message.granted and message.current_term > member.term and not member.is_leader:
             member.become_follower(now, message.current_term, None)
@@ -201,7 +202,7 @@
             member.send(source, RequestVoteResponse(member.term, False))
 
     def on_request_vote_response(self, now: float, source: str, message: RequestVoteResponse) -> None:
-        """Count the vote."""
+        """Count a granted vote; adopt a higher term."""
         member = self._member
         if message.term > member.term:
             member.become_follower(now, message.term, None)
@@ -210,7 +211,7 @@
             self._count_votes(now)
 
     def on_timeout_now(self, now: float, source: str, message: TimeoutNow) -> None:
-        """Campaign at once, as the leader hands over."""
+        """Campaign at once, as the leader is transferring leadership."""
         member = self._member
         able = member.role is Role.FOLLOWER and member.disk_healthy and self._shutdown.started_at is None
         if able and message.term == member.term and source == member.leader:
--- a/minthitch/mesh/raft/follower.py
+++ b/minthitch/mesh/raft/follower.py
@@ -18,11 +18,11 @@
 from minthitch.mesh.raft.shutdown_state import ShutdownState
 from minthitch.mesh.raft.snapshot_transfer import IncomingSnapshot, SnapshotId
 
-QUORUM_CONTACT_VALID_S = 1.0  # how long a follower relies on its leader's contact with a quorum
+QUORUM_CONTACT_VALID_S = 1.0  # how long a follower relies on its leader's report of contact with a quorum
 
 
 class _LeaderMessage(NamedTuple):
-    """When the leader sent its newest message, by its clock, and that message's sequence number."""
+    """Send time, by the leader's clock, and sequence number of the leader's newest message."""
 
     sent_at: float
     sequence: int
@@ -32,42 +32,43 @@
 
 
 class Follower:
-    """Takes entries and snapshots from the leader, and acknowledges what is durable."""
+    """Stores entries and snapshots from the leader, and acknowledges what is durable."""
 
     def __init__(self, member: Member, persistence: Persistence, shutdown: ShutdownState, now: float) -> None:
         self._member = member
         self._persistence = persistence
         self._shutdown = shutdown
-        # Before its start this member may have rejected candidates as a leader was alive: go on with that.
+        # Before a restart this member may have rejected candidates because a leader was alive. The lease of
+        # that leader may still rely on this, so the start counts as contact.
         self.last_contact = now  # with a leader
         self.quorum_contact_at = float("-inf")  # with a leader that was in contact with a quorum
-        self.match_index = 0  # up to here the log equals the leader's
-        self.acknowledgement_due = False  # once the disk is done
+        self.match_index = 0  # last index known to match the leader's log
+        self.acknowledgement_due = False  # to be sent once the write is durable
         self.incoming_snapshot: IncomingSnapshot | None = None
         self._newest_message = _NO_MESSAGE
         member.step_down_listeners.append(self._reset)
-        member.commit_listeners.append(self._forget_outdated_snapshot)
+        member.commit_listeners.append(self._discard_outdated_snapshot)
 
     def reset_match(self) -> None:
-        """Nothing is known of the log of a new term's leader."""
+        """Forget how far the log matches: nothing is known about the log of a new term's leader."""
         self.match_index = 0
         self.acknowledgement_due = False
 
     def _reset(self, term_has_risen: bool) -> None:
         if term_has_risen:
             self.reset_match()
-        self._newest_message = _NO_MESSAGE  # another leader has another clock and counts for itself
+        self._newest_message = _NO_MESSAGE  # clock and sequence numbers differ between leaders
 
-    def _forget_outdated_snapshot(self, commit_index: int) -> None:
+    def _discard_outdated_snapshot(self, commit_index: int) -> None:
         if self.incoming_snapshot is not None and self.incoming_snapshot.id.last_index <= commit_index:
             self.incoming_snapshot = None
 
     def in_contact_with_quorum(self, now: float) -> bool:
-        """The leader was in contact with a quorum lately."""
+        """Whether the leader recently reported contact with a quorum."""
         return self._member.leader is not None and now - self.quorum_contact_at <= QUORUM_CONTACT_VALID_S
 
     def on_append_entries(self, now: float, source: str, message: AppendEntries) -> None:
-        """Check the log before the new entries, add them, advance the commit index, acknowledge."""
+        """Check that the preceding entry matches, store the new ones, advance the commit, acknowledge."""
         if not self._accept_leader(now, source, message):
             return
         log = self._member.log
@@ -85,7 +86,7 @@
         self.acknowledgement_due = self.acknowledgement_due or self.match_index > log.durable
 
     def _accept_leader(self, now: float, source: str, message: AppendEntries | InstallSnapshot) -> bool:
-        """Follow the sender; False where its term has passed."""
+        """Follow the sender; return False if its term is outdated."""
         member = self._member
         if message.term < member.term:
             self._reject(source, message, 0)
@@ -113,7 +114,7 @@
         self._member.send(source, AppendEntriesResponse(term, False, hint, message.sent_at, message.sequence))
 
     def _conflict_hint(self, previous: int) -> int:
-        """Where the leader should go on: after this log, or at the start of the conflicting term."""
+        """Where the leader should continue: after this log, or at the start of the conflicting term."""
         log = self._member.log
         if previous > log.last_index:
             return log.last_index + 1
@@ -124,7 +125,7 @@
         return index
 
     def _merge_entries(self, now: float, entries: tuple[Entry, ...]) -> None:
-        """Append the entries that are new. A conflicting entry is deleted with all that follow it."""
+        """Append the entries that are new. A conflicting entry and all entries after it are deleted."""
         log = self._member.log
         for entry in entries:
             if entry.index <= log.base_index or log.term_at(entry.index) == entry.term:
@@ -132,7 +133,7 @@
             if entry.index <= log.last_index:
                 if entry.index <= self._member.commit_index:
                     raise ConsensusViolationError(
-                        f"entry {entry.index} of term {entry.term} replaces a committed one"
+                        f"entry {entry.index} of term {entry.term} would replace a committed entry"
                     )
                 log.truncate(entry.index)
                 self._shutdown.limit_acknowledgement(entry.index - 1)
@@ -140,7 +141,7 @@
         self._member.update_role(now)
 
     def acknowledge(self) -> None:
-        """Tell the leader what is durable, and no more. Waits for the disk where the term is not durable."""
+        """Acknowledge only what is durable. Postponed until the write if the current term is not durable."""
         member = self._member
         durable_term = self._persistence.durable.term
         self.acknowledgement_due = durable_term != member.term or self.match_index > member.log.durable
@@ -151,15 +152,15 @@
         member.send(member.leader, response)
 
     def on_install_snapshot(self, now: float, source: str, message: InstallSnapshot) -> None:
-        """Take a chunk, and install the snapshot once it is complete."""
+        """Store a chunk, and install the snapshot once it is complete."""
         if not self._accept_leader(now, source, message):
             return
-        if message.last_included_index <= self._member.commit_index:  # nothing in it is new
+        if message.last_included_index <= self._member.commit_index:  # everything in it is known
             self.incoming_snapshot = None
             self.match_index = max(self.match_index, message.last_included_index)
             self.acknowledge()
             return
-        incoming = self._received_so_far(message)
+        incoming = self._incoming_snapshot_for(message)
         incoming.add_chunk(message.offset, message.chunk)
         if incoming.is_complete and not incoming.is_intact:
             incoming.data.clear()
@@ -171,7 +172,7 @@
         )
         self._member.send(source, response)
 
-    def _received_so_far(self, message: InstallSnapshot) -> IncomingSnapshot:
+    def _incoming_snapshot_for(self, message: InstallSnapshot) -> IncomingSnapshot:
         snapshot_id = SnapshotId(
             message.last_included_index, message.last_included_term, message.length, message.checksum
         )
--- a/minthitch/mesh/raft/leader.py
+++ b/minthitch/mesh/raft/leader.py
@@ -1,4 +1,4 @@
-"""The leader's side of AppendEntries and InstallSnapshot: replication, contact with a quorum, commit."""
+"""The leader's side of AppendEntries and InstallSnapshot: replication, quorum contact, commit."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 from minthitch.mesh.raft.progress import MAX_INFLIGHT, Progress, reached_by_majority
 from minthitch.mesh.raft.snapshot_transfer import OutgoingSnapshot
 
-CHUNK_BYTES = 64 * 1024  # of entries or of a snapshot in one message, about
-ENTRY_OVERHEAD_BYTES = 16  # of an entry on the wire beside its data
-LEASE_FRACTION = 0.9  # of the election timeout: the steady clocks of two machines may differ in rate
+CHUNK_BYTES = 64 * 1024  # approximate limit on the entries or snapshot data in one message
+ENTRY_OVERHEAD_BYTES = 16  # size of an entry on the wire besides its data
+LEASE_FRACTION = 0.9  # of the election timeout: the monotonic clocks of two machines may differ in rate
 
 
 class Leader:
-    """State that exists while this member leads; empty otherwise."""
+    """The leader role. It has peers only while this member leads."""
 
     def __init__(self, member: Member, now: float) -> None:
         self._member = member
         self.peers: dict[str, Progress] = {}
-        self.sequence = 0  # of the newest message
-        self.noop_index = 0  # of the first entry of its term
+        self.sequence = 0  # of the newest message sent
+        self.noop_index = 0  # of the first entry in its term
         self.elected_at = now
         self.max_batch_bytes = CHUNK_BYTES
-        # Called with the time and the previous commit index once the commit index has risen.
+        # Called with the time and the previous commit index after the commit index has risen.
         self.commit_listener: Callable[[float, int], None] = lambda _now, _previous: None
         self._next_heartbeat_at = now
         member.step_down_listeners.append(self._reset)
@@ -39,7 +39,7 @@
         self.peers.clear()
 
     def start(self, now: float) -> None:
-        """This member has won an election."""
+        """Take over leadership after winning an election."""
         member = self._member
         member.role = Role.LEADER
         member.leader = member.name
@@ -54,7 +54,7 @@
         self._send_heartbeats(now)
 
     def tick(self, now: float) -> None:
-        """Send heartbeats when they are due."""
+        """Send heartbeats when due."""
         if now >= self._next_heartbeat_at:
             self._send_heartbeats(now)
 
@@ -63,14 +63,14 @@
         for progress in self.peers.values():
             self.replicate(progress, now, heartbeat=True)
 
-    # Contact with a quorum ------------------------------------------------------------------------
+    # Quorum contact -------------------------------------------------------------------------------
 
     def quorum_last_response_at(self, now: float) -> float:
-        """Since when a majority has answered, by the arrival of its answers."""
+        """Latest time such that responses of a majority have arrived at that time or later."""
         return self._reached_by_quorum(now, lambda progress: progress.last_response_at)
 
     def quorum_acknowledged_sent_at(self, now: float) -> float:
-        """When the newest message was sent that a majority has answered, each voter at least that one."""
+        """Latest time such that a majority has answered a message sent at that time or later."""
         return self._reached_by_quorum(now, lambda progress: progress.acknowledged_sent_at)
 
     def _reached_by_quorum(self, now: float, value: Callable[[Progress], float]) -> float:
@@ -80,11 +80,11 @@
         )
 
     def in_contact_with_quorum(self, now: float) -> bool:
-        """A majority has answered a message of the last election timeout."""
+        """Whether a majority has answered a message sent within the last election timeout."""
         return now - self.quorum_acknowledged_sent_at(now) <= self._member.timing.election_timeout
 
     def has_lease(self, now: float) -> bool:
-        """No other member can have been elected yet, and all that was ever committed is known here."""
+        """Whether no other member can have been elected yet and every committed entry is known here."""
         lease_s = self._member.timing.election_timeout * LEASE_FRACTION
         return (
             self._member.commit_index >= self.noop_index
@@ -92,7 +92,7 @@
         )
 
     def has_lost_quorum(self, now: float) -> bool:
-        """No majority answers. Answers to old messages, read after a freeze of this process, do not count."""
+        """Whether no majority responds. Responses to old messages, read after a freeze, do not count."""
         timeout = self._member.timing.election_timeout
         if now - self.quorum_last_response_at(now) > timeout:
             return True
@@ -101,12 +101,12 @@
     # Replication ----------------------------------------------------------------------------------
 
     def replicate_to_all(self, now: float) -> None:
-        """Send each peer what it lacks."""
+        """Send each peer the entries that it lacks."""
         for progress in self.peers.values():
             self.replicate(progress, now, heartbeat=False)
 
     def replicate(self, progress: Progress, now: float, *, heartbeat: bool) -> None:
-        """Send what the peer lacks and may have in flight; with `heartbeat` at least one message."""
+        """Send what the peer lacks, up to the in-flight limit; with `heartbeat`, at least one message."""
         if progress.outgoing_snapshot is None and progress.next_index <= self._member.log.base_index:
             progress.outgoing_snapshot = OutgoingSnapshot(self._member.log.snapshot)
             progress.caught_up = False
@@ -122,7 +122,7 @@
             self._send_entries(progress, now, ())
 
     def _next_batch(self, index: int) -> tuple[Entry, ...]:
-        """Entries from `index` on, as many as fit into one message, at least one."""
+        """As many entries from `index` on as fit into one message, but at least one."""
         log = self._member.log
         size = 0
         batch: list[Entry] = []
@@ -155,7 +155,7 @@
             progress.inflight.append(progress.next_index - 1)
 
     def _send_snapshot(self, progress: Progress, outgoing: OutgoingSnapshot, now: float) -> None:
-        """Send the next chunk, or none, so that a member on a slow link still hears from its leader."""
+        """Send the next chunk, or an empty one, so that a member on a slow link hears from the leader."""
         self.sequence += 1
         chunk = outgoing.next_chunk(self.max_batch_bytes, self.sequence)
         message = InstallSnapshot(
@@ -173,11 +173,11 @@
         )
         self._member.send(progress.name, message)
 
-    # Answers --------------------------------------------------------------------------------------
+    # Responses ------------------------------------------------------------------------------------
 
     def on_append_response(self, now: float, source: str, message: AppendEntriesResponse) -> None:
-        """Count what the peer has stored, and send it what it lacks."""
-        progress = self._answering_peer(now, source, message.term, message.sent_at)
+        """Record what the peer has stored, commit what a majority has, and send the peer what it lacks."""
+        progress = self._record_response(now, source, message.term, message.sent_at)
         if progress is None:
             return
         if message.success:
@@ -189,8 +189,8 @@
             self.replicate(progress, now, heartbeat=False)
 
     def on_snapshot_response(self, now: float, source: str, message: InstallSnapshotResponse) -> None:
-        """Send the next chunk."""
-        progress = self._answering_peer(now, source, message.term, message.sent_at)
+        """Record how much the peer has received, and send the next chunk."""
+        progress = self._record_response(now, source, message.term, message.sent_at)
         outgoing = progress.outgoing_snapshot if progress is not None else None
         if progress is None or outgoing is None or outgoing.id.last_index != message.last_included_index:
             return
@@ -198,8 +198,8 @@
         if outgoing.chunk_due:
             self.replicate(progress, now, heartbeat=False)
 
-    def _answering_peer(self, now: float, source: str, term: int, sent_at: float) -> Progress | None:
-        """The peer that has answered a message of this term. A higher term is adopted."""
+    def _record_response(self, now: float, source: str, term: int, sent_at: float) -> Progress | None:
+        """Record a response and return its peer; None if it is not for this term. Adopts a higher term."""
         member = self._member
         if term > member.term:
             member.become_follower(now, term, None)
@@ -210,7 +210,7 @@
         return progress
 
     def update_commit_index(self, now: float) -> None:
-        """Commit what a majority has stored. This member counts only with what its own disk has stored."""
+        """Commit what a majority has stored. This member counts only what its own disk has stored."""
         member = self._member
         stored = [
             member.log.durable if name == member.name else self.peers[name].match_index
--- a/minthitch/mesh/raft/leadership_transfer.py
+++ b/minthitch/mesh/raft/leadership_transfer.py
@@ -1,6 +1,6 @@
-"""Leadership transfer (dissertation, 3.10): the leader has another voter elected.
+"""Leadership transfer (dissertation, 3.10): the leader tells another voter to start an election.
 
-It is used where the leader's disk does not work, and where its process is to end.
+It is used when the leader's disk fails and when its process shuts down.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 from minthitch.mesh.raft.progress import Progress
 from minthitch.mesh.raft.shutdown_state import SHUTDOWN_TIMEOUT_S, ShutdownState
 
-SHUTDOWN_CATCH_UP_S = 0.4  # how long a leader that ends waits for a successor that has every entry
-DISK_FAULT_CATCH_UP_HEARTBEATS = 2  # how long a leader with an unhealthy disk waits for one
+SHUTDOWN_CATCH_UP_S = 0.4  # how long a stopping leader waits for a successor that has every entry
+DISK_FAULT_CATCH_UP_HEARTBEATS = 2  # the same for a leader with an unhealthy disk
 
 
 class LeadershipTransfer:
-    """While a transfer is under way, the leader takes no proposals."""
+    """State of a leadership transfer. While one is in progress, the leader rejects proposals."""
 
     def __init__(self, member: Member, leader: Leader, shutdown: ShutdownState) -> None:
         self._member = member
@@ -31,23 +31,23 @@
         self.successor_notified = False
 
     def start(self, now: float) -> None:
-        """Begin to hand over."""
+        """Start a transfer."""
         self.started_at = now
         self.continue_transfer(now)
 
     def continue_transfer(self, now: float) -> bool:
-        """Tell the best voter to start an election. True once the transfer has taken too long."""
+        """Tell the best voter to start an election. Return True once the transfer has timed out."""
         if self.started_at is None:
             return False
-        catch_up, timeout = self._bounds()
+        catch_up, timeout = self._timeouts()
         successor = self._best_successor(now)
         if successor is not None and self._may_take_over(successor, now - self.started_at, catch_up):
             self.successor_notified = True
             self._member.send(successor.name, TimeoutNow(self._member.term))
         return now - self.started_at > timeout
 
-    def _bounds(self) -> tuple[float, float]:
-        """Seconds to wait for a successor with every entry, and for the whole transfer."""
+    def _timeouts(self) -> tuple[float, float]:
+        """Timeouts in seconds: for a successor with every entry, and for the whole transfer."""
         timing = self._member.timing
         if self._shutdown.started_at is not None and self._member.disk_healthy:
             return SHUTDOWN_CATCH_UP_S, SHUTDOWN_TIMEOUT_S
@@ -57,7 +57,7 @@
         return successor.match_index == self._member.log.last_index or elapsed >= catch_up
 
     def _best_successor(self, now: float) -> Progress | None:
-        """The responsive voter with the most entries, one that does not end itself where there is one."""
+        """The responsive voter with the most entries, if possible one that is not shutting down itself."""
         timeout = self._member.timing.election_timeout
         voters = self._member.log.voters
         responsive = [
@@ -71,7 +71,7 @@
         )
 
     def on_disk_health(self, now: float, healthy: bool) -> None:
-        """A leader whose disk fails hands over, and a candidate gives up."""
+        """When the disk fails, transfer leadership as leader, or give up as candidate."""
         member = self._member
         member.disk_healthy = healthy
         if member.is_leader:
--- a/minthitch/mesh/raft/member.py
+++ b/minthitch/mesh/raft/member.py
@@ -1,4 +1,4 @@
-"""The state of one member that all parts of the algorithm share."""
+"""The state of one member, shared by all parts of the algorithm."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Role(StrEnum):
-    """What a member does. A learner receives the log and does not vote."""
+    """A member's role. A learner receives the log but does not vote."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
@@ -21,7 +21,7 @@
 
 
 class Member:
-    """Term, vote, role, log and commit index of one member, and the actions that it has asked for."""
+    """Term, vote, role, log and commit index of one member, and its pending actions."""
 
     def __init__(
         self,
@@ -34,23 +34,23 @@
         self.name = name
         self.timing = timing
         self.role = Role.FOLLOWER
-        self.leader: str | None = None  # as far as known
+        self.leader: str | None = None  # None: unknown
         self.term = persisted.term if persisted else 0
-        self.voted_for = persisted.voted_for if persisted else ""  # in this term; empty: nobody
+        self.voted_for = persisted.voted_for if persisted else ""  # in this term; empty: none
         self.log = _initial_log(persisted, founders)
         self.commit_index = self.last_applied = self.log.snapshot.index
         self.disk_healthy = True
         self.actions: list[Action] = []
         self.election_timer = ElectionTimer(seed, timing.election_timeout)
-        # Called when the member becomes a follower, with whether its term has risen: each part of the
-        # algorithm drops the state of the role that has ended.
+        # Called when the member becomes a follower or learner, with whether its term has risen: each part
+        # of the algorithm resets the state of the previous role.
         self.step_down_listeners: list[Callable[[bool], None]] = []
         # Called when the commit index has risen, before the entries are applied.
         self.commit_listeners: list[Callable[[int], None]] = []
 
     @property
     def is_leader(self) -> bool:
-        """Whether this member leads its term."""
+        """Whether this member is the leader of its term."""
         return self.role is Role.LEADER
 
     @property
@@ -59,17 +59,17 @@
         return self.name in self.log.voters
 
     def send(self, to: str, message: Message) -> None:
-        """Ask the caller to send a message."""
+        """Request that the caller send a message."""
         self.actions.append(Send(to, message))
 
     def append(self, kind: int, data: bytes) -> Entry:
-        """Append an entry of this leader's term."""
+        """Append an entry in this leader's term."""
         entry = Entry(self.log.last_index + 1, self.term, kind, data)
         self.log.append(entry)
         return entry
 
     def advance_commit_index(self, commit_index: int) -> None:
-        """Raise the commit index and apply what it covers now."""
+        """Raise the commit index and apply the entries up to it."""
         self.commit_index = commit_index
         for listener in self.commit_listeners:
             listener(commit_index)
@@ -78,7 +78,7 @@
             self.actions.append(Apply(self.log.entry_at(self.last_applied)))
 
     def become_follower(self, now: float, term: int, leader: str | None) -> None:
-        """Follow `leader` (None: not known yet) in `term`."""
+        """Become a follower of `leader` (None: not known yet) in `term`."""
         term_has_risen = term > self.term
         if term_has_risen:
             self.term = term
@@ -92,9 +92,9 @@
         self.update_role(now)
 
     def update_role(self, now: float) -> None:
-        """Take the role that the newest voters give to this member.
+        """Become a voter or a learner according to the newest set of voters.
 
-        A leader stays one until it is replaced.
+        A leader keeps its role until it steps down.
         """
         if self.role in (Role.FOLLOWER, Role.LEARNER):
             role = Role.FOLLOWER if self.is_voter else Role.LEARNER
@@ -107,13 +107,13 @@
                 listener(False)
 
     def is_up_to_date(self, last_log_index: int, last_log_term: int) -> bool:
-        """Whether a log that ends so has every entry that this one has (dissertation, 3.6.1)."""
+        """Whether a log with this end is at least as up to date as this member's (dissertation, 3.6.1)."""
         return (last_log_term, last_log_index) >= (self.log.last_term, self.log.last_index)
 
 
 def _initial_log(persisted: PersistedState | None, founders: tuple[str, ...]) -> Log:
     if persisted is not None:
         return Log(persisted.snapshot, list(persisted.entries), on_disk=True)
-    # All founders begin with the same entry: it is committed from the start, and learners receive it too.
+    # All founders start with the same entry: it is committed from the start, and learners receive it too.
     first = [Entry(1, 0, MEMBERS, pack_members(tuple(sorted(founders))))] if founders else []
     return Log(EMPTY_SNAPSHOT, first, on_disk=False)
--- a/minthitch/mesh/raft/node.py
+++ b/minthitch/mesh/raft/node.py
@@ -38,12 +38,12 @@
 class RaftNode:
     """A member of the group, with pre-vote, check-quorum, leader lease, learners and leadership transfer.
 
-    It does no I/O and reads no clock. Time comes in as seconds of a steady clock, randomness as a seed.
-    Each method that takes an event returns the actions to carry out, in their order. What a message
-    promises (a vote, an entry that is stored) is durable before the message is sent.
+    It does no I/O and reads no clock. Time is passed in as seconds of a monotonic clock, randomness as a
+    seed. Each method that handles an event returns the actions to carry out, in order. What a message
+    asserts (a vote, a stored entry) is durable before the message is sent.
     """
 
-    # The parts of the algorithm. Tests replace them to plant faults.
+    # Classes of the parts of the algorithm. Tests replace them to inject faults.
     follower_type: ClassVar[type[Follower]] = Follower
     leader_type: ClassVar[type[Leader]] = Leader
     election_type: ClassVar[type[Election]] = Election
@@ -65,12 +65,12 @@
 
         Args:
             name: `address#incarnation`; a machine that lost its disk takes a new incarnation.
-            persisted: what its disk has; None at the first start.
-            founders: names of the first voters at the first start of a group; else empty.
-            timing: seconds between heartbeats, and of the election timeout.
-            seed: for the election timeouts.
-            now: seconds of the steady clock.
-            policy: size of the group and when a voter is replaced.
+            persisted: the state read from its disk; None at the first start.
+            founders: names of the initial voters at the first start of a group; otherwise empty.
+            timing: heartbeat interval and election timeout.
+            seed: random seed of the election timeouts.
+            now: seconds of the monotonic clock.
+            policy: group size, and when a voter is replaced.
         """
         self._member = Member(name, persisted, founders, timing, seed)
         self._shutdown_state = ShutdownState()
@@ -122,22 +122,22 @@
 
     @property
     def timing(self) -> Timing:
-        """Seconds between heartbeats, and of the election timeout."""
+        """Heartbeat interval and election timeout."""
         return self._member.timing
 
     @property
     def role(self) -> Role:
-        """What this member does now."""
+        """This member's current role."""
         return self._member.role
 
     @property
     def is_leader(self) -> bool:
-        """Whether this member leads its term. Another may lead a later one: see `has_lease`."""
+        """Whether this member is the leader of its term. A later term may have another: see `has_lease`."""
         return self._member.is_leader
 
     @property
     def leader(self) -> str | None:
-        """The leader's name, as far as known."""
+        """The leader's name; None: unknown."""
         return self._member.leader
 
     @property
@@ -147,12 +147,12 @@
 
     @property
     def voted_for(self) -> str:
-        """For whom this member voted in its term; empty: nobody."""
+        """The member that got this member's vote in the current term; empty: none."""
         return self._member.voted_for
 
     @property
     def log(self) -> Log:
-        """The log."""
+        """The replicated log."""
         return self._member.log
 
     @property
@@ -167,48 +167,48 @@
 
     @property
     def commit_index(self) -> int:
-        """Entries up to this index are committed, as far as known."""
+        """Last index known to be committed."""
         return self._member.commit_index
 
     @property
     def last_applied(self) -> int:
-        """Entries up to this index were given out as `Apply` or in `Restore`."""
+        """Last index passed to the caller by `Apply` or `Restore`."""
         return self._member.last_applied
 
     @property
     def disk_healthy(self) -> bool:
-        """As the caller reported last."""
+        """Whether the disk works, as last reported by the caller."""
         return self._member.disk_healthy
 
     @property
     def locations(self) -> dict[str, Location]:
-        """Zones and regions by address; the caller adds them as it learns them."""
+        """Zone and region of each address; the caller adds them as it learns them."""
         return self.reconfiguration.locations
 
     @property
     def has_committed_in_term(self) -> bool:
-        """As leader: an entry of its own term is committed, so it knows everything that ever was."""
+        """Whether this member leads and has committed in its term, so that it knows all committed entries."""
         return self.is_leader and self.commit_index >= self.leader_state.noop_index
 
     @property
     def is_shutting_down(self) -> bool:
-        """`begin_shutdown` was called."""
+        """Whether `begin_shutdown` was called."""
         return self._shutdown_state.started_at is not None
 
     def in_contact_with_quorum(self, now: float) -> bool:
-        """Whether this member leads a majority that answers, or has lately heard from such a leader."""
+        """Whether this member leads a responsive majority, or has recently heard from such a leader."""
         if self.is_leader:
             return self.leader_state.in_contact_with_quorum(now)
         return self.follower.in_contact_with_quorum(now)
 
     def has_lease(self, now: float) -> bool:
-        """Whether this member is surely the only leader and may answer reads alone (dissertation, 6.4.1)."""
+        """Whether this member is surely the only leader and may serve reads alone (dissertation, 6.4.1)."""
         return self.is_leader and not self.transfer.successor_notified and self.leader_state.has_lease(now)
 
     # Events ---------------------------------------------------------------------------------------
 
     def tick(self, now: float) -> list[Action]:
-        """Time has passed. Call it about every 20 ms."""
+        """Handle timeouts. Call it about every 20 ms."""
         if self.is_leader:
             self._tick_leader(now)
         else:
@@ -224,7 +224,7 @@
         self.reconfiguration.tick(now)
 
     def receive(self, now: float, source: str, message: Message) -> list[Action]:
-        """A message from `source` has come."""
+        """Handle a message from `source`."""
         handler = self._handlers.get(type(message))
         if handler is not None and source != self.name:
             handler(now, source, message)
@@ -233,11 +233,11 @@
     def propose(self, now: float, data: bytes) -> tuple[int, int] | None:
         """Append a command as leader.
 
-        Its actions are given by the next `drain`.
+        The next `drain` returns its actions.
 
         Returns:
             Index and term of its entry, which is committed only if an entry of that term is applied at that
-            index. None where this member does not lead or hands leadership over.
+            index. None if this member does not lead or is transferring leadership.
         """
         if not self.is_leader or self.transfer.started_at is not None:
             return None
@@ -247,13 +247,13 @@
         return entry.index, entry.term
 
     def drain(self) -> list[Action]:
-        """The actions that were asked for since they were last given out."""
+        """Return the pending actions and clear them."""
         actions = self._member.actions
         self._member.actions = []
         return actions
 
     def persisted(self, now: float, write_id: int) -> list[Action]:
-        """The write of that id is durable."""
+        """Handle completion of a write: its content is durable."""
         if self.persistence.write_finished(write_id):
             self.election.on_write_finished(now, write_id)
             if self.is_leader:
@@ -263,21 +263,21 @@
         return self._finish()
 
     def set_disk_health(self, now: float, healthy: bool) -> list[Action]:
-        """The disk hangs or refuses writes, or works again."""
+        """Handle a change of disk health: the disk hangs or refuses writes, or works again."""
         self.transfer.on_disk_health(now, healthy)
         return self._finish()
 
     def begin_shutdown(self, now: float) -> list[Action]:
-        """This process is to end. Go on with the other events until `may_end`."""
+        """Start a graceful shutdown. Keep passing in events until `may_end` returns True."""
         self._shutdown.begin(now)
         return self._finish()
 
     def may_end(self, now: float) -> bool:
-        """Whether the process may end after `begin_shutdown` without losing what only this member has."""
+        """Whether the process may exit after `begin_shutdown` without losing data only this member has."""
         return self._shutdown.may_end(now)
 
     def compact(self, index: int, data: bytes) -> list[Action]:
-        """A snapshot of the state machine as of the applied `index`: drop the log up to it."""
+        """Replace the log up to the applied `index` with a snapshot of the state machine."""
         log = self._member.log
         if log.snapshot.index < index <= self.last_applied:
             log.compact(Snapshot(index, log.term_at(index), log.voters_at(index), data))
@@ -285,7 +285,7 @@
         return self.drain()
 
     def add_learner(self, now: float, name: str) -> list[Action]:
-        """`name` asks to join: as leader, replicate to it, and make it a voter once one is wanted."""
+        """`name` requests to join: as leader, replicate to it, and make it a voter once one is needed."""
         self.reconfiguration.add_learner(now, name)
         return self._finish()
 
--- a/minthitch/mesh/raft/shutdown.py
+++ b/minthitch/mesh/raft/shutdown.py
@@ -1,4 +1,4 @@
-"""Ending a member's process without losing data that only this member has."""
+"""Stopping a member's process without losing data that only this member has."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class GracefulShutdown:
-    """Hands leadership over, acknowledges nothing new, and waits until the other members have everything."""
+    """Transfers leadership, acknowledges no new entries, and waits until the others have everything."""
 
     def __init__(
         self, member: Member, leader: Leader, transfer: LeadershipTransfer, state: ShutdownState, now: float
@@ -23,9 +23,9 @@
         self._next_notice_at = now
 
     def begin(self, now: float) -> None:
-        """Do not lead or campaign any more, and acknowledge no entry beyond those that this member has.
+        """Stop leading and campaigning, and acknowledge no entries beyond those that this member has.
 
-        A leader takes no proposals, lets the best voter catch up, and tells it to start an election.
+        A leader rejects proposals, lets the best voter catch up, and tells it to start an election.
         """
         if self._state.started_at is not None:
             return
@@ -39,10 +39,10 @@
             self._send_notice(now)
 
     def may_end(self, now: float) -> bool:
-        """Whether the process may end: it does not lead, and others have what it acknowledged.
+        """Whether the process may exit: it does not lead, and other members have what it acknowledged.
 
-        That is so once an entry beyond those that it acknowledges is committed. Without the others this is
-        never reached, so SHUTDOWN_TIMEOUT_S bounds the wait.
+        That holds once an entry after those that it acknowledges is committed. It never happens while the
+        other members are down, so SHUTDOWN_TIMEOUT_S bounds the wait.
         """
         member, started_at = self._member, self._state.started_at
         if started_at is None:
@@ -54,7 +54,7 @@
         return not member.is_leader and member.commit_index > self._state.max_acknowledged
 
     def tick_follower(self, now: float) -> None:
-        """Repeat the notice with each heartbeat, as messages are lost and leaders change."""
+        """Repeat the notice at every heartbeat interval, as messages may be lost and leaders may change."""
         if self._state.started_at is not None and now >= self._next_notice_at:
             self._send_notice(now)
 
@@ -65,7 +65,7 @@
             member.send(member.leader, ShutdownNotice(member.term, self._state.max_acknowledged))
 
     def on_notice(self, now: float, source: str, message: ShutdownNotice) -> None:
-        """As leader: commit an entry that the sender does not acknowledge, so that it may end."""
+        """As leader: commit an entry that the sender does not acknowledge, so that it may exit."""
         member = self._member
         progress = self._leader.peers.get(source)
         if not member.is_leader or message.term != member.term or progress is None:
