--- a/minthitch/mesh/raft/actions.py
+++ b/minthitch/mesh/raft/actions.py
@@ -1,4 +1,4 @@
-"""What the core is given at its start, and what it asks its caller to do."""
+"""What the core receives at startup, and the actions that it asks its caller to carry out."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 
 
 class Timing(Struct, frozen=True):
-    """Seconds. Each election timeout is drawn from [election_timeout, 2 * election_timeout]."""
+    """Times in seconds. Each election timeout is drawn from [election_timeout, 2 * election_timeout]."""
 
     heartbeat: float = 0.1
     election_timeout: float = 0.6
 
 
 class PersistedState(Struct, frozen=True):
-    """What a member finds on its disk at its start."""
+    """The durable state that a member reads from its disk at startup."""
 
     term: int
     voted_for: str
     snapshot: Snapshot
-    entries: tuple[Entry, ...]  # those after the snapshot
+    entries: tuple[Entry, ...]  # after the snapshot
 
 
 class Send(Struct, frozen=True):
-    """Send a message to a member. It may be lost."""
+    """Send a message to a member. Delivery is not guaranteed."""
 
     to: str
     message: Message
 
 
 class Persist(Struct, frozen=True):
-    """Write all of this to the disk or nothing, in this order: truncate, append, replace by the snapshot.
+    """Write all of this atomically, in order: truncate the log, append entries, replace by the snapshot.
 
     The caller reports `RaftNode.persisted(write_id)` once the write is durable.
     """
@@ -40,7 +40,7 @@
     write_id: int
     term: int
     voted_for: str
-    truncate_from: int  # entries from this index on are deleted first; 0: none
+    truncate_from: int  # delete the entries from this index on first; 0: none
     entries: tuple[Entry, ...]
     snapshot: Snapshot | None
 
@@ -52,7 +52,7 @@
 
 
 class Restore(Struct, frozen=True):
-    """Replace the state machine by that of a snapshot, as of `index`."""
+    """Replace the state machine's state with a snapshot taken at `index`."""
 
     index: int
     data: bytes
--- a/minthitch/mesh/raft/errors.py
+++ b/minthitch/mesh/raft/errors.py
@@ -4,11 +4,11 @@
 
 
 class ConsensusViolationError(Exception):
-    """A safety property of Raft does not hold, e.g. a committed entry would be replaced.
+    """A safety property of Raft is violated, e.g. a committed entry would be overwritten.
 
-    Continuing could spread the damage, so the process has to stop.
+    The process must stop, as continuing could spread the inconsistency.
     """
 
 
 class MalformedMessageError(ValueError):
-    """A message of a known type does not have the fields of that type."""
+    """The fields of a message do not match its tag."""
--- a/minthitch/mesh/raft/membership.py
+++ b/minthitch/mesh/raft/membership.py
@@ -1,34 +1,34 @@
-"""Which change of the voters is due: pure functions of what a leader sees.
+"""Pure functions that choose the next voter change from a leader's view of the group.
 
-One change adds or removes one voter, and the next begins once it is committed (dissertation, 4.1): any
-majority before and any majority after a change then have a member in common.
+Each change adds or removes one voter, and the next begins only once it is committed (dissertation, 4.1).
+Any majority before and any majority after a change then have a member in common.
 
-A successor is added *before* the unresponsive voter is removed. That a voter has not answered for a second
-or two proves little: its process may be restarting, or frozen, and will be back with its disk. So each step
-has to tolerate the permanent loss of any k of 2k + 1 voters, of the unresponsive one or of another:
+A replacement is added *before* the unresponsive voter is removed. A voter that has not responded for a
+second or two may only be restarting or frozen, and will return with its disk. So each step has to tolerate
+the permanent loss of any k of 2k + 1 voters, whether the unresponsive one or another:
 
     voters          quorum   permanent losses tolerated
     {A, B, C}       2        any one
     {A, B, C, D}    3        any one, D too
     {A, B, D}       2        any one
 
-Removal first would pass through {A, B}, which tolerates the loss of neither: if C is only restarting, one
-disk lost at that moment stops the group for ever, although C and the other have everything. Five voters
-tolerate any two in the same way, by {A, B, C, D, E, F}, with two replaced one after the other. The price:
-with C failed and D just added, A, B and D are all needed, where A and B were enough before. That lasts for
-one commit, and begins with a D that is caught up and answers; to lose D as well is a second loss, which is
-more than three voters can tolerate.
+Removing first would pass through {A, B}, which tolerates the loss of neither: if C is only restarting, a
+disk lost at that moment stops the group for good, although C and the remaining voter have all the data.
+Five voters tolerate any two losses in the same way, through {A, B, C, D, E, F}, replacing two voters one
+after the other. The cost: with C failed and D just added, A, B and D are all needed for a quorum, where A
+and B were enough before. This lasts for one commit, and starts only when D is caught up and responsive;
+losing D as well is a second loss, more than three voters can tolerate.
 
-A machine that lost its disk comes back under a new name. Its old name is removed first, as that one surely
-never answers again; both changes at once would not be safe: see `Reconfiguration`.
+A machine that lost its disk returns under a new name. Its old name is removed first, as it will certainly
+never respond again. Both changes at once would not be safe: see `Reconfiguration.change_voters`.
 
-Growth beyond the founders adds any learner that asks: an even group tolerates as many permanent losses as
-the odd one before. An even group with an unresponsive voter and without a learner goes on without that
-voter, as the odd group tolerates as many losses and needs one voter less for a quorum.
+Growth beyond the founders adds any learner that requests to join: an even group tolerates as many permanent
+losses as the odd group before it. An even group with an unresponsive voter and without a learner removes
+that voter, as the odd group tolerates as many losses and needs one voter less for a quorum.
 
-Where there is one voter more than the target, an unresponsive one is removed; if all answer again, the one
-whose location helps least, or that lags most. A swap for the sake of placement takes the same two steps,
-and begins only while all voters answer.
+If there is one voter more than the target, an unresponsive one is removed; if all respond again, the one
+whose location helps least, or else the one that lags most. A swap that improves placement takes the same
+two steps, and begins only while all voters respond.
 """
 
 from __future__ import annotations
@@ -47,42 +47,42 @@
 
 
 class VoterView(NamedTuple):
-    """What a leader sees of the voters.
+    """A leader's view of the voters.
 
-    A voter may be neither `responsive` nor `unresponsive`: it is late, and not late enough to count as
-    failed.
+    A voter may be neither `responsive` nor `unresponsive`: its response is late, but not late enough for it
+    to count as failed.
     """
 
     leader: str
-    voters: Voters  # those that lag most first
-    responsive: frozenset[str]  # voters that answered lately, the leader among them
-    unresponsive: Voters  # voters that count as failed, the longest first
+    voters: Voters  # ordered by replication progress, furthest behind first
+    responsive: frozenset[str]  # voters that responded recently, including the leader
+    unresponsive: Voters  # voters that count as failed, longest silent first
     target_size: int
     tolerated: Tolerated
-    locations: Mapping[str, Location]  # by address, as far as known
+    locations: Mapping[str, Location]  # by address; unknown ones are missing
 
     def without(self, name: str) -> Voters:
-        """The voters but for one."""
+        """The voters except one."""
         return tuple(sorted(voter for voter in self.voters if voter != name))
 
     def with_added(self, name: str) -> Voters:
-        """The voters and one more."""
+        """The voters plus one."""
         return tuple(sorted((*self.voters, name)))
 
     @property
     def all_responsive(self) -> bool:
-        """All voters have answered lately."""
+        """Whether all voters have responded recently."""
         return self.responsive >= set(self.voters)
 
 
 def can_commit(view: VoterView, voters: Voters, learner: str = "") -> bool:
-    """Those of `voters` that answer now can commit the change; `learner` counts where it is among them."""
+    """Whether the responsive members of `voters` can commit the change. `learner` counts as responsive."""
     answering = sum(name in view.responsive or name == learner for name in voters)
     return 2 * answering > len(voters)
 
 
 def voters_adding(view: VoterView, learner: str) -> Voters | None:
-    """The voters after the next step toward adding a learner that is caught up; None: not now."""
+    """The voters after the next step towards adding a learner that is caught up; None: no step now."""
     voters = _next_voters(view, learner)
     return voters if voters is not None and can_commit(view, voters, learner) else None
 
@@ -103,7 +103,7 @@
 
 
 def voters_without_surplus(view: VoterView) -> Voters | None:
-    """The voters without the one that an added successor made superfluous; None where there is none."""
+    """The voters without the one that an added replacement made superfluous; None if there is none."""
     if len(view.voters) <= view.target_size:
         return None
     if view.unresponsive:
@@ -117,9 +117,9 @@
 
 
 def voters_without_unresponsive(view: VoterView) -> Voters | None:
-    """An even group without an unresponsive voter, where there is no learner.
+    """The voters of an even group without an unresponsive one, for use when there is no learner.
 
-    It tolerates as many losses and needs one voter less for a quorum.
+    The smaller group tolerates as many losses and needs one voter less for a quorum.
     """
     if not view.unresponsive or len(view.voters) % 2:
         return None
@@ -128,9 +128,9 @@
 
 
 def learner_preference(view: VoterView, learner: str) -> tuple[int, int]:
-    """Sort key of learners, the lowest first.
+    """Sort key of learners; the lowest is preferred.
 
-    Equal for all where no loss of a zone or region is tolerated.
+    Equal for all if no loss of a zone or region has to be tolerated.
     """
     remaining = view.without(view.unresponsive[0]) if view.unresponsive else view.voters
     return shortfall((*remaining, learner), view.locations, view.tolerated)
--- a/minthitch/mesh/raft/messages.py
+++ b/minthitch/mesh/raft/messages.py
@@ -1,11 +1,11 @@
-"""Messages between members, and their wire form.
+"""Messages between members, and their wire format.
 
-On the wire a message is a msgpack array: a tag, then the fields in the order of the class. Tags and the
-order of fields are fixed, as members of two versions talk to each other during a rolling upgrade.
+A message is sent as a msgpack array: a tag, followed by the fields in class order. Tags and field order
+must not change, because members of two versions communicate during a rolling upgrade.
 
-`sent_at` is the leader's steady clock in seconds. A follower returns the newest one, which proves to the
-leader that the follower accepted it as leader at that time or later (dissertation, 6.4.1). `sequence`
-numbers a leader's messages.
+`sent_at` is the leader's monotonic clock in seconds. A follower echoes the newest value that it received,
+which proves to the leader that the follower accepted it as leader at that time or later (dissertation,
+6.4.1). `sequence` numbers the messages of one leader.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class PreVote(Struct, frozen=True, gc=False):
-    """Asks whether an election in `term` could be won, without starting one (dissertation, 9.6)."""
+    """Asks whether the sender could win an election in `term`, without starting one (dissertation, 9.6)."""
 
     term: int
     last_log_index: int
@@ -29,7 +29,7 @@
 
 
 class PreVoteResponse(Struct, frozen=True, gc=False):
-    """Answers `PreVote` for `term`; `current_term` is that of the sender."""
+    """Answers `PreVote` for `term`. `current_term` is the responder's own term."""
 
     term: int
     granted: bool
@@ -37,7 +37,7 @@
 
 
 class RequestVote(Struct, frozen=True, gc=False):
-    """Asks for a vote. With `leadership_transfer` a voter need not wait for its leader's lease to expire."""
+    """Requests a vote. With `leadership_transfer` a voter need not wait until its leader's lease expires."""
 
     term: int
     last_log_index: int
@@ -46,16 +46,16 @@
 
 
 class RequestVoteResponse(Struct, frozen=True, gc=False):
-    """Answers `RequestVote`."""
+    """Answers `RequestVote`. `term` is the responder's own term."""
 
     term: int
     granted: bool
 
 
 class AppendEntries(Struct, frozen=True):
-    """Replicates entries; without any it is a heartbeat.
+    """Replicates log entries; without entries it is a heartbeat.
 
-    `in_contact_with_quorum` is whether the leader had heard from a majority lately.
+    `in_contact_with_quorum` tells whether a majority has recently responded to the leader.
     """
 
     term: int
@@ -71,8 +71,8 @@
 class AppendEntriesResponse(Struct, frozen=True, gc=False):
     """Answers `AppendEntries`.
 
-    `index` is the last index that is durable and equal to the leader's log on success, and on failure the
-    index from which the leader should go on.
+    On success, `index` is the last index that is durable and known to match the leader's log. On failure,
+    it is the index from which the leader should continue.
     """
 
     term: int
@@ -83,7 +83,7 @@
 
 
 class InstallSnapshot(Struct, frozen=True):
-    """Sends one chunk of a snapshot, or none, which asks how much has been received."""
+    """Sends one chunk of a snapshot. An empty chunk asks how many bytes have been received."""
 
     term: int
     last_included_index: int
@@ -99,7 +99,7 @@
 
 
 class InstallSnapshotResponse(Struct, frozen=True, gc=False):
-    """Answers `InstallSnapshot`: so many bytes of that snapshot have been received without a gap."""
+    """Answers `InstallSnapshot`: `received` bytes of that snapshot have arrived without a gap."""
 
     term: int
     last_included_index: int
@@ -109,20 +109,20 @@
 
 
 class ForwardedJoin(Struct, frozen=True, gc=False):
-    """Tells the leader that `member`, which was replaced as a voter, asked for a pre-vote."""
+    """Tells the leader that `member`, which is no longer a voter, requested a pre-vote."""
 
     member: str
 
 
 class ShutdownNotice(Struct, frozen=True, gc=False):
-    """The sender's process ends soon; it acknowledges no entry after `max_acknowledged` any more."""
+    """The sender's process is shutting down and acknowledges no entry after `max_acknowledged`."""
 
     term: int
     max_acknowledged: int
 
 
 class TimeoutNow(Struct, frozen=True, gc=False):
-    """The leader of `term` hands over: start an election at once (dissertation, 3.10)."""
+    """Sent by the leader of `term` to transfer leadership: start an election at once (dissertation, 3.10)."""
 
     term: int
 
@@ -157,7 +157,7 @@
 
 
 def encode_message(message: Message) -> tuple[Any, ...]:
-    """The wire form of a message, ready for msgpack."""
+    """Return the wire form of a message, ready for msgpack."""
     fields = astuple(message)
     if type(message) is AppendEntries:
         rows = [(entry.term, entry.kind, entry.data) for entry in message.entries]
@@ -166,10 +166,10 @@
 
 
 def decode_message(wire: tuple[Any, ...]) -> Message | None:
-    """The message with that wire form; None for a tag of a later version, which is ignored.
+    """Return the decoded message; None for an unknown tag of a later version, which is ignored.
 
     Raises:
-        MalformedMessageError: the fields are not those of the tag.
+        MalformedMessageError: the fields do not match the tag.
     """
     decoder = _DECODERS.get(wire[0]) if wire else None
     if decoder is None:
--- a/minthitch/mesh/raft/persistence.py
+++ b/minthitch/mesh/raft/persistence.py
@@ -1,6 +1,7 @@
-"""What goes to the disk, one write at a time, and the messages that wait for it.
+"""Writes to the disk, one at a time, and the votes that wait for them.
 
-A vote or an acknowledgement must not leave before the disk has stored what it states (dissertation, 3.8).
+A vote or an acknowledgement must not be sent before the state that it asserts is durable (dissertation,
+3.8).
 """
 
 from __future__ import annotations
@@ -13,14 +14,14 @@
 
 
 class HardState(NamedTuple):
-    """What a member must not forget beside its log: its term, and for whom it voted in it (empty: nobody)."""
+    """What a member must remember besides its log: its term and its vote in that term (empty: none)."""
 
     term: int
     voted_for: str
 
 
 class Persistence:
-    """Asks for writes of what the disk lacks. What comes while one is under way goes with the next."""
+    """Requests writes of state not yet on the disk. Changes during a write go into the next one."""
 
     def __init__(self, member: Member) -> None:
         self._member = member
@@ -28,7 +29,7 @@
         self.write_id = 0  # of the newest write
         self.writing = False
         self._submitted = self.durable
-        # Each waits until the write of that id is durable.
+        # Write id, recipient and vote: the vote is sent once that write is durable.
         self._waiting: list[tuple[int, str, RequestVoteResponse]] = []
 
     @property
@@ -40,7 +41,7 @@
         return self._member.log.has_unpersisted or self._submitted != self._hard_state
 
     def send_when_durable(self, to: str, vote: RequestVoteResponse) -> None:
-        """Send a vote once everything that this member has decided so far is durable."""
+        """Send a vote once all of this member's current state is durable."""
         if self._has_unpersisted:
             self._waiting.append((self.write_id + 1, to, vote))
         elif self.writing:
@@ -49,7 +50,7 @@
             self._member.send(to, vote)
 
     def flush(self) -> None:
-        """Ask for a write of what the disk lacks, unless one is under way."""
+        """Request a write of all state not yet passed to the disk, unless a write is in progress."""
         if self.writing or not self._has_unpersisted:
             return
         unpersisted = self._member.log.take_unpersisted()
@@ -67,7 +68,7 @@
         self._member.actions.append(persist)
 
     def write_finished(self, write_id: int) -> bool:
-        """The write of that id is durable. False where that is no write under way."""
+        """Record that a write is durable. Return False if it is not the write in progress."""
         if not self.writing or write_id != self.write_id:
             return False
         self.writing = False
@@ -80,5 +81,5 @@
         due = [(to, vote) for needed, to, vote in self._waiting if needed <= write_id]
         self._waiting = [row for row in self._waiting if row[0] > write_id]
         for to, vote in due:
-            if vote.term == self._member.term:  # a vote for an earlier term is of no use to anybody
+            if vote.term == self._member.term:  # a vote for an earlier term is useless
                 self._member.actions.append(Send(to, vote))
--- a/minthitch/mesh/raft/placement.py
+++ b/minthitch/mesh/raft/placement.py
@@ -1,7 +1,7 @@
-"""Voters in zones and regions: which losses a group tolerates, and which swap improves that.
+"""Placement of voters in zones and regions: which losses a group tolerates, and which swap improves that.
 
-Pure functions. A group of n voters tolerates the loss of any z zones if the z zones with most voters have
-fewer than half of them: the rest is then a majority.
+Pure functions. A group of n voters tolerates the loss of any z zones if the z zones with the most voters
+have fewer than half of them, so that the rest is a majority.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 
 
 class Location(NamedTuple):
-    """Where a machine is: its failure domains."""
+    """The failure domains of a machine."""
 
     zone: str
     region: str
 
 
 class Tolerated(NamedTuple):
-    """What may be lost at the same time: so many machines, or zones, or regions."""
+    """Simultaneous losses to tolerate: this many machines, or zones, or regions."""
 
     machines: int = 1
     zones: int = 0
@@ -27,27 +27,29 @@
 
     @property
     def depends_on_location(self) -> bool:
-        """Zones or regions matter."""
+        """Whether the loss of zones or regions has to be tolerated."""
         return self.zones > 0 or self.regions > 0
 
 
 def target_group_size(tolerated: Tolerated) -> int:
-    """The fewest voters that can tolerate that: one in each failure domain leaves a majority of 2x + 1."""
+    """Smallest group that tolerates it: of 2x + 1 voters in separate domains, x losses leave a majority."""
     return 2 * max(1, *tolerated) + 1
 
 
 def shortfall(
     voters: Iterable[str], locations: Mapping[str, Location], tolerated: Tolerated
 ) -> tuple[int, int]:
-    """How many voters a majority lacks after the worst loss of regions, and of zones; (0, 0): tolerated.
+    """Voters missing for a majority after the worst loss of regions, and of zones; (0, 0): tolerated.
 
-    A voter whose location is not known counts as lost with any zone and any region.
+    A voter whose location is unknown counts as lost with every zone and every region.
     """
     found = [locations.get(voter.partition("#")[0]) for voter in voters]
     known = [location for location in found if location is not None]
     unknown = len(found) - len(known)
     regions = [location.region for location in known]
-    zones = [f"{location.region}/{location.zone}" for location in known]  # two regions may name a zone alike
+    zones = [
+        f"{location.region}/{location.zone}" for location in known
+    ]  # two regions may use the same zone name
     return (
         _missing_voters(regions, unknown, tolerated.regions),
         _missing_voters(zones, unknown, tolerated.zones),
@@ -55,7 +57,7 @@
 
 
 def _missing_voters(domains: list[str], unknown: int, losses: int) -> int:
-    """How many voters a majority lacks after the loss of the `losses` domains with most voters."""
+    """Voters missing for a majority after the loss of the `losses` domains with the most voters."""
     if losses <= 0:
         return 0
     count = len(domains) + unknown
@@ -64,7 +66,7 @@
 
 
 def tolerates(voters: Iterable[str], locations: Mapping[str, Location], tolerated: Tolerated) -> bool:
-    """The group has a majority after each loss that is to be tolerated."""
+    """Whether the group keeps a majority after each loss that has to be tolerated."""
     voters = tuple(voters)
     enough = len(voters) >= 2 * tolerated.machines + 1
     return enough and shortfall(voters, locations, tolerated) == (0, 0)
@@ -77,7 +79,10 @@
     locations: Mapping[str, Location],
     tolerated: Tolerated,
 ) -> bool:
-    """Swapping some voter but the leader for `learner` lowers the shortfall. All locations must be known."""
+    """Whether swapping a voter other than the leader for `learner` lowers the shortfall.
+
+    False unless all locations are known.
+    """
     all_known = all(name.partition("#")[0] in locations for name in (*voters, learner))
     if not tolerated.depends_on_location or not all_known:
         return False
@@ -93,7 +98,7 @@
 def least_useful(
     voters: tuple[str, ...], leader: str, locations: Mapping[str, Location], tolerated: Tolerated
 ) -> str:
-    """The first voter, not the leader, whose removal leaves the least shortfall; empty: none."""
+    """The first voter other than the leader whose removal leaves the least shortfall; empty: none."""
 
     def shortfall_without(name: str) -> tuple[int, int]:
         return shortfall([voter for voter in voters if voter != name], locations, tolerated)
--- a/minthitch/mesh/raft/progress.py
+++ b/minthitch/mesh/raft/progress.py
@@ -1,17 +1,17 @@
-"""What a leader knows of one peer that it replicates to."""
+"""What a leader knows about one peer that it replicates to."""
 
 from __future__ import annotations
 
 from minthitch.mesh.raft.snapshot_transfer import OutgoingSnapshot
 
-MAX_INFLIGHT = 4  # messages with entries that may be unacknowledged by one peer; later entries are batched
+MAX_INFLIGHT = 4  # unacknowledged messages with entries per peer; later entries wait and are batched
 NEVER = float("-inf")
 
 
 class Progress:
-    """Times are seconds of the leader's steady clock.
+    """Replication state of one peer. Times are seconds of the leader's monotonic clock.
 
-    `acknowledged_sent_at` is when the newest message was sent that the peer has answered.
+    `acknowledged_sent_at` is the send time of the newest message that the peer has answered.
     """
 
     __slots__ = (
@@ -32,17 +32,17 @@
         self.name = name
         self.match_index = 0
         self.next_index = next_index
-        self.last_response_at = now  # a new leader gives every peer time to answer
-        self.acknowledged_sent_at = NEVER  # a lease needs answers to the leader's own messages
-        self.inflight: list[int] = []  # last index of each message with entries that is not acknowledged
-        self.outgoing_snapshot: OutgoingSnapshot | None = None  # finished even if there is a newer one
+        self.last_response_at = now  # a new leader gives every peer time to respond
+        self.acknowledged_sent_at = NEVER  # a lease requires responses to this leader's own messages
+        self.inflight: list[int] = []  # last index of each unacknowledged message with entries
+        self.outgoing_snapshot: OutgoingSnapshot | None = None  # completed even if a newer one exists
         self.asked_to_join_at = NEVER
-        self.caught_up = False  # had every committed entry at some moment
+        self.caught_up = False  # has had every committed entry at some point
         self.shutdown_notice_at = NEVER
-        self._ignore_rejections_before = 0  # sequence number; earlier messages were sent before a reset
+        self._ignore_rejections_before = 0  # sequence number; earlier messages precede a reset of next_index
 
     def accepted(self, match_index: int) -> None:
-        """The peer has stored all entries up to `match_index`."""
+        """Record that the peer has stored all entries up to `match_index`."""
         self.match_index = max(self.match_index, match_index)
         self.next_index = max(self.next_index, self.match_index + 1)
         self.inflight = [last for last in self.inflight if last > self.match_index]
@@ -51,9 +51,9 @@
             self.outgoing_snapshot = None
 
     def rejected(self, hint: int, sequence: int, next_sequence: int) -> bool:
-        """The peer lacks the entry before those sent; `hint` is where to go on.
+        """Handle a rejection: the peer lacks the entry before those sent; `hint` is where to continue.
 
-        False for an outdated rejection.
+        Return False for an outdated rejection.
         """
         if sequence < self._ignore_rejections_before or self.outgoing_snapshot is not None:
             return False
@@ -64,5 +64,5 @@
 
 
 def reached_by_majority(values: list[float]) -> float:
-    """The highest value that more than half of `values` reach."""
+    """Return the highest value that more than half of `values` reach or exceed."""
     return sorted(values, reverse=True)[len(values) // 2]
--- a/minthitch/mesh/raft/reconfiguration.py
+++ b/minthitch/mesh/raft/reconfiguration.py
@@ -1,4 +1,4 @@
-"""Changes of the voters by a leader, one at a time. `membership` tells which change is due."""
+"""Voter changes by a leader, one at a time. `membership` chooses the next change."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 from minthitch.mesh.raft.placement import Location, Tolerated
 from minthitch.mesh.raft.progress import Progress
 
-UNRESPONSIVE_AFTER_S = 1.5  # a voter without an answer for so long may be replaced by a learner
-LEARNER_TIMEOUT_S = 5.0  # a learner that neither asks to join nor answers is no longer replicated to
-RESPONSIVE_WITHIN_S = 1.0  # a member that answered within this counts as working in a change of voters
+UNRESPONSIVE_AFTER_S = 1.5  # a voter silent for longer may be replaced by a learner
+LEARNER_TIMEOUT_S = 5.0  # a learner that neither requests to join nor responds is dropped
+RESPONSIVE_WITHIN_S = 1.0  # a member that responded within this counts as available in a voter change
 
 
 class GroupPolicy(Struct):
-    """How large the group shall be, when a voter counts as failed (seconds), which losses to tolerate."""
+    """Target group size, time until a voter counts as failed, and losses to tolerate."""
 
     target_size: int = 3
     unresponsive_after_s: float = UNRESPONSIVE_AFTER_S
@@ -34,7 +34,7 @@
 
 
 class Reconfiguration:
-    """Adds learners that ask to join, and replaces voters that have failed or are badly placed."""
+    """Adds learners that request to join, and replaces voters that have failed or are badly placed."""
 
     def __init__(
         self, member: Member, leader: Leader, transfer: LeadershipTransfer, policy: GroupPolicy
@@ -47,24 +47,24 @@
         leader.commit_listener = self._on_commit
 
     def tick(self, now: float) -> None:
-        """As leader: give up learners that are gone, and make the change that is due."""
+        """As leader: drop learners that are gone, and start the next voter change if one is due."""
         self._drop_learners(now)
         self.change_voters(now)
 
     def _on_commit(self, now: float, previous: int) -> None:
-        """Follow a committed change of voters by the next one at once; all else waits for the tick."""
+        """Once a voter change is committed, start the next one at once; other changes wait for the tick."""
         if previous < self._member.log.voters_index <= self._member.commit_index:
             self.change_voters(now)
 
     def _drop_learners(self, now: float) -> None:
         peers = self._leader.peers
         for progress in list(peers.values()):
-            last_sign = max(progress.asked_to_join_at, progress.last_response_at)
-            if progress.name not in self._member.log.voters and now - last_sign > LEARNER_TIMEOUT_S:
+            last_seen_at = max(progress.asked_to_join_at, progress.last_response_at)
+            if progress.name not in self._member.log.voters and now - last_seen_at > LEARNER_TIMEOUT_S:
                 del peers[progress.name]
 
     def add_learner(self, now: float, name: str) -> None:
-        """`name` asks to join: as leader, replicate to it."""
+        """`name` requests to join: as leader, replicate to it."""
         member = self._member
         if not member.is_leader or name == member.name:
             return
@@ -75,20 +75,20 @@
         progress.asked_to_join_at = now
 
     def on_forwarded_join(self, now: float, source: str, message: ForwardedJoin) -> None:
-        """A voter was asked for a pre-vote by a member that is no voter any more."""
+        """Handle a report that a member which is no longer a voter requested a pre-vote."""
         voters = self._member.log.voters
         if source in voters and message.member not in voters:
             self.add_learner(now, message.member)
 
     def change_voters(self, now: float) -> None:
-        """Change the voters by one, if `membership` finds a step that is due.
-
-        A machine that lost its disk comes back under a new name. Its old name is removed, and only once
-        that is committed is the new one added. Both in one step would not be safe: of {A, B, C0} the old
-        name may have voted for A in a newer term before its disk was lost, while B, which has not heard of
-        that, swaps in C1 and commits with it alone; A, elected by {A, C0}, knows nothing of this, for the
-        two majorities have no member in common. Between groups that differ by one voter any two majorities
-        have one. The step by {A, B} costs nothing: with C0 gone, both are needed anyway.
+        """Add or remove one voter, if `membership` finds a step that is due.
+
+        A machine that lost its disk returns under a new name. Its old name is removed, and the new one is
+        added only once that is committed. Both in one step would not be safe. Example with {A, B, C0}: C0
+        votes for A in a newer term and then loses its disk. B, a leader that has not heard of this term,
+        swaps C0 for C1 and commits with C1 alone. A, elected by {A, C0}, does not learn of it, as the two
+        majorities have no member in common. In groups that differ by one voter, any two majorities have
+        one. The step through {A, B} costs nothing: with C0 gone, both are needed anyway.
         """
         if not self._may_change_voters():
             return
@@ -96,12 +96,12 @@
         size = len(self._member.log.voters)
         if not learners and size % 2 and size <= self.policy.target_size:
             return
-        voters = self._due_change(now, learners)
+        voters = self._next_change(now, learners)
         if voters is not None:
             self._append_voters(now, voters)
 
     def _may_change_voters(self) -> bool:
-        """No change is under way. One of an earlier leader may be until the first own entry is committed."""
+        """Whether no change is in progress. An earlier leader's may be, until an own entry is committed."""
         member = self._member
         return (
             member.is_leader
@@ -110,7 +110,7 @@
             and member.log.voters_index <= member.commit_index
         )
 
-    def _due_change(self, now: float, learners: list[Progress]) -> Voters | None:
+    def _next_change(self, now: float, learners: list[Progress]) -> Voters | None:
         view = self._view(now)
         voters = voters_without_surplus(view)
         if voters is not None:
@@ -128,7 +128,7 @@
         return voters_adding(view, learner)
 
     def _may_be_added(self, progress: Progress, now: float) -> bool:
-        """A learner that has every committed entry, answers, and asks to join."""
+        """Whether a learner has every committed entry, responds, and requests to join."""
         return (
             progress.caught_up
             and progress.outgoing_snapshot is None
@@ -144,7 +144,7 @@
         unresponsive = [
             voter for voter in voters if now - last_response[voter] > self.policy.unresponsive_after_s
         ]
-        # Answers to this leader's own messages: at first all of them count as having just responded.
+        # Requires responses to this leader's own messages: `last_response_at` starts at the time of election.
         responsive = frozenset(
             voter
             for voter in voters
--- a/minthitch/mesh/raft/snapshot_transfer.py
+++ b/minthitch/mesh/raft/snapshot_transfer.py
@@ -1,7 +1,7 @@
-"""One snapshot on its way from a leader to a member, in chunks (dissertation, 5.3).
+"""Transfer of a snapshot from a leader to a member, in chunks (dissertation, 5.3).
 
-A member keeps the received part of a snapshot whoever sent it: `SnapshotId` shows by content whether a new
-leader sends the same one, which then goes on where the last one stopped.
+A member keeps the received part of a snapshot when the leader changes. `SnapshotId` identifies a snapshot
+by its content: if the new leader sends the same one, the transfer continues where it stopped.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 
 
 class SnapshotId(NamedTuple):
-    """Snapshots with the same id are the same bytes for the same position in the log."""
+    """Snapshots with the same id have the same bytes for the same position in the log."""
 
     last_index: int
     last_term: int
     length: int
-    checksum: int  # CRC-32 of the whole
+    checksum: int  # CRC-32 of the whole snapshot
 
 
 class OutgoingSnapshot:
-    """The leader's side: one chunk is in flight at a time.
+    """The leader's side of a transfer: one chunk is in flight at a time.
 
-    The first message carries no bytes, and its answer tells how much the member has already.
+    The first message carries no bytes; the response tells how much the member already has.
     """
 
     __slots__ = ("snapshot", "id", "offset", "_chunk_sequence", "_answered_sequence")
@@ -38,11 +38,11 @@
 
     @property
     def chunk_due(self) -> bool:
-        """The next chunk may be sent."""
+        """Whether the next chunk may be sent."""
         return self.offset is not None and self._chunk_sequence is None
 
     def next_chunk(self, size: int, sequence: int) -> bytes:
-        """The chunk to send in the message of that sequence number; empty where none is due."""
+        """The chunk to send in the message with this sequence number; empty if none is due."""
         if self.offset is None or self._chunk_sequence is not None:
             return b""
         chunk = self.snapshot.data[self.offset : self.offset + size]
@@ -50,11 +50,11 @@
         return chunk
 
     def acknowledged(self, received: int, sequence: int) -> None:
-        """The member had `received` bytes when it got the message of that sequence number.
+        """Record that the member had `received` bytes when it got the message with this sequence number.
 
-        A chunk is lost if a message sent after it was answered and the member still has no more bytes. That
-        is known one heartbeat after the loss, also on a link so slow that a timer would send each chunk
-        twice.
+        A chunk is lost if the member has answered a message sent after it and still has no more bytes. This
+        detects a loss after one heartbeat, even on a link so slow that a retransmission timer would send
+        each chunk twice.
         """
         if sequence < self._answered_sequence:
             return
@@ -66,7 +66,7 @@
 
 
 class IncomingSnapshot:
-    """The member's side: what has been received without a gap."""
+    """The member's side of a transfer: what has been received without a gap."""
 
     __slots__ = ("id", "data")
 
@@ -75,16 +75,16 @@
         self.data = bytearray()
 
     def add_chunk(self, offset: int, chunk: bytes) -> None:
-        """Append a chunk, unless it is a repeat or follows one that was lost."""
+        """Append a chunk, unless it is a duplicate or follows a lost one."""
         if offset == len(self.data):
             self.data += chunk
 
     @property
     def is_complete(self) -> bool:
-        """All bytes have been received."""
+        """Whether all bytes have been received."""
         return len(self.data) >= self.id.length
 
     @property
     def is_intact(self) -> bool:
-        """The bytes are those that the leader had."""
+        """Whether length and checksum match the leader's snapshot."""
         return len(self.data) == self.id.length and zlib.crc32(self.data) == self.id.checksum
