--- a/tests/mesh/chaos.py
+++ b/tests/mesh/chaos.py
@@ -1,5 +1,7 @@
-"""Real cores under an adversary that decides every step: what arrives, in which order, how often, what is
-synced, whose clock runs on, which process or disk is lost. Nothing keeps things in order.
+"""Raft cores under a random adversary that controls every step.
+
+It decides which messages arrive, in which order and how often, which writes become durable, whose clock
+advances, and which processes and disks are lost. There are no timing or ordering guarantees.
 """
 
 from __future__ import annotations
@@ -20,10 +22,10 @@
 from tests.mesh.cluster import Disk, Wrong
 
 TIMING = Timing(0.1, 0.6)
-MAX_IN_FLIGHT = 80  # messages under way; the oldest are lost
-TAIL = 3  # entries kept before an image
-CALM = 60  # steps between two changes of who reaches whom, about
-UNRESPONSIVE_S = 2.0  # seconds after which a machine's place goes to a spare
+MAX_IN_FLIGHT = 80  # messages; the oldest ones beyond this are lost
+TAIL = 3  # entries kept from before a snapshot
+CALM = 60  # average number of steps
+UNRESPONSIVE_S = 2.0  # seconds after which a spare replaces a voter
 
 
 class Machine:
@@ -34,14 +36,14 @@
         self.pending: Persist | None = None
         self.now = 0.0
         self.applied: list[bytes] = []
-        self.removed = False  # for good
+        self.removed = False  # permanently
 
     @property
     def name(self) -> str:
         return f"{self.ip}#{self.incarnation}"
 
     def holds(self, index: int, term: int) -> bool:
-        """Its disk has that entry, or an image beyond it."""
+        """Whether its disk has that entry, or a snapshot that covers it."""
         saved = self.disk.saved
         return saved is not None and (
             saved.snapshot.index >= index or any(e.index == index and e.term == term for e in saved.entries)
@@ -49,7 +51,7 @@
 
 
 class Chaos:
-    """`count` founders and some spares, of which as many may lose their disks as less than half."""
+    """`count` founders and some spares; fewer than half of the voters may lose their disks at a time."""
 
     def __init__(
         self, seed: int, count: int = 3, spares: int = 0, node_type: type[RaftNode] = RaftNode
@@ -59,14 +61,14 @@
         self.bears = (count - 1) // 2
         self.machines = {f"n{i}": Machine(f"n{i}") for i in range(count + spares)}
         self.founders = tuple(f"n{i}#0" for i in range(count))
-        self.wire: list[tuple[str, str, Any]] = []  # from, to, message; None: a knock
+        self.wire: list[tuple[str, str, Any]] = []  # from, to, message; None: a join request
         self.agreed: dict[int, Entry] = {}
         self.leaders: dict[int, str] = {}
         self.asked: dict[tuple[int, int], bytes] = {}
         self.acknowledged: dict[int, bytes] = {}
-        self.table = 0  # place of the newest table that was agreed
+        self.table = 0  # index of the newest committed MEMBERS entry
         self.value, self.losses = 0, 0
-        self.isolated: set[str] = set()  # between these and the others nothing arrives for now
+        self.isolated: set[str] = set()  # no messages pass between these and the others
         for machine in self.machines.values():
             self.start(machine)
 
@@ -94,8 +96,10 @@
         machine.core, machine.pending = None, None
 
     def lost(self, *more: Machine) -> int:
-        """Copies that the newest agreed table lacks once `more` are lost too: voters whose disk doesn't hold
-        it, or not under the name in it, or that are gone for good, and places that nobody has.
+        """Missing copies of the newest committed set of voters, if `more` are lost too.
+
+        Counts voters whose disk does not have it, that have a new name or are gone permanently, and
+        vacancies.
         """
         if not self.table:
             return self.count
@@ -107,7 +111,7 @@
         return sum(address_of(name) in absent for name in names) + self.count - len(names)
 
     def lose_disk(self, machine: Machine) -> bool:
-        """Its disk is lost, if so many may be."""
+        """Lose the disk, if another loss is tolerated."""
         if self.lost(machine) > self.bears:
             return False
         machine.core, machine.pending, machine.disk = None, None, Disk()
@@ -116,11 +120,11 @@
         return True
 
     def lose(self, machine: Machine) -> None:
-        """It is gone for good, where a spare one is there to take its place."""
+        """Remove a machine permanently, if a spare one can replace it."""
         if sum(m.removed for m in self.machines.values()) < self.spares and self.lost(machine) <= self.bears:
             machine.core, machine.pending, machine.removed = None, None, True
 
-    # What happens
+    # Events
 
     def on(self, machine: Machine, call: Callable[[RaftNode], list[Action]]) -> None:
         if machine.core is None:
@@ -143,13 +147,13 @@
                 machine.applied = msgpack.unpackb(action.data)
                 entries = [entry for index, entry in sorted(self.agreed.items()) if index <= action.index]
                 if machine.applied != [entry.data for entry in entries if entry.kind == DATA]:
-                    raise Wrong(f"{machine.name}: image {action.index} is not what was agreed")
+                    raise Wrong(f"{machine.name}: snapshot {action.index} differs from the committed entries")
         del self.wire[:-MAX_IN_FLIGHT]
 
     def apply(self, machine: Machine, entry: Entry) -> None:
         known = self.agreed.setdefault(entry.index, entry)
         if known != entry:
-            raise Wrong(f"{machine.name} applies {entry}, another has applied {known}")
+            raise Wrong(f"{machine.name} applies {entry}, another machine has applied {known}")
         if entry.kind == MEMBERS:
             self.table = max(self.table, entry.index)
         elif entry.kind == DATA:
@@ -231,7 +235,7 @@
         self.recover_and_check()
 
     def advance(self) -> None:
-        """Everything arrives in order, all is synced, time goes on alike."""
+        """Deliver all messages in order, complete all writes, and advance all clocks equally."""
         for machine in self.machines.values():
             if not machine.removed:
                 self.tick(machine, 0.05)
@@ -261,7 +265,7 @@
         )
 
     def recover_and_check(self, rounds: int = 400) -> None:
-        """All that is not gone for good is well again: it agrees, and has all that was acknowledged."""
+        """Recover all machines not removed; check that they agree and have every acknowledged entry."""
         for machine in self.machines.values():
             if machine.core is None and not machine.removed:
                 self.start(machine)
@@ -270,10 +274,10 @@
                 break
             self.advance()
         else:
-            raise Wrong(f"not whole again: {self.shown()}")
+            raise Wrong(f"not consistent: {self.shown()}")
         for machine in self.machines.values():
             if not machine.removed and not set(self.acknowledged.values()) <= set(machine.applied):
-                raise Wrong(f"{machine.name} lacks what was acknowledged")
+                raise Wrong(f"{machine.name} lacks acknowledged entries")
 
     def shown(self) -> list[Any]:
         return [
--- a/tests/mesh/cluster.py
+++ b/tests/mesh/cluster.py
@@ -1,7 +1,7 @@
-"""Real cores over a modelled network, disks, power and freezes, in virtual time drawn from a seed.
+"""Raft cores on a simulated network with simulated disks, power losses and freezes, in virtual time.
 
-Every application of an entry, every image, leader and lease is checked as it happens against what all nodes
-together have ever shown (`Wrong` tells what is broken).
+All random choices come from a seed. Every applied entry, snapshot, leader and lease is checked at once
+against what all nodes have shown before; a violation raises `InvariantViolationError`.
 """
 
 from __future__ import annotations
@@ -24,16 +24,16 @@
 from minthitch.mesh.raft.reconfiguration import UNRESPONSIVE_AFTER_S, GroupPolicy
 
 TICK, JOIN, DISK_TIMEOUT = 0.04, 0.5, 0.5  # seconds
-RETIRE_LOOK = 0.02  # seconds between two looks whether a process may end
-SNAPSHOT_EVERY = 30  # entries
+RETIRE_LOOK = 0.02  # seconds between two checks whether a process may exit
+SNAPSHOT_EVERY = 30  # applied entries
 
 
 class Wrong(AssertionError):
-    """A rule of the agreement is broken."""
+    """A safety property of consensus is violated, or the cluster does not recover in time."""
 
 
 class Disk:
-    """What a control node's disk holds for good."""
+    """The durable state of a control node."""
 
     def __init__(self) -> None:
         self.saved: PersistedState | None = None
@@ -48,7 +48,7 @@
         snapshot = persist.snapshot or old.snapshot
         kept = tuple(entries[i] for i in sorted(entries) if i > snapshot.index)
         if [e.index for e in kept] != list(range(snapshot.index + 1, snapshot.index + 1 + len(kept))):
-            raise Wrong(f"a hole on the disk: {[e.index for e in kept]} after {snapshot.index}")
+            raise Wrong(f"gap in the log on disk: {[e.index for e in kept]} after {snapshot.index}")
         self.saved = PersistedState(persist.term, persist.voted_for, snapshot, kept)
 
 
@@ -57,7 +57,7 @@
         self.ip, self.node_type = ip, node_type
         self.disk, self.incarnation = Disk(), 0
         self.core: RaftNode | None = None
-        self.epoch = 0  # of the process: what an earlier life waits for never comes
+        self.epoch = 0  # counts process starts; events for an earlier process are dropped
         self.frozen, self.waiting = False, list[Callable[[], None]]()
         self.pending: tuple[float, Persist] | None = None
         self.applied: list[bytes] = []
@@ -102,13 +102,13 @@
         self.loss, self.sync, self.delay, self.timing = loss, sync, delay, timing
         self.disconnected: set[tuple[str, str]] = set()
         self.agreed: dict[int, Entry] = {}
-        self.values: list[tuple[int, bytes]] = []  # DATA entries agreed, in order
+        self.values: list[tuple[int, bytes]] = []  # committed DATA entries, in order
         self.leaders: dict[int, str] = {}
         self.proposed: dict[tuple[int, int], tuple[str, int, bytes]] = {}
         self.acknowledged: dict[int, bytes] = {}
         self.ack_time = 0.0
-        self.longest_pause = 0.0  # between two acknowledgements, since the load began
-        self.left: list[tuple[Node, float]] = []  # processes that ended as planned, and when
+        self.longest_pause = 0.0  # between two acknowledgements, since the load started
+        self.left: list[tuple[Node, float]] = []  # processes that exited after a graceful shutdown, and when
         self.value = 0
         for node in self.nodes.values():
             self.start(node, first=True)
@@ -130,7 +130,7 @@
         end = self.now + limit
         while not condition():
             if self.now >= end:
-                raise Wrong(f"waited {limit} s in vain: {self.shown()}")
+                raise Wrong(f"waited {limit} s, but the condition is not met: {self.shown()}")
             self.run(0.02)
 
     # --- machines ---
@@ -156,13 +156,13 @@
         self.at(0.0 if first else self.random.uniform(0, TICK), partial(self.tick, node, node.epoch))
 
     def kill(self, node: Node) -> None:
-        """The process ends, or power is lost: a write under way has come to the disk whole, or not at all."""
+        """Kill the process: a write in progress is stored completely or not at all."""
         if node.pending is not None and self.random.random() < 0.5:
             node.disk.write(node.pending[1])
         self.power(node)
 
     def retire(self, node: Node, back_after: float | None = None) -> None:
-        """It is told to end, and ends once its core says that it may; `back_after` starts it again."""
+        """Shut the process down gracefully once its core allows it; restart it after `back_after` seconds."""
 
         def watch(epoch: int) -> None:
             if node.epoch != epoch or node.core is None:
@@ -170,7 +170,7 @@
             if node.frozen or not node.core.may_end(self.now):
                 self.at(RETIRE_LOOK, lambda: watch(epoch))
                 return
-            if node.pending is not None:  # the writer ends what it began
+            if node.pending is not None:  # the writer completes a write in progress
                 node.disk.write(node.pending[1])
             self.power(node)
             self.left.append((node, self.now))
@@ -181,12 +181,12 @@
         watch(node.epoch)
 
     def power(self, node: Node) -> None:
-        """Power is lost, and none of what was not synced remains."""
+        """Cut the power: a write in progress is lost."""
         node.core, node.pending = None, None
         node.epoch += 1
 
     def lose_disk(self, node: Node) -> None:
-        """The disk is lost with the power."""
+        """Lose the disk and cut the power. The machine returns under a new name."""
         self.power(node)
         node.disk = Disk()
         node.incarnation += 1
@@ -214,7 +214,7 @@
                 self.disconnected.add((other, ip))
 
     def heal(self) -> None:
-        """All is well again: links, disks, processes."""
+        """Repair all links and disks, and start all processes."""
         self.disconnected.clear()
         self.loss = 0.0
         for node in self.nodes.values():
@@ -224,7 +224,7 @@
             if node.core is None:
                 self.start(node)
 
-    # --- the shell of a core ---
+    # --- carrying out the actions of a core ---
 
     def on(self, node: Node, epoch: int, call: Callable[[RaftNode], list[Action]]) -> None:
         if node.epoch != epoch or node.core is None:
@@ -289,7 +289,7 @@
 
     def persist(self, node: Node, persist: Persist) -> None:
         if node.pending is not None:
-            raise Wrong("two Persists at once")
+            raise Wrong("two writes at once")
         node.pending = (self.now, persist)
         epoch = node.epoch
         self.at(self.random.uniform(*self.sync), lambda: self.landed(node, epoch, persist))
@@ -304,7 +304,7 @@
         node.pending = None
         self.on(node, epoch, lambda c: c.persisted(self.now, persist.write_id))
 
-    # --- what is seen, and checked ---
+    # --- observations and checks ---
 
     def apply(self, node: Node, entry: Entry) -> None:
         if entry.index != node.applied_index + 1:
@@ -312,7 +312,7 @@
         node.applied_index = entry.index
         known = self.agreed.setdefault(entry.index, entry)
         if known != entry:
-            raise Wrong(f"{node.name} applies {entry}, another has applied {known}")
+            raise Wrong(f"{node.name} applies {entry}, another node has applied {known}")
         if entry.kind == DATA:
             node.applied.append(entry.data)
             if len(self.values) < len(node.applied):
@@ -320,7 +320,7 @@
         asked = self.proposed.get((entry.index, entry.term))
         if asked is not None and asked[:2] == (node.name, node.epoch):
             if asked[2] != entry.data:
-                raise Wrong("an index and term stand for two values")
+                raise Wrong("two values for one index and term")
             if self.acknowledged:
                 self.longest_pause = max(self.longest_pause, self.now - self.ack_time)
             self.acknowledged[entry.index] = entry.data
@@ -330,7 +330,7 @@
         node.applied, node.applied_index = msgpack.unpackb(action.data), action.index
         expected = [data for index, data in self.values if index <= action.index]
         if node.applied != expected:
-            raise Wrong(f"{node.name}: image {action.index} differs from what was agreed")
+            raise Wrong(f"{node.name}: snapshot {action.index} differs from the committed entries")
 
     def check(self, node: Node) -> None:
         core = node.core
@@ -339,10 +339,10 @@
         if self.leaders.setdefault(core.term, node.name) != node.name:
             raise Wrong(f"two leaders in term {core.term}")
         if core.has_lease(self.now) and self.acknowledged and max(self.acknowledged) > core.last_applied:
-            raise Wrong(f"{node.name} has a lease and lacks what was acknowledged")
+            raise Wrong(f"{node.name} has a lease but lacks acknowledged entries")
 
     def propose(self) -> None:
-        """A client asks whoever says that it leads."""
+        """Propose a value to a node that considers itself the leader."""
         leading = [n for n in self.nodes.values() if n.core and not n.frozen and n.core.is_leader]
         if not leading:
             return
@@ -355,7 +355,7 @@
         self.act(node, node.live.drain())
 
     def load(self, every: float, seconds: float) -> None:
-        """Proposals from now on."""
+        """Propose values from now on, on average one `every` seconds."""
         end = self.now + seconds
 
         def again() -> None:
@@ -366,7 +366,7 @@
         self.at(0.0, again)
 
     def leader(self) -> Node | None:
-        """The one that leads in touch with a majority."""
+        """The leader that holds a lease, if any."""
         leading = [n for n in self.nodes.values() if n.core and not n.frozen and n.core.has_lease(self.now)]
         return leading[0] if leading else None
 
@@ -377,7 +377,7 @@
         return node
 
     def is_consistent(self) -> bool:
-        """One leads, all voters are present names and hold all, and all have applied the same."""
+        """Whether all voters are current names and have the full log, and all nodes have applied it."""
         node = self.leader()
         if node is None or node.core is None:
             return False
@@ -394,7 +394,7 @@
         )
 
     def taken_in(self) -> bool:
-        """Each machine votes under its present name, and that is agreed."""
+        """Whether all voters are current names of machines and their set is committed and replicated."""
         node = self.leader()
         if node is None or node.core is None:
             return False
@@ -411,7 +411,7 @@
         )
 
     def recover_and_check(self) -> None:
-        """Heal, wait until whole, and look for all that was acknowledged."""
+        """Repair everything, wait for consistency, and check that no acknowledged entry is lost."""
         self.loading = False
         self.heal()
         self.until(self.is_consistent)
@@ -419,7 +419,7 @@
             node.disk_lost = False
             have = dict(self.values)
             if node.applied != [data for _, data in self.values]:
-                raise Wrong(f"{node.name} ends with another state")
+                raise Wrong(f"{node.name} ends with a different state")
             for index, data in self.acknowledged.items():
                 if have.get(index) != data:
                     raise Wrong(f"acknowledged entry {index} is lost")
@@ -444,7 +444,7 @@
 
 
 class Schedule:
-    """Troubles drawn from a seed, one after another and over each other, inside what is tolerated."""
+    """Random faults from a seed, also overlapping ones, within the tolerated number of losses."""
 
     def __init__(
         self, seed: int, node_type: type[RaftNode] = RaftNode, seconds: float = 6.0, storm: bool = False
@@ -475,7 +475,7 @@
             self.rejoin,
             self.retire,
         ]
-        if storm:  # elections and losses of power close together, on slow disks
+        if storm:  # elections and power losses in quick succession, on slow disks
             self.cluster.sync, self.cluster.timing = (0.02, 0.3), Timing(0.05, 0.2)
             self.faults = [self.restart, self.restart, self.outage, self.disconnect]
 
@@ -490,7 +490,7 @@
         return cluster
 
     def pick(self) -> Node:
-        """Mostly the leader: there the troubles matter."""
+        """Pick a node, preferably the leader, where faults have the most effect."""
         leader = self.cluster.leader()
         if leader is not None and self.random.random() < 0.5:
             return leader
@@ -538,7 +538,7 @@
         self.pick().disk.hung_until = self.cluster.now + self.random.choice((0.3, 1.0, 2.0))
 
     def lose(self) -> None:
-        """A disk, if none is lost already: until the machine is taken in again, that is the one tolerated."""
+        """Lose a disk, unless one is lost already: until that machine rejoins, no other loss is tolerated."""
         nodes = self.cluster.nodes.values()
         if any(n.disk_lost for n in nodes) or not self.cluster.taken_in():
             return
--- a/tests/mesh/site_test_case.py
+++ b/tests/mesh/site_test_case.py
@@ -1,4 +1,4 @@
-"""A simulated site whose control nodes have started and agreed on a leader."""
+"""Base class of tests with a simulated site whose control nodes have elected a leader."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class SiteTestCase(unittest.TestCase):
-    """Tests of control nodes in virtual time, without their log lines."""
+    """Runs control nodes in virtual time and suppresses their log output."""
 
     def setUp(self) -> None:
         silent = mock.patch.object(LOG, "disabled", True)
--- a/tests/mesh/test_raft.py
+++ b/tests/mesh/test_raft.py
@@ -1,5 +1,5 @@
-"""The agreement among control nodes: named troubles, schedules drawn from seeds, planted faults that are
-found.
+"""Consensus between control nodes: specific fault scenarios, random schedules, and injected faults that the
+checks must find.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 class AcknowledgesUnsynced(Follower):
-    """Planted: says that it has stored what its disk does not have yet."""
+    """Injected fault: acknowledges entries that its disk has not stored yet."""
 
     def acknowledge(self) -> None:
         member = self._member
@@ -48,7 +48,7 @@
 
 
 class ForgetsVote(RaftNode):
-    """Planted: a start does not know whom it voted for, and in what term."""
+    """Injected fault: a restart loses the vote and its term."""
 
     def __init__(self, name: str, persisted: PersistedState | None, *rest: Any, **more: Any) -> None:
         if persisted is not None:
@@ -58,7 +58,7 @@
 
 
 class CountsUnsynced(Leader):
-    """Planted: the leader counts itself before its own disk has the entry."""
+    """Injected fault: the leader counts itself before its own disk has stored the entry."""
 
     def update_commit_index(self, now: float) -> None:
         self._member.log.durable = self._member.log.last_index
@@ -70,7 +70,7 @@
 
 
 class ForgetsLease(Election):
-    """Planted: helps another up although a leader was just heard."""
+    """Injected fault: votes for another although a leader was just heard from."""
 
     def hears_live_leader(self, now: float) -> bool:
         return False
@@ -81,7 +81,7 @@
 
 
 class SwapsAtOnce(Reconfiguration):
-    """Planted: takes the old name out and the new one in by one change."""
+    """Injected fault: removes the old name and adds the new one in one change."""
 
     def voters_adding(self, view: VoterView, learner: str) -> Voters | None:
         old = next((name for name in view.voters if address_of(name) == address_of(learner)), None)
@@ -100,11 +100,11 @@
         for seed in range(SCHEDULES):
             with self.subTest(seed=seed):
                 acknowledged += len(Schedule(seed).play().acknowledged)
-        self.assertGreater(acknowledged, 50 * SCHEDULES, "so much goes wrong that little is proven")
+        self.assertGreater(acknowledged, 50 * SCHEDULES, "too few acknowledged entries for a meaningful test")
 
 
 class Planted(unittest.TestCase):
-    """The checks are worth something: each of these is found by some schedule."""
+    """The checks are effective: some schedule finds each of these faults."""
 
     def find(self, node_type: type[RaftNode], seeds: range) -> None:
         for seed in seeds:
@@ -124,7 +124,7 @@
         self.find(CountsUnsyncedNode, range(120))
 
     def test_lease_forgotten(self) -> None:
-        """Cut from the leader alone, a follower is helped up by the third, and two have a lease."""
+        """A follower cut off from the leader alone gets the third vote, and two leaders have a lease."""
         with self.assertRaises(Wrong):
             for seed in range(40):
                 self.disconnected_from_leader(seed, ForgetsLeaseNode)
@@ -144,7 +144,7 @@
 
 class Named(unittest.TestCase):
     def begun(self, seed: int = 1, count: int = 3, **more: Any) -> tuple[Cluster, Node]:
-        """A cluster that is led and has agreed on something."""
+        """A cluster with a leader and some acknowledged entries."""
         cluster = Cluster(seed, count, **more)
         leader = cluster.led()
         cluster.load(0.02, 30.0)
@@ -156,7 +156,7 @@
         return [n for n in cluster.nodes.values() if n not in but]
 
     def goes_on(self, cluster: Cluster, within: float) -> None:
-        """Something proposed from now on is acknowledged within so many seconds."""
+        """New proposals are acknowledged within this many seconds."""
         last = max(cluster.acknowledged, default=0)
         cluster.until(lambda: max(cluster.acknowledged, default=0) > last + 3, within)
 
@@ -175,7 +175,7 @@
             cluster.recover_and_check()
 
     def test_leader_that_hears_nothing(self) -> None:
-        """It leaves by itself, or its beats would keep the others from choosing another."""
+        """It must step down by itself, or its heartbeats would keep the others from electing another."""
         for seed in range(10):
             cluster, leader = self.begun(seed)
             cluster.isolate(leader.ip, reaches=True)
@@ -275,7 +275,7 @@
             cluster.recover_and_check()
 
     def test_snapshot_half_sent(self) -> None:
-        """An image in many pieces; the learner loses power, then the leader goes, in the midst of it."""
+        """In the middle of a snapshot of many chunks the learner loses power, then the leader does."""
         cluster, leader = self.begun(5)
         cluster.run(1.5)
         cluster.snapshot_every = 1_000_000
@@ -284,7 +284,7 @@
             log = node.live.log
             log.retained_entries = 0
             log.compact(log.snapshot)
-            log.snapshot.data = big  # not what was agreed: only how it travels is looked at
+            log.snapshot.data = big  # not the committed data: only the transfer is tested
         learner = self.others(cluster, leader)[0]
         cluster.restore = self.placed  # type: ignore[method-assign]
         cluster.lose_disk(learner)
@@ -310,7 +310,9 @@
         cluster.power(behind)
         cluster.load(0.002, 3.0)
         cluster.run(4.0)
-        self.assertGreater(leader.live.log.base_index, 700, "the log was let go, so only an image can help")
+        self.assertGreater(
+            leader.live.log.base_index, 700, "the log was compacted, so the follower needs a snapshot"
+        )
         cluster.start(behind)
         cluster.until(lambda: behind.applied_index >= leader.applied_index - 20, 3.0)
         cluster.recover_and_check()
@@ -327,7 +329,9 @@
         cluster.start(removed)
         cluster.until(lambda: removed.live.role == Role.LEARNER, 5.0)
         cluster.run(3.0)
-        self.assertEqual(removed.live.leader, cluster.led().name, "it is fed, as long as it knocks")
+        self.assertEqual(
+            removed.live.leader, cluster.led().name, "it is replicated to as long as it requests to join"
+        )
 
     def test_grows_to_five(self) -> None:
         cluster = Cluster(8, 3, spares=2)
@@ -346,7 +350,7 @@
 
 
 class Members(unittest.TestCase):
-    """Who votes, while disks are lost and machines come back, are removed, or are gone for good."""
+    """Voter changes while disks are lost and machines return, are replaced, or are gone permanently."""
 
     def walk(self, seed: int, node_type: type[RaftNode] = RaftNode) -> Chaos:
         chaos = Chaos(seed, 5 if seed % 3 == 0 else 3, seed % 4 // 2, node_type)
@@ -360,7 +364,7 @@
                 chaos = self.walk(seed)
                 losses += chaos.losses
                 removed += sum(machine.removed for machine in chaos.machines.values())
-        self.assertGreater((losses, removed), (2 * WALKS, 5), "so little happens that little is proven")
+        self.assertGreater((losses, removed), (2 * WALKS, 5), "too few losses for a meaningful test")
 
     def test_adversary_finds_what_is_planted(self) -> None:
         for node_type in (ForgetsVote, CountsUnsyncedNode):
@@ -369,8 +373,8 @@
                     self.walk(seed, node_type)
 
     def test_vote_of_a_disk_that_was_lost(self) -> None:
-        """n0 leads. n2 helps n1 up in a newer term and loses its disk, before n0 has heard of that. n0 takes
-        n2 in again: if that takes a majority without n1, two leaders agree on different things.
+        """n0 leads. n2 votes for n1 in a newer term and loses its disk before n0 learns of that term. n0 adds
+        n2 again: if n0 and n2 then form a majority without n1, two leaders commit different entries.
         """
         with self.assertRaises((Wrong, ConsensusViolationError)):
             self.voted_and_lost(SwapsAtOnceNode)
@@ -402,7 +406,7 @@
         chaos.recover_and_check()
 
     def among(self, chaos: Chaos, ips: set[str], until: Any = lambda: False) -> None:
-        """All that these say to each other arrives, and is synced; the rest is lost."""
+        """Deliver all messages between these and complete their writes; other messages are lost."""
         for _ in range(30):
             wire, chaos.wire = chaos.wire, []
             for src, to, message in wire:
@@ -424,7 +428,7 @@
             cluster.start(first)
             cluster.run((0.05, 0.3, 0.6, 0.9, 1.2, 1.5)[seed])
             cluster.lose_disk(second)
-            for node in cluster.nodes.values():  # and what is left loses power
+            for node in cluster.nodes.values():  # and the others lose power
                 if node.core is not None:
                     cluster.power(node)
             for node in cluster.nodes.values():
@@ -433,7 +437,7 @@
             self.assertTrue({first.name, second.name} <= set(cluster.led().live.voters))
 
     def test_two_of_five_lost_for_good(self) -> None:
-        """The three that are left go on, and one of them may still lose its power."""
+        """The three remaining voters continue, and one of them may still lose power temporarily."""
         cluster = Cluster(3, 5)
         for removed in (cluster.led(), cluster.nodes["n4"]):
             cluster.power(removed)
@@ -447,7 +451,7 @@
         cluster.until(lambda: max(cluster.acknowledged) > last + 20, 5.0)
 
     def test_removed_machine_votes_again_under_its_old_name(self) -> None:
-        """A spare took its place; then that is gone, and its own old disk is as good as any learner's."""
+        """When the spare that replaced it fails, it is added again with its old disk, like any learner."""
         cluster = Cluster(7, 3, spares=1)
         leader = cluster.led()
         cluster.load(0.02, 60.0)
@@ -465,7 +469,7 @@
 
 
 class Single(unittest.TestCase):
-    """One core by hand."""
+    """A single core, driven step by step."""
 
     def core(self, saved: PersistedState | None = None) -> RaftNode:
         return RaftNode("a#0", saved, ("a#0", "b#0", "c#0"), Timing(), 1, 0.0)
--- a/tests/mesh/test_raft_membership.py
+++ b/tests/mesh/test_raft_membership.py
@@ -1,4 +1,4 @@
-"""Replacement of voters: each step by itself, and a second loss at every step of a replacement."""
+"""Replacement of voters: each step in isolation, and a second loss at every step of a replacement."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 from tests.mesh.chaos import Chaos, Machine
 from tests.mesh.cluster import Cluster, Node, Wrong
 
-SYNC_S = 4.0  # a machine that is gone counts as lost for so long after its successor's start
-GOES_ON_S = 4.0  # two elections, as the vote may be split, and a commit
-SEEDS = (0, 3)  # of odd ones it is the leader that is gone
+SYNC_S = 4.0  # seconds after a loss from which on a second one is tolerated
+GOES_ON_S = 4.0  # seconds; two elections, as a vote may be split, and a commit
+SEEDS = (0, 3)  # with an odd seed, the leader is the voter that fails
 WALKS = 20
 
 
@@ -44,14 +44,14 @@
 
 
 def removes_first(before: VoterView, learner: str) -> tuple[str, ...] | None:
-    """Planted: the silent voter is removed before its successor is added."""
+    """Injected fault: the unresponsive voter is removed before its replacement is added."""
     if len(before.voters) < before.target_size:
         return before.with_added(learner)
     return before.without(before.unresponsive[0]) if before.unresponsive else None
 
 
 class TellsNobody(RaftNode):
-    """Planted: a follower that is asked for its vote by a voter of old doesn't tell the leader."""
+    """Injected fault: a follower does not forward the join of a former voter to the leader."""
 
     def drain(self) -> list[Action]:
         return [
@@ -60,7 +60,7 @@
 
 
 class Steps(unittest.TestCase):
-    """The pure rule, over all groups of 2 to 6 voters and all that may be silent in them."""
+    """The pure functions, for all groups of 2 to 6 voters and all sets of unresponsive voters."""
 
     def views(self) -> Iterator[VoterView]:
         for count, wanted in itertools.product(range(2, 7), (3, 5)):
@@ -70,7 +70,7 @@
                     yield view(voters, away, wanted)
 
     def replaced(self, before: VoterView) -> list[tuple[str, ...]]:
-        """The tables that a group of the wanted number goes through while a learner takes a silent seat."""
+        """The sets of voters of a full group while a learner replaces an unresponsive voter."""
         tables = [before.voters]
         for _ in range(4):
             after = voters_without_surplus(before) or voters_adding(before, "new#0") or before.voters
@@ -85,7 +85,7 @@
         return tables
 
     def test_each_step_bears_as_many_losses_for_good_as_are_promised(self) -> None:
-        """Whichever voters they strike: k of 2k + 1 wanted, at each table of a replacement."""
+        """Any k of 2k + 1 voters may be lost, at each step of a replacement."""
         played = 0
         for before in self.views():
             if not before.unresponsive or len(before.voters) != before.target_size:
@@ -131,11 +131,11 @@
                     self.assertIn(before.leader, after)
 
     def test_one_too_many_is_let_go_once_all_answer(self) -> None:
-        """The silent one is back before it was removed: the one that lags most goes, but not the leader."""
+        """If the unresponsive voter returns, the one that lags most is removed, but never the leader."""
         voters = ("a#0", "c#0", "b#0", "d#0")
         self.assertEqual(voters_without_surplus(view(voters, (), 3)), ("a#0", "b#0", "d#0"))
         quiet = view(voters, (), 3)._replace(responsive=frozenset(voters) - {"c#0"})
-        self.assertIsNone(voters_without_surplus(quiet), "neither silent nor back")
+        self.assertIsNone(voters_without_surplus(quiet), "neither unresponsive nor responsive")
 
     def test_a_lost_disk_is_removed_before_it_is_added(self) -> None:
         voters = ("a#0", "b#0", "c#0")
@@ -156,7 +156,7 @@
 
 
 class Replacement:
-    """A voter is gone for good at 1 s; the steps by which its successor takes its place."""
+    """A voter is lost permanently at 1 s; the steps by which a spare replaces it."""
 
     steps = ("silent", "addition begun", "addition committed", "removal begun", "removal committed")
 
@@ -211,13 +211,13 @@
         self.cluster.until(lambda: max(self.cluster.acknowledged, default=0) > last + 3, within)
 
     def recover_and_check(self) -> None:
-        """All that was acknowledged is there at the end, also on the one that was gone."""
+        """Every acknowledged entry is present at the end, also on the voter that was replaced."""
         self.cluster.recover_and_check()
 
 
 class SecondLoss(unittest.TestCase):
     def each(self, play: Callable[[Replacement, str, str], None], *counts: int) -> None:
-        """Plays it for each step and each role of the second one lost."""
+        """Run the scenario for each step and each role of the second victim."""
         roles = ("leader", "follower", "newcomer")
         for count, seed, step, role in itertools.product(counts, SEEDS, Replacement.steps, roles):
             if count == 5 and seed != SEEDS[-1]:
@@ -241,7 +241,7 @@
         self.each(play, 3, 5)
 
     def test_one_whose_disk_is_lost(self) -> None:
-        """Of three only at the end: with one gone for good, the tolerated one is lost already."""
+        """With three voters only at the last step: until then, the one tolerated loss is used up."""
 
         def play(replacement: Replacement, step: str, role: str) -> None:
             cluster = replacement.cluster
@@ -271,7 +271,7 @@
         self.each(play, 3)
 
     def second_loss(self, seed: int, count: int, unresponsive_after: float) -> None:
-        """For good, as soon as the pages count the first as made up for."""
+        """A second permanent loss, as soon as the first counts as replaced."""
         replacement = Replacement(seed, count, unresponsive_after)
         cluster = replacement.cluster
         cluster.run(SYNC_S)
@@ -293,7 +293,7 @@
                 self.second_loss(0, count, 30.0)
 
     def test_a_disk_is_lost_while_the_silent_one_is_only_restarting(self) -> None:
-        """At each step of a replacement, of any other: one loss for good, and the group goes on."""
+        """At each step of a replacement another node loses its disk: one permanent loss is tolerated."""
 
         def play(replacement: Replacement, step: str, role: str) -> None:
             cluster, victim = replacement.cluster, replacement.victim(role)
@@ -306,7 +306,7 @@
         self.each(play, 3)
 
     def test_removal_first_is_found(self) -> None:
-        """The leader's disk is lost once the silent voter is removed, which is just restarting."""
+        """The leader's disk is lost once the unresponsive voter, which is only restarting, is removed."""
         self.lost_while_one_restarts("addition begun")
         with mock.patch.object(membership, "_next_voters", removes_first), self.assertRaises(Wrong):
             self.lost_while_one_restarts("removal begun, no addition")
@@ -322,7 +322,7 @@
 
 class Growth(unittest.TestCase):
     def bears_one_more(self, cluster: Cluster, lost: Node) -> bool:
-        """By the newest voters, agreed and four at least, with `lost` away."""
+        """Whether the newest voters are committed, four at least, and tolerate a loss besides `lost`."""
         core = cluster.led().live
         left = len(set(core.voters) - {lost.name}) - 1
         agreed = core.log.voters_index <= core.commit_index
@@ -365,7 +365,7 @@
                 cluster.recover_and_check()
 
     def test_a_replaced_voter_finds_a_leader_that_it_never_knew(self) -> None:
-        """Its old table names the followers alone: they tell the leader of it."""
+        """Its outdated set of voters names only the followers, which forward its join to the leader."""
         self.returns_to_a_new_leader(RaftNode)
         with self.assertRaises(Wrong):
             self.returns_to_a_new_leader(TellsNobody)
@@ -395,11 +395,11 @@
         cluster.until(lambda: away.live.role is Role.LEARNER, 2.0)
         cluster.run(5.0)
         self.assertEqual((cluster.led().live.term, len(cluster.led().live.voters)), (term, 3))
-        self.assertNotIn(away.name, cluster.led().live.voters, "it doesn't flap")
+        self.assertNotIn(away.name, cluster.led().live.voters, "it is not added again")
 
 
 class Restless(Chaos):
-    """The adversary over replacements: voters are gone or retire more often, and seats are given up soon."""
+    """The adversary with frequent replacements: more voters are lost or shut down, and are replaced early."""
 
     def __init__(self, seed: int, count: int, spares: int, node_type: type[RaftNode]) -> None:
         self.removed_as_learners = set[str]()
@@ -417,7 +417,7 @@
             self.stop(machine)
 
     def lost(self, *more: Machine) -> int:
-        """A learner counts too, as it may just be added: lost in `more`, or empty, or gone as a learner."""
+        """Counts learners too, which may just be added: lost in `more`, without data, or removed."""
         if not self.table:
             return super().lost(*more)
         entry = self.agreed[self.table]
@@ -443,7 +443,7 @@
 
 
 class SwapsAtOnce(Reconfiguration):
-    """Planted: the successor takes the seat of the unresponsive voter by one change."""
+    """Injected fault: replaces the unresponsive voter by the learner in one change."""
 
     def change_voters(self, now: float) -> None:
         member = self._member
@@ -472,7 +472,7 @@
         removed = sum(
             machine.removed for seed in range(WALKS) for machine in self.walk(seed).machines.values()
         )
-        self.assertGreater(removed, WALKS // 5, "so few are gone that little is proven")
+        self.assertGreater(removed, WALKS // 5, "too few removed machines for a meaningful test")
 
     def test_a_swap_by_one_change_is_found(self) -> None:
         with self.assertRaises((Wrong, ConsensusViolationError)):
@@ -480,8 +480,8 @@
         self.helped_up_and_replaced(RaftNode)
 
     def helped_up_and_replaced(self, node_type: type[RaftNode]) -> None:
-        """n0 leads. n2 helps n1 up in a newer term, n0 hears of neither and has the learner n3 at hand: if it
-        commits with that one alone, two leaders agree on different things.
+        """n0 leads. n2 votes for n1 in a newer term; n0 hears from neither and has the learner n3. If n0
+        commits with n3 alone, two leaders commit different entries.
         """
         with mock.patch.object(chaos, "UNRESPONSIVE_S", 0.3):
             walk = Chaos(1, 3, 1, node_type)
@@ -507,7 +507,7 @@
         walk.recover_and_check()
 
     def among(self, walk: Chaos, *machines: Machine) -> None:
-        """All that these say to each other arrives, and is synced; the rest is lost."""
+        """Deliver all messages between these and complete their writes; other messages are lost."""
         names = {machine.ip for machine in machines}
         for _ in range(30):
             wire, walk.wire = walk.wire, []
--- a/tests/mesh/test_raft_partitions.py
+++ b/tests/mesh/test_raft_partitions.py
@@ -1,4 +1,4 @@
-"""One-way cuts of 20 s, restarts under them, and leases that end in time."""
+"""One-way partitions of 20 s, restarts during them, and leases that expire in time."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 PARTITION_S = 20.0
 SEEDS = (1,)
-RESTARTS = (None, 0.2, 5.0, 19.9)  # seconds into the cut at which the one that is cut restarts
+RESTARTS = (None, 0.2, 5.0, 19.9)  # seconds into the partition at which the partitioned node restarts
 
 
 class LeaseByArrival(Leader):
-    """Planted: an answer counts from when it came, not from when the message that it answers was sent."""
+    """Injected fault: the lease counts from the arrival of responses, not from when messages were sent."""
 
     def quorum_acknowledged_sent_at(self, now: float) -> float:
         return self.quorum_last_response_at(now)
@@ -30,7 +30,7 @@
 
 
 class LeadsWithoutContact(Leader):
-    """Planted: a leader that no majority answers goes on."""
+    """Injected fault: a leader continues although no majority responds."""
 
     def has_lost_quorum(self, now: float) -> bool:
         return False
@@ -44,7 +44,7 @@
 
 
 class CommitsWithoutQuorum(Leader):
-    """Planted: any one other copy counts as a majority."""
+    """Injected fault: a single other copy counts as a majority."""
 
     def update_commit_index(self, now: float) -> None:
         member = self._member
@@ -58,7 +58,7 @@
 
 
 class LeadsOnAfterRestart(RaftNode):
-    """Planted: a restarted member takes up the leadership that its vote shows."""
+    """Injected fault: a restarted member resumes leadership if it had voted for itself."""
 
     def tick(self, now: float) -> list[Action]:
         if not hasattr(self, "looked"):
@@ -69,7 +69,7 @@
 
 
 class UnseatsOnReturn(Election):
-    """Planted: stands without asking first, whoever leads."""
+    """Injected fault: starts an election without a pre-vote, although there is a leader."""
 
     def _start_pre_vote(self, now: float) -> None:
         self._start_candidacy(now, leadership_transfer=True)
@@ -80,7 +80,7 @@
 
 
 def checked(cluster: Cluster, seconds: float) -> None:
-    """Time goes on, and at each look one node at most has a lease."""
+    """Run for some time, and check repeatedly that at most one node has a lease."""
     end = cluster.now + seconds
     while cluster.now < end:
         cluster.run(0.1)
@@ -90,7 +90,7 @@
             if node.core is not None and not node.frozen and node.core.has_lease(cluster.now)
         ]
         if len(holding) > 1:
-            raise Wrong(f"leases of {[node.name for node in holding]} at once")
+            raise Wrong(f"leases of {[node.name for node in holding]} at the same time")
         for node in holding:
             cluster.check(node)
 
@@ -111,7 +111,7 @@
         restart: float | None,
         spares: int = 0,
     ) -> tuple[Cluster, Node]:
-        """The picked one is cut off one way for 20 s and restarts in it; the others go on all the time."""
+        """Partition the picked node one way for 20 s and restart it meanwhile; the others make progress."""
         cluster, leader = self.begun(seed, spares)
         node = pick(leader, cluster)
         cluster.isolate(node.ip, receives=receives, reaches=not receives)
@@ -128,7 +128,7 @@
         cluster.start(node)
 
     def returns(self, cluster: Cluster, node: Node) -> None:
-        """A good leader isn't unseated by it, and it is in touch soon."""
+        """The returning node does not disrupt a working leader and is soon in contact with it."""
         leader = cluster.led()
         self.assertIsNot(leader, node)
         term = leader.live.term
@@ -152,7 +152,7 @@
                 self.returns(*self.disconnect(seed, lambda leader, _: leader, receives, restart))
 
     def test_one_whose_seat_goes_to_a_spare(self) -> None:
-        """It returns as a learner, and again nobody is unseated."""
+        """It returns as a learner, and the leader is not disrupted."""
         for leads, receives, restart in itertools.product((False, True), (False, True), (None, 5.0)):
             with self.subTest(leads=leads, receives=receives, restart=restart):
 
@@ -166,7 +166,7 @@
                 self.assertNotIn(node.name, cluster.led().live.voters)
 
     def test_one_direction_of_one_link(self) -> None:
-        """Only leader and one follower, one way: the other two links are whole."""
+        """Only between the leader and one follower, one way; the other two links work."""
         for seed, out in itertools.product(range(2), (False, True)):
             with self.subTest(seed=seed, out=out):
                 cluster, leader = self.begun(seed)
@@ -184,7 +184,7 @@
 
 
 class Planted(unittest.TestCase):
-    """Each of these is found by a cut, and the core as it is isn't."""
+    """A partition reveals each of these faults; the unchanged core passes the same scenarios."""
 
     def found(self, node_type: type[RaftNode], play: Callable[[type[RaftNode], int], None]) -> None:
         for seed in range(8):
@@ -194,7 +194,7 @@
                 play(node_type, seed)
 
     def frozen(self, node_type: type[RaftNode], seed: int) -> None:
-        """The leader freezes with answers under way; the others choose another; it wakes and reads them."""
+        """The leader freezes with responses in transit and another is elected; then it reads them."""
         cluster = Cluster(seed, 3, node_type)
         leader = cluster.led()
         cluster.load(0.02, 6.0)
@@ -242,7 +242,7 @@
         cluster.disconnected.clear()
         checked(cluster, 2.0)
         if cluster.led() is not leader:
-            raise Wrong("a good leader is unseated")
+            raise Wrong("a working leader is replaced")
 
     def test_a_lease_not_bounded_by_the_leaders_own_stamps(self) -> None:
         self.found(LeaseByArrivalNode, self.frozen)
--- a/tests/mesh/test_raft_placement.py
+++ b/tests/mesh/test_raft_placement.py
@@ -1,4 +1,4 @@
-"""Placement of voters over zones and regions: the pure rules, and groups that move by them."""
+"""Placement of voters in zones and regions: the pure functions, and groups that change accordingly."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def located(zones: str, region: str = "r") -> dict[str, Location]:
-    """Machines n0, n1, ... in zones of one letter each."""
+    """Locations of machines n0, n1, ..., with one letter per zone."""
     return {f"n{n}": Location(zone, region) for n, zone in enumerate(zones)}
 
 
@@ -31,7 +31,7 @@
 
 
 def survives(zones: tuple[str, ...], losses: int) -> bool:
-    """By trial: whichever zones are lost, a majority is left."""
+    """Exhaustive search: whichever zones are lost, a majority remains."""
     for lost in itertools.combinations(set(zones), min(losses, len(set(zones)))):
         if 2 * sum(zone not in lost for zone in zones) <= len(zones):
             return False
@@ -52,7 +52,9 @@
 
     def test_regions_come_before_zones(self) -> None:
         places = {"n0": Location("1", "x"), "n1": Location("1", "y"), "n2": Location("1", "z")}
-        self.assertTrue(tolerates(names(3), places, Tolerated(1, 1, 1)), "zones of one name in three regions")
+        self.assertTrue(
+            tolerates(names(3), places, Tolerated(1, 1, 1)), "zones of the same name in three regions"
+        )
         places["n2"] = Location("2", "y")
         self.assertEqual(shortfall(names(3), places, Tolerated(1, 1, 1)), (1, 0))
 
@@ -81,7 +83,7 @@
             self.assertFalse(improves(names(3), "n3#0", "n0#0", located(zones), ZONE), zones)
 
     def test_swaps_end(self) -> None:
-        """From any placement of five over four zones with spares, and no swap is undone."""
+        """From any placement of five voters in four zones with spares, a bounded number of swaps suffices."""
         for zones in itertools.product("abcd", repeat=5):
             places = located("".join(zones) + "abcd")
             voters, learners = names(5), list(names(9)[5:])
@@ -114,7 +116,7 @@
         )
 
     def loses(self, cluster: Cluster, zone: str) -> None:
-        """A whole zone at once, and the rest goes on."""
+        """Lose a whole zone at once; the rest continues."""
         for node in cluster.nodes.values():
             if cluster.locations[node.ip].zone == zone:
                 cluster.power(node)
@@ -132,7 +134,7 @@
     def test_without_placement_the_loss_of_a_zone_stops_it(self) -> None:
         cluster = self.group(1, located("aaabc"), Tolerated())
         cluster.run(4.0)
-        self.assertEqual(sorted(cluster.led().live.voters), list(names(3)), "nothing moves")
+        self.assertEqual(sorted(cluster.led().live.voters), list(names(3)), "no voter is replaced")
         with self.assertRaises(Wrong):
             self.loses(cluster, "a")
 
@@ -171,7 +173,7 @@
         cluster.until(lambda: self.placed(cluster, ZONE), 4.0)
 
     def test_the_learner_that_improves_placement_best_is_added(self) -> None:
-        """Of zones a, b, c the voter in c is gone: another of c is taken, whichever name comes first."""
+        """The voter in zone c fails: a learner in c replaces it, whichever name sorts first."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 cluster = self.group(seed, located("abcabc"), ZONE)
@@ -182,7 +184,7 @@
                 cluster.recover_and_check()
 
     def test_a_second_loss_in_the_middle_of_a_swap(self) -> None:
-        """Four voters: leader, follower or newcomer dies, and what is left goes on and moves on."""
+        """With four voters one of them fails; the rest makes progress and completes the swap."""
         for seed, role in itertools.product(SEEDS, range(4)):
             with self.subTest(seed=seed, role=role):
                 cluster = self.group(seed, located("aaabc"), ZONE)
--- a/tests/mesh/test_raft_shutdown.py
+++ b/tests/mesh/test_raft_shutdown.py
@@ -1,4 +1,4 @@
-"""Planned ends: leadership is transferred, and nothing is held by the one that leaves alone."""
+"""Graceful shutdown: leadership is transferred, and no data is only on the member that exits."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class EndsAtOnce(GracefulShutdown):
-    """Planted: the process ends without a look at what it holds alone."""
+    """Injected fault: the process exits without checking for data that only it has."""
 
     def may_end(self, now: float) -> bool:
         return self._state.started_at is not None
@@ -29,7 +29,7 @@
 
 
 class CountsItself(GracefulShutdown):
-    """Planted: what is committed counts as held by the others, though it was counted itself."""
+    """Injected fault: committed entries count as stored by the others, although it counted itself."""
 
     def may_end(self, now: float) -> bool:
         begun = self._state.started_at is not None
@@ -41,7 +41,7 @@
 
 
 class HandsNothingOver(LeadershipTransfer):
-    """Planted: a leader that is to end just waits."""
+    """Injected fault: a stopping leader does not transfer leadership."""
 
     def continue_transfer(self, now: float) -> bool:
         return self._shutdown.started_at is None and super().continue_transfer(now)
@@ -52,7 +52,7 @@
 
 
 def copies(cluster: Cluster, index: int, without: Node) -> int:
-    """The disks of others that hold the entry at `index`, or a snapshot with it."""
+    """Number of other disks that have the entry at `index`, or a snapshot that covers it."""
     disks = [node.disk.saved for node in cluster.nodes.values() if node is not without]
     return sum(
         saved is not None
@@ -97,7 +97,7 @@
             self.goes_on(cluster, 0.3)
 
     def has_no_sole_copy(self, seed: int, node_type: type[RaftNode], leads: bool) -> None:
-        """When it ends, each acknowledged entry is on as many disks of others as make a majority."""
+        """When the member exits, each acknowledged entry must be on enough other disks for a majority."""
         cluster = self.begun(seed, 3, node_type, sync=(0.005, 0.15), delay=0.06)
         leader = cluster.led()
         node = leader if leads else next(n for n in cluster.nodes.values() if n is not leader)
@@ -108,7 +108,7 @@
         waited = cluster.left[-1][1] - started
         alone = [index for index in cluster.acknowledged if copies(cluster, index, node) < 2]
         if alone and waited < SHUTDOWN_TIMEOUT_S:
-            raise Wrong(f"{alone} are held by less than a majority without {node.name}")
+            raise Wrong(f"{alone} are on less than a majority of disks without {node.name}")
         cluster.lose_disk(node)
         cluster.recover_and_check()
 
@@ -138,7 +138,7 @@
                 cluster.recover_and_check()
 
     def test_a_successor_that_lags_is_waited_for(self) -> None:
-        """All that is left has slow links; the leader gives it time, and ends in any case."""
+        """The only successor has slow links: the leader waits for it, but exits in any case."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 cluster = self.begun(seed, delay=0.15)
@@ -166,7 +166,7 @@
         self.assertIsNone(leader.live.propose(cluster.now, b"late"))
 
     def test_during_an_election(self) -> None:
-        """The leader dies, and a follower is told to end: another is elected, never that one."""
+        """The leader fails and a follower is shutting down: another one must be elected."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 cluster = self.begun(seed, 5)
@@ -183,7 +183,7 @@
                 cluster.recover_and_check()
 
     def test_two_at_once_of_five(self) -> None:
-        """Leadership goes to one that stays."""
+        """Leadership goes to a voter that is not shutting down."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 cluster = self.begun(seed, 5)
@@ -210,7 +210,7 @@
                 cluster.recover_and_check()
 
     def test_rolling(self) -> None:
-        """Each is ended and started again, one after the other, always the leader or always another."""
+        """Restart the nodes one after the other, where possible always the leader or never the leader."""
         for seed, leads in itertools.product(SEEDS, (False, True)):
             with self.subTest(seed=seed, leads=leads):
                 cluster = self.begun(seed)
@@ -228,7 +228,7 @@
 
 
 class Alone(unittest.TestCase):
-    """One core by hand."""
+    """A single core, driven step by step."""
 
     def led(self) -> tuple[RaftNode, float]:
         core, now = RaftNode("a#0", None, ("a#0",), Timing(), 1, 0.0), 0.0
@@ -239,7 +239,7 @@
                 if isinstance(action, Persist):
                     actions += core.persisted(now, action.write_id)
             if now > 5.0:
-                raise Wrong("the only voter doesn't lead")
+                raise Wrong("the only voter does not become leader")
         return core, now
 
     def test_one_that_was_not_asked_to_end(self) -> None:
--- a/tests/mesh/test_raft_snapshots.py
+++ b/tests/mesh/test_raft_snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots that travel in pieces: lost pieces, other leaders, slow links, damage."""
+"""Snapshot transfer in chunks: lost chunks, leader changes, slow links, corruption."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 BIG = b"".join(bytes([n % 251]) * 1000 for n in range(600))
 CHUNKS = -(-len(BIG) // CHUNK_BYTES)
-SLOW = 331_000  # bytes a second
-CONTROL = Timing(0.05, 0.25)  # as the control servers have it
+SLOW = 331_000  # bandwidth of the slow link
+CONTROL = Timing(0.05, 0.25)  # as used by the control servers
 
 
 class StartsAnew(Follower):
-    """Planted: what was received is forgotten with the leader that sent it."""
+    """Injected fault: a leader change discards what was received."""
 
     def reset_match(self) -> None:
         self.incoming_snapshot = None
@@ -38,7 +38,7 @@
 
 
 class TrustsWhatItGot(IncomingSnapshot):
-    """Planted: the checksum isn't looked at."""
+    """Injected fault: the checksum is not verified."""
 
     @property
     def is_intact(self) -> bool:
@@ -46,7 +46,7 @@
 
 
 class RetriesByTimer(OutgoingSnapshot):
-    """Planted: a piece is sent again with each heartbeat, whatever has been answered."""
+    """Injected fault: a chunk is sent again with each heartbeat, whether acknowledged or not."""
 
     def next_chunk(self, size: int, sequence: int) -> bytes:
         self._chunk_sequence = None
@@ -58,7 +58,7 @@
 
 
 class Transfer(Cluster):
-    """One member of five lost its disk, and needs a snapshot of `BIG`; what is sent of it is counted."""
+    """One member of five lost its disk and needs a snapshot of `BIG`; the chunks sent are counted."""
 
     def __init__(self, seed: int, node_type: type[RaftNode] = RaftNode, slow: bool = False) -> None:
         self.pieces, self.lose = 0, set[int]()
@@ -77,7 +77,7 @@
         self.began = self.now
 
     def load_snapshot(self, node: Node, data: bytes) -> None:
-        """Not what was agreed: only how it travels is looked at."""
+        """Install data other than the committed entries: only the transfer is tested."""
         log, index = node.live.log, min(each.live.last_applied for each in self.nodes.values())
         log.retained_entries = 0
         log.compact(Snapshot(index, log.term_at(index), log.voters, data))
@@ -97,7 +97,7 @@
                 super().act(node, [action])
 
     def queue(self, node: Node, send: Send) -> None:
-        """Over a slow link, in order."""
+        """Send over a slow link, in order."""
         packed, target = msgpack.packb(encode_message(send.message)), self.nodes[address_of(send.to)]
         link = (node.ip, target.ip)
         self.link_free[link] = max(self.link_free.get(link, 0.0), self.now) + len(packed) / SLOW
@@ -116,7 +116,7 @@
     def until_it_has(self, count: int) -> None:
         while not self.has(count):
             if self.arrived():
-                raise Wrong("all of it has arrived")
+                raise Wrong("the whole snapshot has already arrived")
             self.run(0.001)
 
     def arrived(self) -> bool:
@@ -151,7 +151,7 @@
         return transfer.pieces
 
     def test_leader_changes_at_each_chunk(self) -> None:
-        """At most the piece that was under way is sent again."""
+        """At most the chunk in flight is sent again."""
         for count in range(1, CHUNKS):
             with self.subTest(count=count):
                 self.assertLessEqual(self.leader_changes_at(count, RaftNode), CHUNKS + 1)
@@ -185,7 +185,7 @@
         incoming.data[70_000] ^= 1
         transfer.until(lambda: transfer.learner.live.log.snapshot.index > 0, 6.0)
         if not transfer.arrived():
-            raise Wrong("a damaged snapshot is installed")
+            raise Wrong("a corrupted snapshot is installed")
 
     def test_damage_is_seen(self) -> None:
         self.damaged()
