--- a/tests/mesh/test_raft.py
+++ b/tests/mesh/test_raft.py
@@ -27,7 +27,7 @@
 from minthitch.mesh.raft.node import RaftNode
 from minthitch.mesh.raft.reconfiguration import Reconfiguration
 from tests.mesh.chaos import Chaos
-from tests.mesh.cluster import Cluster, Node, Schedule, Wrong
+from tests.mesh.cluster import Cluster, InvariantViolationError, Node, Schedule
 
 SCHEDULES = 180
 WALKS, STEPS = 120, 4_000  # of the adversary
@@ -69,15 +69,15 @@
     leader_type = CountsUnsynced
 
 
-class ForgetsLease(Election):
+class IgnoresLease(Election):
     """Injected fault: votes for another although a leader was just heard from."""
 
     def hears_live_leader(self, now: float) -> bool:
         return False
 
 
-class ForgetsLeaseNode(RaftNode):
-    election_type = ForgetsLease
+class IgnoresLeaseNode(RaftNode):
+    election_type = IgnoresLease
 
 
 class SwapsAtOnce(Reconfiguration):
@@ -94,23 +94,23 @@
     reconfiguration_type = SwapsAtOnce
 
 
-class Schedules(unittest.TestCase):
-    def test_drawn(self) -> None:
+class RandomSchedules(unittest.TestCase):
+    def test_random_schedules(self) -> None:
         acknowledged = 0
         for seed in range(SCHEDULES):
             with self.subTest(seed=seed):
-                acknowledged += len(Schedule(seed).play().acknowledged)
+                acknowledged += len(Schedule(seed).run_scenario().acknowledged)
         self.assertGreater(acknowledged, 50 * SCHEDULES, "too few acknowledged entries for a meaningful test")
 
 
-class Planted(unittest.TestCase):
+class InjectedFaults(unittest.TestCase):
     """The checks are effective: some schedule finds each of these faults."""
 
     def find(self, node_type: type[RaftNode], seeds: range) -> None:
         for seed in seeds:
             try:
-                Schedule(seed, node_type, seconds=4.0, storm=True).play()
-            except (Wrong, ConsensusViolationError):
+                Schedule(seed, node_type, seconds=4.0, storm=True).run_scenario()
+            except (InvariantViolationError, ConsensusViolationError):
                 return
         self.fail(f"{node_type.__name__} is not found")
 
@@ -125,28 +125,28 @@
 
     def test_lease_forgotten(self) -> None:
         """A follower cut off from the leader alone gets the third vote, and two leaders have a lease."""
-        with self.assertRaises(Wrong):
+        with self.assertRaises(InvariantViolationError):
             for seed in range(40):
-                self.disconnected_from_leader(seed, ForgetsLeaseNode)
+                self.disconnected_from_leader(seed, IgnoresLeaseNode)
         for seed in range(40):
             self.disconnected_from_leader(seed, RaftNode)
 
     def disconnected_from_leader(self, seed: int, node_type: type[RaftNode]) -> None:
         cluster = Cluster(seed, node_type=node_type)
-        leader = cluster.led()
+        leader = cluster.wait_for_leader()
         other = next(n for n in cluster.nodes.values() if n is not leader)
         cluster.disconnect(leader.ip, other.ip, both=True)
-        cluster.until(lambda: other.live.role is Role.CANDIDATE)
+        cluster.run_until(lambda: other.live.role is Role.CANDIDATE)
         cluster.isolate(leader.ip)
         cluster.load(0.02, 3.0)
         cluster.run(1.0)
 
 
-class Named(unittest.TestCase):
-    def begun(self, seed: int = 1, count: int = 3, **more: Any) -> tuple[Cluster, Node]:
+class Scenarios(unittest.TestCase):
+    def start_cluster(self, seed: int = 1, count: int = 3, **more: Any) -> tuple[Cluster, Node]:
         """A cluster with a leader and some acknowledged entries."""
         cluster = Cluster(seed, count, **more)
-        leader = cluster.led()
+        leader = cluster.wait_for_leader()
         cluster.load(0.02, 30.0)
         cluster.run(0.5)
         self.assertTrue(cluster.acknowledged)
@@ -155,38 +155,38 @@
     def others(self, cluster: Cluster, *but: Node) -> list[Node]:
         return [n for n in cluster.nodes.values() if n not in but]
 
-    def goes_on(self, cluster: Cluster, within: float) -> None:
+    def assert_progress(self, cluster: Cluster, within: float) -> None:
         """New proposals are acknowledged within this many seconds."""
         last = max(cluster.acknowledged, default=0)
-        cluster.until(lambda: max(cluster.acknowledged, default=0) > last + 3, within)
+        cluster.run_until(lambda: max(cluster.acknowledged, default=0) > last + 3, within)
 
     def test_first_start(self) -> None:
         for seed in range(20):
             cluster = Cluster(seed)
-            cluster.until(lambda c=cluster: c.leader() is not None, 3.0)  # type: ignore[misc]
+            cluster.run_until(lambda c=cluster: c.leader() is not None, 3.0)  # type: ignore[misc]
 
     def test_leader_that_reaches_nobody(self) -> None:
         for seed in range(10):
-            cluster, leader = self.begun(seed)
+            cluster, leader = self.start_cluster(seed)
             cluster.isolate(leader.ip, receives=True)
             cluster.run(0.2)
-            self.goes_on(cluster, 2.5)
-            self.assertIsNot(cluster.led(), leader)
+            self.assert_progress(cluster, 2.5)
+            self.assertIsNot(cluster.wait_for_leader(), leader)
             cluster.recover_and_check()
 
     def test_leader_that_hears_nothing(self) -> None:
         """It must step down by itself, or its heartbeats would keep the others from electing another."""
         for seed in range(10):
-            cluster, leader = self.begun(seed)
+            cluster, leader = self.start_cluster(seed)
             cluster.isolate(leader.ip, reaches=True)
             cluster.run(0.2)
-            self.goes_on(cluster, 3.5)
-            self.assertIsNot(cluster.led(), leader)
+            self.assert_progress(cluster, 3.5)
+            self.assertIsNot(cluster.wait_for_leader(), leader)
             cluster.recover_and_check()
 
-    def test_follower_partitioned_one_way_unseats_nobody(self) -> None:
+    def test_follower_partitioned_one_way_does_not_disrupt_the_leader(self) -> None:
         for receives in (False, True):
-            cluster, leader = self.begun(3)
+            cluster, leader = self.start_cluster(3)
             term = leader.live.term
             cluster.isolate(self.others(cluster, leader)[0].ip, receives=receives, reaches=not receives)
             cluster.run(5.0)
@@ -196,34 +196,36 @@
             self.assertEqual(leader.live.term, term)
 
     def test_isolated_node_returns(self) -> None:
-        cluster, leader = self.begun(4)
+        cluster, leader = self.start_cluster(4)
         term = leader.live.term
         cluster.isolate(self.others(cluster, leader)[0].ip)
         cluster.run(10.0)
         cluster.disconnected.clear()
         cluster.run(2.0)
-        self.assertEqual((cluster.led(), leader.live.term), (leader, term))
+        self.assertEqual((cluster.wait_for_leader(), leader.live.term), (leader, term))
         cluster.recover_and_check()
 
     def test_frozen_leader_wakes(self) -> None:
         for seed in range(10):
-            cluster, leader = self.begun(seed)
+            cluster, leader = self.start_cluster(seed)
             cluster.freeze(leader)
             cluster.run(0.2)
-            self.goes_on(cluster, 2.5)
-            new = cluster.led()
+            self.assert_progress(cluster, 2.5)
+            new = cluster.wait_for_leader()
             term = new.live.term
             self.assertFalse(leader.live.has_lease(cluster.now))
             cluster.thaw(leader)
             cluster.run(2.0)
-            self.assertEqual((cluster.led(), new.live.term, leader.live.role), (new, term, Role.FOLLOWER))
+            self.assertEqual(
+                (cluster.wait_for_leader(), new.live.term, leader.live.role), (new, term, Role.FOLLOWER)
+            )
             cluster.recover_and_check()
 
     def test_frozen_leader_does_not_trust_old_answers(self) -> None:
-        cluster, leader = self.begun(2)
+        cluster, leader = self.start_cluster(2)
         cluster.freeze(leader)
         cluster.run(3.0)
-        for call in leader.waiting[:20]:
+        for call in leader.deferred_calls[:20]:
             leader.frozen = False
             call()
             self.assertFalse(leader.live.has_lease(cluster.now))
@@ -233,42 +235,42 @@
 
     def test_disk_hung_while_leading(self) -> None:
         for seed in range(10):
-            cluster, leader = self.begun(seed)
+            cluster, leader = self.start_cluster(seed)
             leader.disk.hung_until = cluster.now + 8.0
             cluster.run(0.1)
-            cluster.until(lambda c=cluster, n=leader: c.leader() not in (None, n), 1.5)  # type: ignore[misc]
-            self.goes_on(cluster, 1.0)
+            cluster.run_until(lambda c=cluster, n=leader: c.leader() not in (None, n), 1.5)  # type: ignore[misc]
+            self.assert_progress(cluster, 1.0)
             cluster.run(5.0)
-            self.assertIsNot(cluster.led(), leader)
+            self.assertIsNot(cluster.wait_for_leader(), leader)
             cluster.recover_and_check()
 
-    def test_wiped_machine_is_taken_in_then_another_is_wiped(self) -> None:
+    def test_machines_lose_their_disks_one_after_the_other(self) -> None:
         for seed in range(6):
-            cluster, leader = self.begun(seed)
+            cluster, leader = self.start_cluster(seed)
             for node in (leader, *self.others(cluster, leader)):
                 cluster.lose_disk(node)
                 cluster.run(0.3)
                 cluster.start(node)
                 self.assertEqual(node.live.role, Role.LEARNER)
-                cluster.until(lambda c=cluster: c.taken_in(), 6.0)  # type: ignore[misc]
-            self.assertEqual(sorted(cluster.led().live.voters), ["n0#1", "n1#1", "n2#1"])
+                cluster.run_until(lambda c=cluster: c.all_rejoined(), 6.0)  # type: ignore[misc]
+            self.assertEqual(sorted(cluster.wait_for_leader().live.voters), ["n0#1", "n1#1", "n2#1"])
             cluster.recover_and_check()
 
-    def test_wiped_then_all_power_lost(self) -> None:
+    def test_disk_loss_then_power_loss_of_all(self) -> None:
         for seed in range(10):
-            cluster, leader = self.begun(seed)
+            cluster, leader = self.start_cluster(seed)
             for n, node in enumerate(cluster.nodes.values()):
-                (cluster.lose_disk if n == seed % 3 else cluster.power)(node)
+                (cluster.lose_disk if n == seed % 3 else cluster.lose_power)(node)
             for node in cluster.nodes.values():
                 cluster.start(node)
             cluster.recover_and_check()
 
     def test_all_power_lost_and_again_in_recovery(self) -> None:
         for seed in range(10):
-            cluster, _ = self.begun(seed)
+            cluster, _ = self.start_cluster(seed)
             for again in (0.3, 0.75, 1.0):
                 for node in cluster.nodes.values():
-                    cluster.power(node)
+                    cluster.lose_power(node)
                 for node in cluster.nodes.values():
                     cluster.start(node)
                 cluster.run(again)
@@ -276,7 +278,7 @@
 
     def test_snapshot_half_sent(self) -> None:
         """In the middle of a snapshot of many chunks the learner loses power, then the leader does."""
-        cluster, leader = self.begun(5)
+        cluster, leader = self.start_cluster(5)
         cluster.run(1.5)
         cluster.snapshot_every = 1_000_000
         big = b"".join(bytes([n % 251]) * 1000 for n in range(600))
@@ -286,75 +288,79 @@
             log.compact(log.snapshot)
             log.snapshot.data = big  # not the committed data: only the transfer is tested
         learner = self.others(cluster, leader)[0]
-        cluster.restore = self.placed  # type: ignore[method-assign]
+        cluster.restore = self.skip_restore  # type: ignore[method-assign]
         cluster.lose_disk(learner)
         cluster.start(learner)
-        self.half(cluster, learner)
-        cluster.power(learner)
+        self.run_until_half_received(cluster, learner)
+        cluster.lose_power(learner)
         cluster.start(learner)
-        self.half(cluster, learner)
-        cluster.power(leader)
+        self.run_until_half_received(cluster, learner)
+        cluster.lose_power(leader)
         cluster.run(0.1)
         cluster.start(leader)
-        cluster.until(lambda: learner.live.log.snapshot.data == big, 10.0)
+        cluster.run_until(lambda: learner.live.log.snapshot.data == big, 10.0)
 
-    def placed(self, node: Node, action: Restore) -> None:
+    def skip_restore(self, node: Node, action: Restore) -> None:
         node.applied_index = action.index
 
-    def half(self, cluster: Cluster, learner: Node) -> None:
-        cluster.until(lambda: len(getattr(learner.live.follower.incoming_snapshot, "data", b"")) > 200_000)
+    def run_until_half_received(self, cluster: Cluster, learner: Node) -> None:
+        cluster.run_until(
+            lambda: len(getattr(learner.live.follower.incoming_snapshot, "data", b"")) > 200_000
+        )
 
     def test_follower_far_behind(self) -> None:
-        cluster, leader = self.begun(6)
+        cluster, leader = self.start_cluster(6)
         behind = self.others(cluster, leader)[0]
-        cluster.power(behind)
+        cluster.lose_power(behind)
         cluster.load(0.002, 3.0)
         cluster.run(4.0)
         self.assertGreater(
             leader.live.log.base_index, 700, "the log was compacted, so the follower needs a snapshot"
         )
         cluster.start(behind)
-        cluster.until(lambda: behind.applied_index >= leader.applied_index - 20, 3.0)
+        cluster.run_until(lambda: behind.applied_index >= leader.applied_index - 20, 3.0)
         cluster.recover_and_check()
 
     def test_spare_replaces_a_failed_voter(self) -> None:
-        cluster, leader = self.begun(7, spares=1)
+        cluster, leader = self.start_cluster(7, spares=1)
         cluster.run(2.0)
         self.assertEqual(sorted(leader.live.voters), ["n0#0", "n1#0", "n2#0"])
         removed = self.others(cluster, leader, cluster.nodes["n3"])[0]
-        cluster.power(removed)
-        cluster.until(lambda: "n3#0" in cluster.led().live.voters, 8.0)
-        cluster.until(lambda: removed.name not in cluster.led().live.voters, 0.5)
-        self.assertEqual(len(cluster.led().live.voters), 3)
+        cluster.lose_power(removed)
+        cluster.run_until(lambda: "n3#0" in cluster.wait_for_leader().live.voters, 8.0)
+        cluster.run_until(lambda: removed.name not in cluster.wait_for_leader().live.voters, 0.5)
+        self.assertEqual(len(cluster.wait_for_leader().live.voters), 3)
         cluster.start(removed)
-        cluster.until(lambda: removed.live.role == Role.LEARNER, 5.0)
+        cluster.run_until(lambda: removed.live.role == Role.LEARNER, 5.0)
         cluster.run(3.0)
         self.assertEqual(
-            removed.live.leader, cluster.led().name, "it is replicated to as long as it requests to join"
+            removed.live.leader,
+            cluster.wait_for_leader().name,
+            "it is replicated to as long as it requests to join",
         )
 
     def test_grows_to_five(self) -> None:
         cluster = Cluster(8, 3, spares=2)
-        cluster.wanted = 5
+        cluster.voter_count = 5
         for node in cluster.nodes.values():
             node.live.reconfiguration.policy.target_size = 5
-        cluster.until(cluster.is_consistent, 10.0)
-        self.assertEqual(len(cluster.led().live.voters), 5)
+        cluster.run_until(cluster.is_consistent, 10.0)
+        self.assertEqual(len(cluster.wait_for_leader().live.voters), 5)
 
     def test_lossy_links(self) -> None:
-        cluster, _ = self.begun(9)
+        cluster, _ = self.start_cluster(9)
         cluster.loss = 0.3
         cluster.run(10.0)
         self.assertGreater(len(cluster.acknowledged), 100)
         cluster.recover_and_check()
 
 
-class Members(unittest.TestCase):
+class MembershipChanges(unittest.TestCase):
     """Voter changes while disks are lost and machines return, are replaced, or are gone permanently."""
 
     def walk(self, seed: int, node_type: type[RaftNode] = RaftNode) -> Chaos:
         chaos = Chaos(seed, 5 if seed % 3 == 0 else 3, seed % 4 // 2, node_type)
-        chaos.play(STEPS)
+        chaos.run_scenario(STEPS)
         return chaos
 
     def test_adversary(self) -> None:
@@ -362,13 +368,16 @@
         for seed in range(WALKS):
             with self.subTest(seed=seed):
                 chaos = self.walk(seed)
-                losses += chaos.losses
+                losses += chaos.disk_losses
                 removed += sum(machine.removed for machine in chaos.machines.values())
         self.assertGreater((losses, removed), (2 * WALKS, 5), "too few losses for a meaningful test")
 
-    def test_adversary_finds_what_is_planted(self) -> None:
+    def test_adversary_finds_injected_faults(self) -> None:
         for node_type in (ForgetsVote, CountsUnsyncedNode):
-            with self.subTest(node_type.__name__), self.assertRaises((Wrong, ConsensusViolationError)):
+            with (
+                self.subTest(node_type.__name__),
+                self.assertRaises((InvariantViolationError, ConsensusViolationError)),
+            ):
                 for seed in range(WALKS):
                     self.walk(seed, node_type)
 
@@ -376,50 +385,50 @@
         """n0 leads. n2 votes for n1 in a newer term and loses its disk before n0 learns of that term. n0 adds
         n2 again: if n0 and n2 then form a majority without n1, two leaders commit different entries.
         """
-        with self.assertRaises((Wrong, ConsensusViolationError)):
-            self.voted_and_lost(SwapsAtOnceNode)
-        self.voted_and_lost(RaftNode)
+        with self.assertRaises((InvariantViolationError, ConsensusViolationError)):
+            self.vote_then_disk_loss(SwapsAtOnceNode)
+        self.vote_then_disk_loss(RaftNode)
 
-    def voted_and_lost(self, node_type: type[RaftNode]) -> None:
+    def vote_then_disk_loss(self, node_type: type[RaftNode]) -> None:
         chaos = Chaos(1, node_type=node_type)
         old, new, lost = chaos.machines.values()
         lead = {old.ip, new.ip, lost.ip}
         for machine, seconds in ((new, 0.61), (lost, 0.61), (old, 1.3)):
             chaos.tick(machine, seconds)
-        self.among(chaos, lead)
+        self.exchange_messages(chaos, lead)
         self.assertEqual(old.core and old.core.role, Role.LEADER)
         for machine, seconds in ((lost, 0.61), (new, 1.3)):
             chaos.tick(machine, seconds)
-        self.among(
+        self.exchange_messages(
             chaos, {new.ip, lost.ip}, until=lambda: new.core is not None and new.core.role == Role.LEADER
         )
         self.assertEqual((new.core and new.core.role, old.core and old.core.role), (Role.LEADER, Role.LEADER))
-        chaos.wire.clear()
+        chaos.in_flight.clear()
         self.assertTrue(chaos.lose_disk(lost))
         chaos.start(lost)
         for _ in range(6):
             chaos.tick(lost, 0.02)
             chaos.tick(old, 0.02)
-            self.among(chaos, {old.ip, lost.ip})
+            self.exchange_messages(chaos, {old.ip, lost.ip})
         chaos.propose(old)
-        self.among(chaos, {old.ip, lost.ip})
+        self.exchange_messages(chaos, {old.ip, lost.ip})
         chaos.recover_and_check()
 
-    def among(self, chaos: Chaos, ips: set[str], until: Any = lambda: False) -> None:
+    def exchange_messages(self, chaos: Chaos, ips: set[str], until: Any = lambda: False) -> None:
         """Deliver all messages between these and complete their writes; other messages are lost."""
         for _ in range(30):
-            wire, chaos.wire = chaos.wire, []
-            for src, to, message in wire:
+            in_flight, chaos.in_flight = chaos.in_flight, []
+            for src, to, message in in_flight:
                 if {address_of(src), address_of(to)} <= ips and not until():
                     chaos.arrive(src, to, message)
             for ip in sorted(ips):
                 if not until():
-                    chaos.sync(chaos.machines[ip])
+                    chaos.complete_write(chaos.machines[ip])
 
     def test_two_of_five_wiped_at_different_times(self) -> None:
         for seed in range(6):
             cluster = Cluster(seed, 5)
-            leader = cluster.led()
+            leader = cluster.wait_for_leader()
             cluster.load(0.02, 30.0)
             cluster.run(0.5)
             first, second = leader, next(n for n in cluster.nodes.values() if n is not leader)
@@ -430,45 +439,45 @@
             cluster.lose_disk(second)
             for node in cluster.nodes.values():  # and the others lose power
                 if node.core is not None:
-                    cluster.power(node)
+                    cluster.lose_power(node)
             for node in cluster.nodes.values():
                 cluster.start(node)
             cluster.recover_and_check()
-            self.assertTrue({first.name, second.name} <= set(cluster.led().live.voters))
+            self.assertTrue({first.name, second.name} <= set(cluster.wait_for_leader().live.voters))
 
     def test_two_of_five_lost_for_good(self) -> None:
         """The three remaining voters continue, and one of them may still lose power temporarily."""
         cluster = Cluster(3, 5)
-        for removed in (cluster.led(), cluster.nodes["n4"]):
-            cluster.power(removed)
+        for removed in (cluster.wait_for_leader(), cluster.nodes["n4"]):
+            cluster.lose_power(removed)
         cluster.load(0.02, 30.0)
-        cluster.until(lambda: len(cluster.acknowledged) > 20, 5.0)
-        again = cluster.led()
-        cluster.power(again)
+        cluster.run_until(lambda: len(cluster.acknowledged) > 20, 5.0)
+        again = cluster.wait_for_leader()
+        cluster.lose_power(again)
         cluster.run(1.0)
         cluster.start(again)
         last = max(cluster.acknowledged)
-        cluster.until(lambda: max(cluster.acknowledged) > last + 20, 5.0)
+        cluster.run_until(lambda: max(cluster.acknowledged) > last + 20, 5.0)
 
     def test_removed_machine_votes_again_under_its_old_name(self) -> None:
         """When the spare that replaced it fails, it is added again with its old disk, like any learner."""
         cluster = Cluster(7, 3, spares=1)
-        leader = cluster.led()
+        leader = cluster.wait_for_leader()
         cluster.load(0.02, 60.0)
         removed, spare = next(n for n in cluster.nodes.values() if n is not leader), cluster.nodes["n3"]
-        cluster.power(removed)
-        cluster.until(lambda: spare.name in cluster.led().live.voters, 8.0)
+        cluster.lose_power(removed)
+        cluster.run_until(lambda: spare.name in cluster.wait_for_leader().live.voters, 8.0)
         cluster.start(removed)
         cluster.run(2.0)
         self.assertEqual(removed.live.role, Role.LEARNER)
-        cluster.power(spare)
-        cluster.until(lambda: removed.name in cluster.led().live.voters, 8.0)
-        cluster.until(lambda: spare.name not in cluster.led().live.voters, 0.5)
+        cluster.lose_power(spare)
+        cluster.run_until(lambda: removed.name in cluster.wait_for_leader().live.voters, 8.0)
+        cluster.run_until(lambda: spare.name not in cluster.wait_for_leader().live.voters, 0.5)
         cluster.start(spare)
         cluster.recover_and_check()
 
 
-class Single(unittest.TestCase):
+class SingleNode(unittest.TestCase):
     """A single core, driven step by step."""
 
     def core(self, saved: PersistedState | None = None) -> RaftNode:
--- a/tests/mesh/test_raft_membership.py
+++ b/tests/mesh/test_raft_membership.py
@@ -26,17 +26,17 @@
 from minthitch.mesh.raft.reconfiguration import Reconfiguration
 from tests.mesh import chaos
 from tests.mesh.chaos import Chaos, Machine
-from tests.mesh.cluster import Cluster, Node, Wrong
+from tests.mesh.cluster import Cluster, InvariantViolationError, Node
 
-SYNC_S = 4.0  # seconds after a loss from which on a second one is tolerated
-GOES_ON_S = 4.0  # seconds; two elections, as a vote may be split, and a commit
+REPLACED_AFTER_S = 4.0  # a lost machine counts as lost until this long after its replacement started
+PROGRESS_TIMEOUT_S = 4.0  # seconds; two elections, as a vote may be split, and a commit
 SEEDS = (0, 3)  # with an odd seed, the leader is the voter that fails
 WALKS = 20
 
 
-def view(voters: tuple[str, ...], away: tuple[str, ...], wanted: int) -> VoterView:
-    lively = frozenset(voters) - set(away)
-    return VoterView(voters[0], voters, lively, away, wanted, Tolerated(), {})
+def view(voters: tuple[str, ...], away: tuple[str, ...], target_size: int) -> VoterView:
+    responding = frozenset(voters) - set(away)
+    return VoterView(voters[0], voters, responding, away, target_size, Tolerated(), {})
 
 
 def quorum(voters: tuple[str, ...]) -> int:
@@ -50,7 +50,7 @@
     return before.without(before.unresponsive[0]) if before.unresponsive else None
 
 
-class TellsNobody(RaftNode):
+class DoesNotForwardJoin(RaftNode):
     """Injected fault: a follower does not forward the join of a former voter to the leader."""
 
     def drain(self) -> list[Action]:
@@ -59,43 +59,47 @@
         ]
 
 
-class Steps(unittest.TestCase):
+class ReplacementSteps(unittest.TestCase):
     """The pure functions, for all groups of 2 to 6 voters and all sets of unresponsive voters."""
 
     def views(self) -> Iterator[VoterView]:
-        for count, wanted in itertools.product(range(2, 7), (3, 5)):
+        for count, target_size in itertools.product(range(2, 7), (3, 5)):
             voters = tuple(f"v{n}#0" for n in range(count))
             for silent in range(count - quorum(voters) + 1):
                 for away in itertools.combinations(voters[1:], silent):
-                    yield view(voters, away, wanted)
+                    yield view(voters, away, target_size)
 
-    def replaced(self, before: VoterView) -> list[tuple[str, ...]]:
+    def replacement_voter_sets(self, before: VoterView) -> list[tuple[str, ...]]:
         """The sets of voters of a full group while a learner replaces an unresponsive voter."""
-        tables = [before.voters]
+        voter_sets = [before.voters]
         for _ in range(4):
             after = voters_without_surplus(before) or voters_adding(before, "new#0") or before.voters
             if after == before.voters:
                 break
             removed = tuple(name for name in before.unresponsive if name in after)
-            lively = (before.responsive | {"new#0"}) & set(after)
-            before = before._replace(voters=after, unresponsive=removed, responsive=lively)
-            tables.append(after)
+            responding = (before.responsive | {"new#0"}) & set(after)
+            before = before._replace(voters=after, unresponsive=removed, responsive=responding)
+            voter_sets.append(after)
             if "new#0" in after and len(after) == before.target_size:
                 break
-        return tables
+        return voter_sets
 
-    def test_each_step_bears_as_many_losses_for_good_as_are_promised(self) -> None:
+    def test_each_step_tolerates_the_promised_permanent_losses(self) -> None:
         """Any k of 2k + 1 voters may be lost, at each step of a replacement."""
         played = 0
         for before in self.views():
             if not before.unresponsive or len(before.voters) != before.target_size:
                 continue
-            tables = self.replaced(before)
-            self.assertEqual([len(table) - before.target_size for table in tables], [0, 1, 0], before)
-            self.assertEqual(set(tables[0]) - set(tables[-1]), {before.unresponsive[0]})
-            for table in tables:
+            voter_sets = self.replacement_voter_sets(before)
+            self.assertEqual(
+                [len(voter_set) - before.target_size for voter_set in voter_sets], [0, 1, 0], before
+            )
+            self.assertEqual(set(voter_sets[0]) - set(voter_sets[-1]), {before.unresponsive[0]})
+            for voter_set in voter_sets:
                 played += 1
-                self.assertGreaterEqual(len(table) - quorum(table), (before.target_size - 1) // 2, table)
+                self.assertGreaterEqual(
+                    len(voter_set) - quorum(voter_set), (before.target_size - 1) // 2, voter_set
+                )
         self.assertGreater(played, 30)
 
     def test_the_reverse_order_does_not(self) -> None:
@@ -103,7 +107,7 @@
         assert after is not None
         self.assertEqual(len(after) - quorum(after), 0)
 
-    def test_each_step_can_be_committed_by_those_that_answer(self) -> None:
+    def test_each_step_can_be_committed_by_responsive_voters(self) -> None:
         for before in self.views():
             for after in (
                 voters_adding(before, "new#0"),
@@ -114,7 +118,7 @@
                     answering = (before.responsive | {"new#0"}) & set(after)
                     self.assertGreaterEqual(len(answering), quorum(after), (before, after))
 
-    def test_growth_bears_as_many_losses_as_before(self) -> None:
+    def test_growth_tolerates_as_many_losses_as_before(self) -> None:
         for before in self.views():
             for after in (voters_adding(before, "new#0"), voters_without_unresponsive(before)):
                 if after is not None:
@@ -130,7 +134,7 @@
                     self.assertEqual(len(set(after) ^ set(before.voters)), 1)
                     self.assertIn(before.leader, after)
 
-    def test_one_too_many_is_let_go_once_all_answer(self) -> None:
+    def test_a_surplus_voter_is_removed_once_all_respond(self) -> None:
         """If the unresponsive voter returns, the one that lags most is removed, but never the leader."""
         voters = ("a#0", "c#0", "b#0", "d#0")
         self.assertEqual(voters_without_surplus(view(voters, (), 3)), ("a#0", "b#0", "d#0"))
@@ -142,17 +146,17 @@
         self.assertEqual(voters_adding(view(voters, (), 3), "c#1"), ("a#0", "b#0"))
         self.assertEqual(voters_adding(view(("a#0", "b#0"), (), 3), "c#1"), ("a#0", "b#0", "c#1"))
 
-    def test_what_the_voters_that_answer_cannot_commit_is_not_begun(self) -> None:
+    def test_a_change_that_cannot_be_committed_is_not_started(self) -> None:
         voters = ("a#0", "b#0", "c#0", "d#0", "e#0")
         self.assertIsNone(voters_adding(view(voters, ("c#0", "d#0", "e#0"), 5), "f#0"))
 
-    def test_nobody_is_replaced_for_no_learner(self) -> None:
+    def test_no_voter_is_removed_without_a_learner(self) -> None:
         cluster = Cluster(1, 3)
-        leader = cluster.led()
+        leader = cluster.wait_for_leader()
         removed = next(node for node in cluster.nodes.values() if node is not leader)
-        cluster.power(removed)
+        cluster.lose_power(removed)
         cluster.run(10.0)
-        self.assertIn(removed.name, cluster.led().live.voters)
+        self.assertIn(removed.name, cluster.wait_for_leader().live.voters)
 
 
 class Replacement:
@@ -164,16 +168,16 @@
         self, seed: int, count: int, unresponsive_after: float = 1.5, node_type: type[RaftNode] = RaftNode
     ) -> None:
         self.cluster = Cluster(
-            seed, count, node_type, spares=1, unresponsive_after=unresponsive_after, sync=(0.005, 0.04)
+            seed, count, node_type, spares=1, unresponsive_after=unresponsive_after, write_time=(0.005, 0.04)
         )
-        self.cluster.led()
+        self.cluster.wait_for_leader()
         self.cluster.load(0.04, 60.0)
         self.cluster.run(1.0)
         self.newcomer = self.cluster.nodes[f"n{count}"]
-        leader = self.cluster.led()
+        leader = self.cluster.wait_for_leader()
         founders = [node for node in self.cluster.nodes.values() if node is not self.newcomer]
         self.removed = leader if seed % 2 else next(node for node in founders if node is not leader)
-        self.cluster.power(self.removed)
+        self.cluster.lose_power(self.removed)
 
     def reached(self, step: str) -> bool:
         node = self.cluster.leader()
@@ -190,15 +194,15 @@
             "removal committed": removed and added and log.voters_index <= commit,
         }[step]
 
-    def until(self, step: str) -> None:
+    def run_until(self, step: str) -> None:
         end = self.cluster.now + 8.0
         while not self.reached(step):
             if self.cluster.now > end:
-                raise Wrong(f"{step} is not reached: {self.cluster.shown()}")
+                raise InvariantViolationError(f"{step} is not reached: {self.cluster.summary()}")
             self.cluster.run(0.004)
 
     def victim(self, role: str) -> Node:
-        leader = self.cluster.led()
+        leader = self.cluster.wait_for_leader()
         if role == "leader":
             return leader
         if role == "newcomer":
@@ -206,9 +210,9 @@
         voters = [n for n in self.cluster.nodes.values() if n.name in leader.live.voters and n.core]
         return next(n for n in voters if n is not leader and n is not self.newcomer)
 
-    def goes_on(self, within: float = GOES_ON_S) -> None:
+    def assert_progress(self, within: float = PROGRESS_TIMEOUT_S) -> None:
         last = max(self.cluster.acknowledged, default=0)
-        self.cluster.until(lambda: max(self.cluster.acknowledged, default=0) > last + 3, within)
+        self.cluster.run_until(lambda: max(self.cluster.acknowledged, default=0) > last + 3, within)
 
     def recover_and_check(self) -> None:
         """Every acknowledged entry is present at the end, also on the voter that was replaced."""
@@ -216,7 +220,7 @@
 
 
 class SecondLoss(unittest.TestCase):
-    def each(self, play: Callable[[Replacement, str, str], None], *counts: int) -> None:
+    def for_each_step(self, scenario: Callable[[Replacement, str, str], None], *counts: int) -> None:
         """Run the scenario for each step and each role of the second victim."""
         roles = ("leader", "follower", "newcomer")
         for count, seed, step, role in itertools.product(counts, SEEDS, Replacement.steps, roles):
@@ -224,62 +228,62 @@
                 continue
             with self.subTest(count=count, seed=seed, step=step, role=role):
                 replacement = Replacement(seed, count)
-                replacement.until(step)
-                play(replacement, step, role)
+                replacement.run_until(step)
+                scenario(replacement, step, role)
 
     def test_one_that_returns_with_its_disk(self) -> None:
 
-        def play(replacement: Replacement, step: str, role: str) -> None:
+        def scenario(replacement: Replacement, step: str, role: str) -> None:
             cluster, victim = replacement.cluster, replacement.victim(role)
             cluster.kill(victim)
             cluster.run(1.0)
             cluster.start(victim)
-            replacement.goes_on()
-            cluster.until(lambda: replacement.reached("removal committed"), 8.0)
+            replacement.assert_progress()
+            cluster.run_until(lambda: replacement.reached("removal committed"), 8.0)
             replacement.recover_and_check()
 
-        self.each(play, 3, 5)
+        self.for_each_step(scenario, 3, 5)
 
     def test_one_whose_disk_is_lost(self) -> None:
         """With three voters only at the last step: until then, the one tolerated loss is used up."""
 
-        def play(replacement: Replacement, step: str, role: str) -> None:
+        def scenario(replacement: Replacement, step: str, role: str) -> None:
             cluster = replacement.cluster
             if len(cluster.founders) == 3 and step != "removal committed":
                 return
             victim = replacement.victim(role)
             cluster.lose_disk(victim)
-            replacement.goes_on()
+            replacement.assert_progress()
             cluster.run(0.3)
             cluster.start(victim)
-            cluster.until(lambda: victim.name in cluster.led().live.voters, 8.0)
+            cluster.run_until(lambda: victim.name in cluster.wait_for_leader().live.voters, 8.0)
             replacement.recover_and_check()
 
-        self.each(play, 3, 5)
+        self.for_each_step(scenario, 3, 5)
 
     def test_the_failed_one_returns_at_each_step(self) -> None:
 
-        def play(replacement: Replacement, step: str, role: str) -> None:
+        def scenario(replacement: Replacement, step: str, role: str) -> None:
             cluster, victim = replacement.cluster, replacement.victim(role)
             cluster.start(replacement.removed)
             cluster.kill(victim)
             cluster.run(1.0)
             cluster.start(victim)
-            replacement.goes_on()
+            replacement.assert_progress()
             replacement.recover_and_check()
 
-        self.each(play, 3)
+        self.for_each_step(scenario, 3)
 
     def second_loss(self, seed: int, count: int, unresponsive_after: float) -> None:
         """A second permanent loss, as soon as the first counts as replaced."""
         replacement = Replacement(seed, count, unresponsive_after)
         cluster = replacement.cluster
-        cluster.run(SYNC_S)
-        cluster.power(cluster.led())
-        replacement.goes_on()
+        cluster.run(REPLACED_AFTER_S)
+        cluster.lose_power(cluster.wait_for_leader())
+        replacement.assert_progress()
         if count == 5:
-            cluster.power(cluster.led())
-            replacement.goes_on()
+            cluster.lose_power(cluster.wait_for_leader())
+            replacement.assert_progress()
         replacement.recover_and_check()
 
     def test_two_lost_for_good_one_after_the_other(self) -> None:
@@ -287,118 +291,126 @@
             with self.subTest(count=count, seed=seed):
                 self.second_loss(seed, count, 1.5)
 
-    def test_a_seat_kept_too_long_is_found(self) -> None:
+    def test_a_late_replacement_is_found(self) -> None:
         for count in (3, 5):
-            with self.subTest(count=count), self.assertRaises(Wrong):
+            with self.subTest(count=count), self.assertRaises(InvariantViolationError):
                 self.second_loss(0, count, 30.0)
 
-    def test_a_disk_is_lost_while_the_silent_one_is_only_restarting(self) -> None:
+    def test_a_disk_is_lost_while_the_unresponsive_voter_is_only_restarting(self) -> None:
         """At each step of a replacement another node loses its disk: one permanent loss is tolerated."""
 
-        def play(replacement: Replacement, step: str, role: str) -> None:
+        def scenario(replacement: Replacement, step: str, role: str) -> None:
             cluster, victim = replacement.cluster, replacement.victim(role)
             cluster.lose_disk(victim)
             cluster.start(replacement.removed)
-            replacement.goes_on()
+            replacement.assert_progress()
             cluster.start(victim)
             replacement.recover_and_check()
 
-        self.each(play, 3)
+        self.for_each_step(scenario, 3)
 
     def test_removal_first_is_found(self) -> None:
         """The leader's disk is lost once the unresponsive voter, which is only restarting, is removed."""
         self.lost_while_one_restarts("addition begun")
-        with mock.patch.object(membership, "_next_voters", removes_first), self.assertRaises(Wrong):
+        with (
+            mock.patch.object(membership, "_next_voters", removes_first),
+            self.assertRaises(InvariantViolationError),
+        ):
             self.lost_while_one_restarts("removal begun, no addition")
 
     def lost_while_one_restarts(self, step: str) -> None:
         replacement = Replacement(0, 3)
         cluster = replacement.cluster
-        replacement.until(step)
-        cluster.lose_disk(cluster.led())
+        replacement.run_until(step)
+        cluster.lose_disk(cluster.wait_for_leader())
         cluster.start(replacement.removed)
-        replacement.goes_on()
+        replacement.assert_progress()
 
 
-class Growth(unittest.TestCase):
-    def bears_one_more(self, cluster: Cluster, lost: Node) -> bool:
+class GroupGrowth(unittest.TestCase):
+    def tolerates_another_loss(self, cluster: Cluster, lost: Node) -> bool:
         """Whether the newest voters are committed, four at least, and tolerate a loss besides `lost`."""
-        core = cluster.led().live
+        core = cluster.wait_for_leader().live
         left = len(set(core.voters) - {lost.name}) - 1
-        agreed = core.log.voters_index <= core.commit_index
-        return agreed and len(core.voters) >= 4 and left >= quorum(core.voters)
+        committed = core.log.voters_index <= core.commit_index
+        return committed and len(core.voters) >= 4 and left >= quorum(core.voters)
 
     def test_to_five_while_one_of_three_is_lost(self) -> None:
         for seed in range(6):
             with self.subTest(seed=seed):
                 cluster = Cluster(seed, 3, spares=2)
-                leader = cluster.led()
+                leader = cluster.wait_for_leader()
                 cluster.load(0.02, 60.0)
                 lost = leader if seed % 2 else next(n for n in cluster.nodes.values() if n is not leader)
-                cluster.power(lost)
-                cluster.wanted = 5
+                cluster.lose_power(lost)
+                cluster.voter_count = 5
                 for node in cluster.nodes.values():
                     if node.core is not None:
                         node.core.reconfiguration.policy.target_size = 5
-                cluster.until(lambda c=cluster, n=lost: self.bears_one_more(c, n), SYNC_S)  # type: ignore[misc]
-                second = cluster.led()
-                cluster.power(second)
+                cluster.run_until(
+                    lambda c=cluster, n=lost: self.tolerates_another_loss(c, n),  # type: ignore[misc]
+                    REPLACED_AFTER_S,
+                )
+                second = cluster.wait_for_leader()
+                cluster.lose_power(second)
                 last = max(cluster.acknowledged)
-                cluster.until(lambda c=cluster, n=last: max(c.acknowledged) > n + 3, GOES_ON_S)  # type: ignore[misc]
+                cluster.run_until(lambda c=cluster, n=last: max(c.acknowledged) > n + 3, PROGRESS_TIMEOUT_S)  # type: ignore[misc]
                 cluster.recover_and_check()
-                self.assertEqual(len(cluster.led().live.voters), 5)
+                self.assertEqual(len(cluster.wait_for_leader().live.voters), 5)
 
     def test_a_spare_that_starts_while_all_power_goes(self) -> None:
         for seed in range(6):
             with self.subTest(seed=seed):
                 cluster = Cluster(seed, 3, spares=1)
-                leader = cluster.led()
+                leader = cluster.wait_for_leader()
                 cluster.load(0.02, 30.0)
                 cluster.run(0.5)
-                cluster.power(next(n for n in cluster.nodes.values() if n is not leader))
+                cluster.lose_power(next(n for n in cluster.nodes.values() if n is not leader))
                 cluster.run(1.3 + 0.1 * seed)
                 for node in cluster.nodes.values():
                     if node.core is not None:
-                        cluster.power(node)
+                        cluster.lose_power(node)
                 for node in cluster.nodes.values():
                     cluster.start(node)
                 cluster.recover_and_check()
 
-    def test_a_replaced_voter_finds_a_leader_that_it_never_knew(self) -> None:
+    def test_a_replaced_voter_finds_a_leader_unknown_to_it(self) -> None:
         """Its outdated set of voters names only the followers, which forward its join to the leader."""
         self.returns_to_a_new_leader(RaftNode)
-        with self.assertRaises(Wrong):
-            self.returns_to_a_new_leader(TellsNobody)
+        with self.assertRaises(InvariantViolationError):
+            self.returns_to_a_new_leader(DoesNotForwardJoin)
 
     def returns_to_a_new_leader(self, node_type: type[RaftNode]) -> None:
         replacement = Replacement(0, 3, node_type=node_type)
         cluster = replacement.cluster
-        replacement.until("removal committed")
-        while cluster.led() is not replacement.newcomer:
-            leader = cluster.led()
+        replacement.run_until("removal committed")
+        while cluster.wait_for_leader() is not replacement.newcomer:
+            leader = cluster.wait_for_leader()
             cluster.freeze(leader)
-            cluster.until(lambda old=leader: cluster.leader() not in (None, old))  # type: ignore[misc]
+            cluster.run_until(lambda old=leader: cluster.leader() not in (None, old))  # type: ignore[misc]
             cluster.thaw(leader)
         cluster.start(replacement.removed)
-        cluster.until(lambda: replacement.removed.live.role is Role.LEARNER, 5.0)
+        cluster.run_until(lambda: replacement.removed.live.role is Role.LEARNER, 5.0)
         replacement.recover_and_check()
 
     def test_a_voter_that_was_replaced_returns_as_a_learner(self) -> None:
         cluster = Cluster(2, 3, spares=1)
-        leader = cluster.led()
+        leader = cluster.wait_for_leader()
         away = next(n for n in cluster.nodes.values() if n is not leader and n.ip != "n3")
         cluster.freeze(away)
-        cluster.until(lambda: away.name not in cluster.led().live.voters, 4.0)
-        self.assertIn("n3#0", cluster.led().live.voters)
-        term = cluster.led().live.term
+        cluster.run_until(lambda: away.name not in cluster.wait_for_leader().live.voters, 4.0)
+        self.assertIn("n3#0", cluster.wait_for_leader().live.voters)
+        term = cluster.wait_for_leader().live.term
         cluster.thaw(away)
-        cluster.until(lambda: away.live.role is Role.LEARNER, 2.0)
+        cluster.run_until(lambda: away.live.role is Role.LEARNER, 2.0)
         cluster.run(5.0)
-        self.assertEqual((cluster.led().live.term, len(cluster.led().live.voters)), (term, 3))
-        self.assertNotIn(away.name, cluster.led().live.voters, "it is not added again")
+        self.assertEqual(
+            (cluster.wait_for_leader().live.term, len(cluster.wait_for_leader().live.voters)), (term, 3)
+        )
+        self.assertNotIn(away.name, cluster.wait_for_leader().live.voters, "it is not added again")
 
 
-class Restless(Chaos):
+class ReplacementChaos(Chaos):
     """The adversary with frequent replacements: more voters are lost or shut down, and are replaced early."""
 
     def __init__(self, seed: int, count: int, spares: int, node_type: type[RaftNode]) -> None:
@@ -410,28 +422,32 @@
         draw = self.random
         machine = draw.choice([m for m in self.machines.values() if not m.removed])
         if draw.random() < 0.004:
-            self.lose(machine)
+            self.remove(machine)
         elif draw.random() < 0.004 and machine.core is not None:
-            self.on(machine, lambda core: core.begin_shutdown(machine.now))
+            self.call_core(machine, lambda core: core.begin_shutdown(machine.now))
         elif machine.core is not None and machine.core.may_end(machine.now):
             self.stop(machine)
 
-    def lost(self, *more: Machine) -> int:
+    def lost_copies(self, *more: Machine) -> int:
         """Counts learners too, which may just be added: lost in `more`, without data, or removed."""
-        if not self.table:
-            return super().lost(*more)
-        entry = self.agreed[self.table]
+        if not self.committed_voters_index:
+            return super().lost_copies(*more)
+        entry = self.committed[self.committed_voters_index]
         voting = {address_of(name) for name in msgpack.unpackb(entry.data)}
         outside = [m for m in self.machines.values() if m.ip not in voting]
         empty = [
             m for m in outside if m.incarnation and not m.removed and not m.holds(entry.index, entry.term)
         ]
         removed = [m for m in outside if m.ip in self.removed_as_learners]
-        return super().lost(*more) + len({m.ip for m in (*empty, *removed, *more) if m in outside})
+        return super().lost_copies(*more) + len({m.ip for m in (*empty, *removed, *more) if m in outside})
 
-    def lose(self, machine: Machine) -> None:
-        voting = msgpack.unpackb(self.agreed[self.table].data) if self.table else ()
-        super().lose(machine)
+    def remove(self, machine: Machine) -> None:
+        voting = (
+            msgpack.unpackb(self.committed[self.committed_voters_index].data)
+            if self.committed_voters_index
+            else ()
+        )
+        super().remove(machine)
         if machine.removed and machine.name not in voting:
             self.removed_as_learners.add(machine.ip)
 
@@ -462,10 +478,10 @@
 
 
 class Adversary(unittest.TestCase):
-    def walk(self, seed: int, node_type: type[RaftNode] = RaftNode) -> Restless:
+    def walk(self, seed: int, node_type: type[RaftNode] = RaftNode) -> ReplacementChaos:
         with mock.patch.object(chaos, "UNRESPONSIVE_S", 0.3):
-            walk = Restless(seed, 5 if seed % 3 == 0 else 3, 2, node_type)
-            walk.play(2_500)
+            walk = ReplacementChaos(seed, 5 if seed % 3 == 0 else 3, 2, node_type)
+            walk.run_scenario(2_500)
         return walk
 
     def test_walks(self) -> None:
@@ -475,11 +491,11 @@
         self.assertGreater(removed, WALKS // 5, "too few removed machines for a meaningful test")
 
     def test_a_swap_by_one_change_is_found(self) -> None:
-        with self.assertRaises((Wrong, ConsensusViolationError)):
-            self.helped_up_and_replaced(SwapsAtOnceNode)
-        self.helped_up_and_replaced(RaftNode)
+        with self.assertRaises((InvariantViolationError, ConsensusViolationError)):
+            self.vote_then_replacement(SwapsAtOnceNode)
+        self.vote_then_replacement(RaftNode)
 
-    def helped_up_and_replaced(self, node_type: type[RaftNode]) -> None:
+    def vote_then_replacement(self, node_type: type[RaftNode]) -> None:
         """n0 leads. n2 votes for n1 in a newer term; n0 hears from neither and has the learner n3. If n0
         commits with n3 alone, two leaders commit different entries.
         """
@@ -488,31 +504,31 @@
         old, new, supporter, learner = walk.machines.values()
         for machine, seconds in ((new, 0.61), (supporter, 0.61), (old, 1.3)):
             walk.tick(machine, seconds)
-        self.among(walk, old, new, supporter)
+        self.exchange_messages(walk, old, new, supporter)
         for _ in range(2):
             walk.tick(learner, 0.02)
             walk.tick(old, 0.06)
-            self.among(walk, old, new, supporter, learner)
+            self.exchange_messages(walk, old, new, supporter, learner)
         for machine, seconds in ((supporter, 0.61), (new, 1.3)):
             walk.tick(machine, seconds)
-        self.among(walk, new, supporter)
+        self.exchange_messages(walk, new, supporter)
         self.assertTrue(old.core and new.core and old.core.role == new.core.role == Role.LEADER)
         for _ in range(6):
             walk.tick(learner, 0.02)
             walk.tick(old, 0.06)
-            self.among(walk, old, learner)
+            self.exchange_messages(walk, old, learner)
         for leader, other in ((old, learner), (new, supporter)):
             walk.propose(leader)
-            self.among(walk, leader, other)
+            self.exchange_messages(walk, leader, other)
         walk.recover_and_check()
 
-    def among(self, walk: Chaos, *machines: Machine) -> None:
+    def exchange_messages(self, walk: Chaos, *machines: Machine) -> None:
         """Deliver all messages between these and complete their writes; other messages are lost."""
         names = {machine.ip for machine in machines}
         for _ in range(30):
-            wire, walk.wire = walk.wire, []
-            for src, to, message in wire:
+            in_flight, walk.in_flight = walk.in_flight, []
+            for src, to, message in in_flight:
                 if {address_of(src), address_of(to)} <= names:
                     walk.arrive(src, to, message)
             for machine in machines:
-                walk.sync(machine)
+                walk.complete_write(machine)
--- a/tests/mesh/test_raft_partitions.py
+++ b/tests/mesh/test_raft_partitions.py
@@ -11,7 +11,7 @@
 from minthitch.mesh.raft.errors import ConsensusViolationError
 from minthitch.mesh.raft.leader import Leader
 from minthitch.mesh.raft.node import RaftNode
-from tests.mesh.cluster import Cluster, Node, Wrong
+from tests.mesh.cluster import Cluster, InvariantViolationError, Node
 
 PARTITION_S = 20.0
 SEEDS = (1,)
@@ -68,18 +68,18 @@
         return super().tick(now)
 
 
-class UnseatsOnReturn(Election):
+class DisruptsOnReturn(Election):
     """Injected fault: starts an election without a pre-vote, although there is a leader."""
 
     def _start_pre_vote(self, now: float) -> None:
         self._start_candidacy(now, leadership_transfer=True)
 
 
-class UnseatsOnReturnNode(RaftNode):
-    election_type = UnseatsOnReturn
+class DisruptsOnReturnNode(RaftNode):
+    election_type = DisruptsOnReturn
 
 
-def checked(cluster: Cluster, seconds: float) -> None:
+def run_checked(cluster: Cluster, seconds: float) -> None:
     """Run for some time, and check repeatedly that at most one node has a lease."""
     end = cluster.now + seconds
     while cluster.now < end:
@@ -90,15 +90,15 @@
             if node.core is not None and not node.frozen and node.core.has_lease(cluster.now)
         ]
         if len(holding) > 1:
-            raise Wrong(f"leases of {[node.name for node in holding]} at the same time")
+            raise InvariantViolationError(f"leases of {[node.name for node in holding]} at the same time")
         for node in holding:
-            cluster.check(node)
+            cluster.check_leader(node)
 
 
-class Cuts(unittest.TestCase):
-    def begun(self, seed: int, spares: int = 0) -> tuple[Cluster, Node]:
+class Partitions(unittest.TestCase):
+    def start_cluster(self, seed: int, spares: int = 0) -> tuple[Cluster, Node]:
         cluster = Cluster(seed, 3, spares=spares)
-        leader = cluster.led()
+        leader = cluster.wait_for_leader()
         cluster.load(0.1, PARTITION_S + 10.0)
         cluster.run(0.5)
         return cluster, leader
@@ -112,14 +112,14 @@
         spares: int = 0,
     ) -> tuple[Cluster, Node]:
         """Partition the picked node one way for 20 s and restart it meanwhile; the others make progress."""
-        cluster, leader = self.begun(seed, spares)
+        cluster, leader = self.start_cluster(seed, spares)
         node = pick(leader, cluster)
         cluster.isolate(node.ip, receives=receives, reaches=not receives)
         if restart is not None:
-            cluster.at(restart, lambda: self.restart(cluster, node))
-        checked(cluster, 4.0)
+            cluster.call_later(restart, lambda: self.restart(cluster, node))
+        run_checked(cluster, 4.0)
         last = max(cluster.acknowledged)
-        checked(cluster, PARTITION_S - 4.0)
+        run_checked(cluster, PARTITION_S - 4.0)
         self.assertGreater(max(cluster.acknowledged), last + 60)
         return cluster, node
 
@@ -127,14 +127,14 @@
         cluster.kill(node)
         cluster.start(node)
 
-    def returns(self, cluster: Cluster, node: Node) -> None:
+    def assert_undisturbed_return(self, cluster: Cluster, node: Node) -> None:
         """The returning node does not disrupt a working leader and is soon in contact with it."""
-        leader = cluster.led()
+        leader = cluster.wait_for_leader()
         self.assertIsNot(leader, node)
         term = leader.live.term
         cluster.disconnected.clear()
-        checked(cluster, 3.0)
-        self.assertEqual((cluster.led(), leader.live.term), (leader, term))
+        run_checked(cluster, 3.0)
+        self.assertEqual((cluster.wait_for_leader(), leader.live.term), (leader, term))
         self.assertTrue(node.live.in_contact_with_quorum(cluster.now))
         cluster.recover_and_check()
 
@@ -144,14 +144,16 @@
 
         for seed, receives, restart in itertools.product(SEEDS, (False, True), RESTARTS):
             with self.subTest(seed=seed, receives=receives, restart=restart):
-                self.returns(*self.disconnect(seed, follower, receives, restart))
+                self.assert_undisturbed_return(*self.disconnect(seed, follower, receives, restart))
 
     def test_the_leader(self) -> None:
         for seed, receives, restart in itertools.product(SEEDS, (False, True), RESTARTS):
             with self.subTest(seed=seed, receives=receives, restart=restart):
-                self.returns(*self.disconnect(seed, lambda leader, _: leader, receives, restart))
+                self.assert_undisturbed_return(
+                    *self.disconnect(seed, lambda leader, _: leader, receives, restart)
+                )
 
-    def test_one_whose_seat_goes_to_a_spare(self) -> None:
+    def test_one_that_is_replaced_by_a_spare(self) -> None:
         """It returns as a learner, and the leader is not disrupted."""
         for leads, receives, restart in itertools.product((False, True), (False, True), (None, 5.0)):
             with self.subTest(leads=leads, receives=receives, restart=restart):
@@ -161,100 +163,102 @@
                     return next(node for node in founders if (node is leader) == leads)
 
                 cluster, node = self.disconnect(1, pick, receives, restart, spares=1)
-                self.assertNotIn(node.name, cluster.led().live.voters)
-                self.returns(cluster, node)
-                self.assertNotIn(node.name, cluster.led().live.voters)
+                self.assertNotIn(node.name, cluster.wait_for_leader().live.voters)
+                self.assert_undisturbed_return(cluster, node)
+                self.assertNotIn(node.name, cluster.wait_for_leader().live.voters)
 
     def test_one_direction_of_one_link(self) -> None:
         """Only between the leader and one follower, one way; the other two links work."""
         for seed, out in itertools.product(range(2), (False, True)):
             with self.subTest(seed=seed, out=out):
-                cluster, leader = self.begun(seed)
+                cluster, leader = self.start_cluster(seed)
                 other = next(node for node in cluster.nodes.values() if node is not leader)
                 cluster.disconnect(*((leader.ip, other.ip) if out else (other.ip, leader.ip)))
-                checked(cluster, 4.0)
+                run_checked(cluster, 4.0)
                 last = max(cluster.acknowledged)
-                checked(cluster, PARTITION_S - 4.0)
+                run_checked(cluster, PARTITION_S - 4.0)
                 self.assertGreater(max(cluster.acknowledged), last + 60)
-                self.assertIs(cluster.led(), leader)
+                self.assertIs(cluster.wait_for_leader(), leader)
                 cluster.disconnected.clear()
-                checked(cluster, 2.0)
-                self.assertIs(cluster.led(), leader)
+                run_checked(cluster, 2.0)
+                self.assertIs(cluster.wait_for_leader(), leader)
                 cluster.recover_and_check()
 
 
-class Planted(unittest.TestCase):
+class InjectedFaults(unittest.TestCase):
     """A partition reveals each of these faults; the unchanged core passes the same scenarios."""
 
-    def found(self, node_type: type[RaftNode], play: Callable[[type[RaftNode], int], None]) -> None:
+    def assert_fault_found(
+        self, node_type: type[RaftNode], scenario: Callable[[type[RaftNode], int], None]
+    ) -> None:
         for seed in range(8):
-            play(RaftNode, seed)
-        with self.assertRaises((Wrong, ConsensusViolationError)):
+            scenario(RaftNode, seed)
+        with self.assertRaises((InvariantViolationError, ConsensusViolationError)):
             for seed in range(8):
-                play(node_type, seed)
+                scenario(node_type, seed)
 
-    def frozen(self, node_type: type[RaftNode], seed: int) -> None:
+    def frozen_leader(self, node_type: type[RaftNode], seed: int) -> None:
         """The leader freezes with responses in transit and another is elected; then it reads them."""
         cluster = Cluster(seed, 3, node_type)
-        leader = cluster.led()
+        leader = cluster.wait_for_leader()
         cluster.load(0.02, 6.0)
         cluster.run(0.5 + 0.013 * seed)
         cluster.freeze(leader)
         cluster.run(3.0)
         leader.frozen = False
-        waiting, leader.waiting = leader.waiting, []
+        waiting, leader.deferred_calls = leader.deferred_calls, []
         for call in waiting:
             call()
             others = [n for n in cluster.nodes.values() if n is not leader and n.live.has_lease(cluster.now)]
             if leader.live.has_lease(cluster.now) and others:
-                raise Wrong("a stale lease")
-            cluster.check(leader)
+                raise InvariantViolationError("a stale lease")
+            cluster.check_leader(leader)
 
-    def isolated(self, node_type: type[RaftNode], seed: int) -> None:
+    def isolated_leader(self, node_type: type[RaftNode], seed: int) -> None:
         cluster = Cluster(seed, 5, node_type)
-        leader = cluster.led()
+        leader = cluster.wait_for_leader()
         cluster.load(0.02, 6.0)
         cluster.run(0.5)
         for ip in [ip for ip in cluster.nodes if ip != leader.ip][1:]:
             cluster.disconnect(leader.ip, ip, both=True)
             cluster.disconnect(next(i for i in cluster.nodes if i != leader.ip), ip, both=True)
-        checked(cluster, 4.0)
+        run_checked(cluster, 4.0)
         cluster.recover_and_check()
 
-    def restarted(self, node_type: type[RaftNode], seed: int) -> None:
+    def restarted_leader(self, node_type: type[RaftNode], seed: int) -> None:
         cluster = Cluster(seed, 3, node_type)
-        leader = cluster.led()
+        leader = cluster.wait_for_leader()
         cluster.load(0.02, 6.0)
         cluster.run(0.5)
-        cluster.power(leader)
+        cluster.lose_power(leader)
         cluster.run(0.05)
         cluster.start(leader)
-        checked(cluster, 3.0)
+        run_checked(cluster, 3.0)
         cluster.recover_and_check()
 
-    def returned(self, node_type: type[RaftNode], seed: int) -> None:
+    def returning_follower(self, node_type: type[RaftNode], seed: int) -> None:
         cluster = Cluster(seed, 3, node_type)
-        leader = cluster.led()
+        leader = cluster.wait_for_leader()
         cluster.load(0.05, 6.0)
         node = next(n for n in cluster.nodes.values() if n is not leader)
         cluster.isolate(node.ip)
-        checked(cluster, 5.0)
+        run_checked(cluster, 5.0)
         cluster.disconnected.clear()
-        checked(cluster, 2.0)
-        if cluster.led() is not leader:
-            raise Wrong("a working leader is replaced")
+        run_checked(cluster, 2.0)
+        if cluster.wait_for_leader() is not leader:
+            raise InvariantViolationError("a working leader is replaced")
 
-    def test_a_lease_not_bounded_by_the_leaders_own_stamps(self) -> None:
-        self.found(LeaseByArrivalNode, self.frozen)
+    def test_a_lease_not_bounded_by_the_leaders_send_times(self) -> None:
+        self.assert_fault_found(LeaseByArrivalNode, self.frozen_leader)
 
     def test_a_leader_without_contact(self) -> None:
-        self.found(LeadsWithoutContactNode, self.isolated)
+        self.assert_fault_found(LeadsWithoutContactNode, self.isolated_leader)
 
     def test_a_commit_without_a_majority(self) -> None:
-        self.found(CommitsWithoutQuorumNode, self.isolated)
+        self.assert_fault_found(CommitsWithoutQuorumNode, self.isolated_leader)
 
     def test_a_restarted_member_that_leads_with_old_state(self) -> None:
-        self.found(LeadsOnAfterRestart, self.restarted)
+        self.assert_fault_found(LeadsOnAfterRestart, self.restarted_leader)
 
-    def test_a_returning_member_that_unseats_the_leader(self) -> None:
-        self.found(UnseatsOnReturnNode, self.returned)
+    def test_a_returning_member_that_disrupts_the_leader(self) -> None:
+        self.assert_fault_found(DisruptsOnReturnNode, self.returning_follower)
--- a/tests/mesh/test_raft_shutdown.py
+++ b/tests/mesh/test_raft_shutdown.py
@@ -11,7 +11,7 @@
 from minthitch.mesh.raft.node import RaftNode
 from minthitch.mesh.raft.shutdown import GracefulShutdown
 from minthitch.mesh.raft.shutdown_state import SHUTDOWN_TIMEOUT_S
-from tests.mesh.cluster import Cluster, Node, Wrong
+from tests.mesh.cluster import Cluster, InvariantViolationError, Node
 
 SEEDS = range(6)
 PAUSE_S = 0.4  # between two acknowledgements; the shortest election timeout alone is 0.6 s
@@ -40,15 +40,15 @@
     shutdown_type = CountsItself
 
 
-class HandsNothingOver(LeadershipTransfer):
+class NeverTransfers(LeadershipTransfer):
     """Injected fault: a stopping leader does not transfer leadership."""
 
     def continue_transfer(self, now: float) -> bool:
         return self._shutdown.started_at is None and super().continue_transfer(now)
 
 
-class HandsNothingOverNode(RaftNode):
-    transfer_type = HandsNothingOver
+class NeverTransfersNode(RaftNode):
+    transfer_type = NeverTransfers
 
 
 def copies(cluster: Cluster, index: int, without: Node) -> int:
@@ -56,59 +56,63 @@
     disks = [node.disk.saved for node in cluster.nodes.values() if node is not without]
     return sum(
         saved is not None
-        and (saved.snapshot.index >= index or any(cluster.agreed[index] == entry for entry in saved.entries))
+        and (
+            saved.snapshot.index >= index or any(cluster.committed[index] == entry for entry in saved.entries)
+        )
         for saved in disks
     )
 
 
 class Transfer(unittest.TestCase):
-    def begun(self, seed: int, count: int = 3, node_type: type[RaftNode] = RaftNode, **more: Any) -> Cluster:
+    def start_cluster(
+        self, seed: int, count: int = 3, node_type: type[RaftNode] = RaftNode, **more: Any
+    ) -> Cluster:
         cluster = Cluster(seed, count, node_type, **more)
-        cluster.led()
+        cluster.wait_for_leader()
         cluster.load(0.01, 60.0)
         cluster.run(0.7)
         cluster.longest_pause = 0.0
         return cluster
 
-    def removed(self, cluster: Cluster, node: Node) -> None:
-        cluster.until(lambda: any(left is node for left, _ in cluster.left), SHUTDOWN_TIMEOUT_S + 0.1)
+    def wait_until_exited(self, cluster: Cluster, node: Node) -> None:
+        cluster.run_until(lambda: any(left is node for left, _ in cluster.exited), SHUTDOWN_TIMEOUT_S + 0.1)
 
-    def goes_on(self, cluster: Cluster, within: float) -> None:
+    def assert_progress(self, cluster: Cluster, within: float) -> None:
         last = max(cluster.acknowledged)
-        cluster.until(lambda: max(cluster.acknowledged) > last + 3, within)
+        cluster.run_until(lambda: max(cluster.acknowledged) > last + 3, within)
 
     def test_leader_ends_and_nobody_waits_for_an_election(self) -> None:
         for seed, count in itertools.product(SEEDS, (3, 5)):
             with self.subTest(seed=seed, count=count):
-                cluster = self.begun(seed, count)
-                old = cluster.led()
-                cluster.retire(old)
-                self.removed(cluster, old)
-                self.goes_on(cluster, 0.3)
+                cluster = self.start_cluster(seed, count)
+                old = cluster.wait_for_leader()
+                cluster.shut_down(old)
+                self.wait_until_exited(cluster, old)
+                self.assert_progress(cluster, 0.3)
                 self.assertLess(cluster.longest_pause, PAUSE_S)
                 cluster.recover_and_check()
 
     def test_no_transfer_is_found(self) -> None:
-        cluster = self.begun(1, node_type=HandsNothingOverNode)
-        old = cluster.led()
-        cluster.retire(old)
-        self.removed(cluster, old)
-        with self.assertRaises(Wrong):
-            self.goes_on(cluster, 0.3)
+        cluster = self.start_cluster(1, node_type=NeverTransfersNode)
+        old = cluster.wait_for_leader()
+        cluster.shut_down(old)
+        self.wait_until_exited(cluster, old)
+        with self.assertRaises(InvariantViolationError):
+            self.assert_progress(cluster, 0.3)
 
     def has_no_sole_copy(self, seed: int, node_type: type[RaftNode], leads: bool) -> None:
         """When the member exits, each acknowledged entry must be on enough other disks for a majority."""
-        cluster = self.begun(seed, 3, node_type, sync=(0.005, 0.15), delay=0.06)
-        leader = cluster.led()
+        cluster = self.start_cluster(seed, 3, node_type, write_time=(0.005, 0.15), delay=0.06)
+        leader = cluster.wait_for_leader()
         node = leader if leads else next(n for n in cluster.nodes.values() if n is not leader)
         cluster.run(0.013 * seed)
         started = cluster.now
-        cluster.retire(node)
-        self.removed(cluster, node)
-        waited = cluster.left[-1][1] - started
+        cluster.shut_down(node)
+        self.wait_until_exited(cluster, node)
+        waited = cluster.exited[-1][1] - started
         alone = [index for index in cluster.acknowledged if copies(cluster, index, node) < 2]
         if alone and waited < SHUTDOWN_TIMEOUT_S:
-            raise Wrong(f"{alone} are on less than a majority of disks without {node.name}")
+            raise InvariantViolationError(f"{alone} are on less than a majority of disks without {node.name}")
         cluster.lose_disk(node)
         cluster.recover_and_check()
 
@@ -117,120 +121,120 @@
             with self.subTest(seed=seed, leads=leads):
                 self.has_no_sole_copy(seed, RaftNode, leads)
 
-    def test_a_sole_copy_let_go_is_found(self) -> None:
+    def test_a_lost_sole_copy_is_found(self) -> None:
         for node_type, leads in ((EndsAtOnceNode, False), (EndsAtOnceNode, True), (CountsItselfNode, False)):
-            with self.subTest(node_type.__name__, leads=leads), self.assertRaises(Wrong):
+            with self.subTest(node_type.__name__, leads=leads), self.assertRaises(InvariantViolationError):
                 for seed in SEEDS:
                     self.has_no_sole_copy(seed, node_type, leads)
 
     def test_the_one_that_holds_everything_is_chosen(self) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                cluster = self.begun(seed)
-                old = cluster.led()
+                cluster = self.start_cluster(seed)
+                old = cluster.wait_for_leader()
                 ahead, behind = (n for n in cluster.nodes.values() if n is not old)
                 cluster.disconnect(old.ip, behind.ip)
                 cluster.run(0.3)
-                cluster.retire(old)
-                cluster.until(lambda o=old, c=cluster: c.leader() not in (None, o), 0.5)  # type: ignore[misc]
+                cluster.shut_down(old)
+                cluster.run_until(lambda o=old, c=cluster: c.leader() not in (None, o), 0.5)  # type: ignore[misc]
                 self.assertIs(cluster.leader(), ahead)
-                self.removed(cluster, old)
+                self.wait_until_exited(cluster, old)
                 cluster.recover_and_check()
 
     def test_a_successor_that_lags_is_waited_for(self) -> None:
         """The only successor has slow links: the leader waits for it, but exits in any case."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                cluster = self.begun(seed, delay=0.15)
-                old = cluster.led()
-                cluster.power(next(n for n in cluster.nodes.values() if n is not old))
+                cluster = self.start_cluster(seed, delay=0.15)
+                old = cluster.wait_for_leader()
+                cluster.lose_power(next(n for n in cluster.nodes.values() if n is not old))
                 cluster.run(0.3)
-                cluster.retire(old)
-                self.removed(cluster, old)
+                cluster.shut_down(old)
+                self.wait_until_exited(cluster, old)
                 cluster.recover_and_check()
 
     def test_without_a_successor_the_wait_is_bounded(self) -> None:
-        cluster = self.begun(1)
-        leader = cluster.led()
+        cluster = self.start_cluster(1)
+        leader = cluster.wait_for_leader()
         for node in cluster.nodes.values():
             if node is not leader:
-                cluster.power(node)
-        cluster.retire(leader)
-        self.removed(cluster, leader)
+                cluster.lose_power(node)
+        cluster.shut_down(leader)
+        self.wait_until_exited(cluster, leader)
         cluster.recover_and_check()
 
-    def test_nothing_is_proposed_to_one_that_retires(self) -> None:
-        cluster = self.begun(1)
-        leader = cluster.led()
-        cluster.retire(leader)
+    def test_a_stopping_leader_rejects_proposals(self) -> None:
+        cluster = self.start_cluster(1)
+        leader = cluster.wait_for_leader()
+        cluster.shut_down(leader)
         self.assertIsNone(leader.live.propose(cluster.now, b"late"))
 
     def test_during_an_election(self) -> None:
         """The leader fails and a follower is shutting down: another one must be elected."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                cluster = self.begun(seed, 5)
-                leader = cluster.led()
+                cluster = self.start_cluster(seed, 5)
+                leader = cluster.wait_for_leader()
                 node = next(n for n in cluster.nodes.values() if n is not leader)
-                cluster.power(leader)
+                cluster.lose_power(leader)
                 cluster.run(0.1 * seed)
                 leads_already = node.live.role == "leader"
-                cluster.retire(node)
+                cluster.shut_down(node)
                 while node.core is not None:
                     self.assertFalse(node.core.role == "leader" and not leads_already)
                     cluster.run(0.01)
-                self.goes_on(cluster, 2.5)
+                self.assert_progress(cluster, 2.5)
                 cluster.recover_and_check()
 
     def test_two_at_once_of_five(self) -> None:
         """Leadership goes to a voter that is not shutting down."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                cluster = self.begun(seed, 5)
-                leader = cluster.led()
+                cluster = self.start_cluster(seed, 5)
+                leader = cluster.wait_for_leader()
                 other = next(n for n in cluster.nodes.values() if n is not leader)
-                cluster.retire(other)
+                cluster.shut_down(other)
                 cluster.run(0.02)
-                cluster.retire(leader)
-                self.removed(cluster, leader)
-                self.removed(cluster, other)
-                self.goes_on(cluster, 0.3)
+                cluster.shut_down(leader)
+                self.wait_until_exited(cluster, leader)
+                self.wait_until_exited(cluster, other)
+                self.assert_progress(cluster, 0.3)
                 self.assertLess(cluster.longest_pause, PAUSE_S)
                 cluster.recover_and_check()
 
     def test_all_at_once(self) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                cluster = self.begun(seed)
+                cluster = self.start_cluster(seed)
                 for node in cluster.nodes.values():
-                    cluster.retire(node, back_after=0.5)
+                    cluster.shut_down(node, restart_after=0.5)
                 cluster.run(SHUTDOWN_TIMEOUT_S + 0.1)
-                self.assertEqual(len(cluster.left), 3)
-                self.goes_on(cluster, 4.0)
+                self.assertEqual(len(cluster.exited), 3)
+                self.assert_progress(cluster, 4.0)
                 cluster.recover_and_check()
 
     def test_rolling(self) -> None:
         """Restart the nodes one after the other, where possible always the leader or never the leader."""
         for seed, leads in itertools.product(SEEDS, (False, True)):
             with self.subTest(seed=seed, leads=leads):
-                cluster = self.begun(seed)
+                cluster = self.start_cluster(seed)
                 rolled = list[Node]()
                 while len(rolled) < 3:
-                    leader = cluster.led()
+                    leader = cluster.wait_for_leader()
                     waiting = [n for n in cluster.nodes.values() if n not in rolled]
                     node = next((n for n in waiting if (n is leader) == leads), waiting[0])
                     rolled.append(node)
-                    cluster.retire(node, back_after=1.0)
-                    self.removed(cluster, node)
+                    cluster.shut_down(node, restart_after=1.0)
+                    self.wait_until_exited(cluster, node)
                     cluster.run(2.0)
                 self.assertLess(cluster.longest_pause, PAUSE_S)
                 cluster.recover_and_check()
 
 
-class Alone(unittest.TestCase):
+class SingleNode(unittest.TestCase):
     """A single core, driven step by step."""
 
-    def led(self) -> tuple[RaftNode, float]:
+    def start_leader(self) -> tuple[RaftNode, float]:
         core, now = RaftNode("a#0", None, ("a#0",), Timing(), 1, 0.0), 0.0
         while core.commit_index < core.last_index or core.role != "leader":
             now += 0.02
@@ -239,15 +243,15 @@
                 if isinstance(action, Persist):
                     actions += core.persisted(now, action.write_id)
             if now > 5.0:
-                raise Wrong("the only voter does not become leader")
+                raise InvariantViolationError("the only voter does not become leader")
         return core, now
 
     def test_one_that_was_not_asked_to_end(self) -> None:
-        core, now = self.led()
+        core, now = self.start_leader()
         self.assertFalse(core.may_end(now + 10.0))
 
     def test_the_only_voter_waits_for_its_disk(self) -> None:
-        core, now = self.led()
+        core, now = self.start_leader()
         self.assertIsNotNone(core.propose(now, b"last"))
         persist = next(action for action in core.drain() if isinstance(action, Persist))
         core.begin_shutdown(now)
@@ -261,14 +265,14 @@
         self.assertTrue(core.may_end(0.0))
 
     def test_a_disk_that_is_well_again_does_not_stop_it(self) -> None:
-        core, now = self.led()
+        core, now = self.start_leader()
         core.begin_shutdown(now)
         core.set_disk_health(now, False)
         core.set_disk_health(now, True)
         self.assertIsNone(core.propose(now, b"late"))
 
     def test_asked_twice(self) -> None:
-        core, now = self.led()
+        core, now = self.start_leader()
         core.begin_shutdown(now)
         core.begin_shutdown(now + 0.5)
         self.assertTrue(core.may_end(now + SHUTDOWN_TIMEOUT_S))
