--- a/minthitch/mesh/raft/membership.py
+++ b/minthitch/mesh/raft/membership.py
@@ -17,7 +17,7 @@
 Five voters tolerate any two losses in the same way, through {A, B, C, D, E, F}, replacing two voters one
 after the other. The cost: with C failed and D just added, A, B and D are all needed for a quorum, where A
 and B were enough before. This lasts for one commit, and starts only when D is caught up and responsive;
-losing D as well is a second loss, more than three voters can tolerate.
+losing D as well is a second loss, which is more than three voters can tolerate.
 
 A machine that lost its disk returns under a new name. Its old name is removed first, as it will certainly
 never respond again. Both changes at once would not be safe: see `Reconfiguration.change_voters`.
--- a/minthitch/mesh/raft/reconfiguration.py
+++ b/minthitch/mesh/raft/reconfiguration.py
@@ -20,7 +20,7 @@
 from minthitch.mesh.raft.placement import Location, Tolerated
 from minthitch.mesh.raft.progress import Progress
 
-UNRESPONSIVE_AFTER_S = 1.5  # a voter silent for longer may be replaced by a learner
+UNRESPONSIVE_AFTER_S = 1.5  # a voter that has not responded for longer may be replaced by a learner
 LEARNER_TIMEOUT_S = 5.0  # a learner that neither requests to join nor responds is dropped
 RESPONSIVE_WITHIN_S = 1.0  # a member that responded within this counts as available in a voter change
 
--- a/minthitch/mesh/raft/shutdown_state.py
+++ b/minthitch/mesh/raft/shutdown_state.py
@@ -6,7 +6,7 @@
 
 
 class ShutdownState:
-    """Separate from `GracefulShutdown`, because followers, candidates and leaders depend on it."""
+    """State of a shutdown; separate from `GracefulShutdown`, as followers, candidates and leaders use it."""
 
     def __init__(self) -> None:
         self.started_at: float | None = None
--- a/tests/mesh/test_raft.py
+++ b/tests/mesh/test_raft.py
@@ -30,7 +30,7 @@
 from tests.mesh.cluster import Cluster, InvariantViolationError, Node, Schedule
 
 SCHEDULES = 180
-WALKS, STEPS = 120, 4_000  # of the adversary
+WALKS, STEPS = 120, 4_000  # random runs of the adversary, and steps of each
 
 
 class AcknowledgesUnsynced(Follower):
--- a/tests/mesh/test_raft_placement.py
+++ b/tests/mesh/test_raft_placement.py
@@ -83,7 +83,7 @@
             self.assertFalse(improves(names(3), "n3#0", "n0#0", located(zones), ZONE), zones)
 
     def test_swaps_end(self) -> None:
-        """From any placement of five voters in four zones with spares, a bounded number of swaps suffices."""
+        """From any placement of five voters in four zones with spares, swaps end and none is undone."""
         for zones in itertools.product("abcd", repeat=5):
             locations = located("".join(zones) + "abcd")
             voters, learners = names(5), list(names(9)[5:])
--- a/tests/mesh/test_raft_shutdown.py
+++ b/tests/mesh/test_raft_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: leadership is transferred, and no data is only on the member that exits."""
+"""Graceful shutdown: leadership is transferred, and no data exists only on the member that exits."""
 
 from __future__ import annotations
 
@@ -170,7 +170,7 @@
         self.assertIsNone(leader.live.propose(cluster.now, b"late"))
 
     def test_during_an_election(self) -> None:
-        """The leader fails and a follower is shutting down: another one must be elected."""
+        """The leader fails while a follower is shutting down: that follower must not be elected."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 cluster = self.start_cluster(seed, 5)
