--- a/tests/mesh/test_raft_partitions.py
+++ b/tests/mesh/test_raft_partitions.py
@@ -206,8 +206,8 @@
         cluster.freeze(leader)
         cluster.run(3.0)
         leader.frozen = False
-        waiting, leader.deferred_calls = leader.deferred_calls, []
-        for call in waiting:
+        deferred, leader.deferred_calls = leader.deferred_calls, []
+        for call in deferred:
             call()
             others = [n for n in cluster.nodes.values() if n is not leader and n.live.has_lease(cluster.now)]
             if leader.live.has_lease(cluster.now) and others:
