--- a/tests/mesh/founded.py
+++ b/tests/mesh/site_test_case.py
@@ -1,4 +1,4 @@
-"""A simulated site whose control nodes have started and agreed on a leader."""
+"""Base class of tests with a simulated site whose control nodes have elected a leader."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from rigs.simulation.mesh import Site
 
 
-class FoundedSite(unittest.TestCase):
-    """Tests of control nodes in virtual time, without their log lines."""
+class SiteTestCase(unittest.TestCase):
+    """Runs control nodes in virtual time and suppresses their log output."""
 
     def setUp(self) -> None:
         silent = mock.patch.object(LOG, "disabled", True)
         silent.start()
         self.addCleanup(silent.stop)
 
-    def site(self, seed: int) -> Site:
+    def start_site(self, seed: int) -> Site:
         site = Site(seed)
         self.addCleanup(site.loop.close)
         for control in site.controls:
