--- a/minthitch/cli/change.py
+++ b/minthitch/cli/change.py
@@ -57,9 +57,9 @@
         body = path.read_bytes()
     except OSError as err:
         raise ConfigError(f"{path}: can't be read: {err}") from None
-    verdict = Items().judge(body)
-    if not verdict.ok and verdict.why.startswith("call:"):
-        raise ConfigError(f"{path}: {verdict.why}")
+    verdict = Items().validate(body)
+    if not verdict.ok and verdict.reason.startswith("call:"):
+        raise ConfigError(f"{path}: {verdict.reason}")
     return body
 
 
@@ -83,7 +83,7 @@
     if lines:
         return lines
     verdict = _judge(body, found)
-    return [] if verdict.ok else [verdict.why]
+    return [] if verdict.ok else [verdict.reason]
 
 
 def _judge(body: bytes, changes: list[ItemChange]) -> Verdict:
@@ -99,7 +99,7 @@
     if named:
         stubs = [{"Name": name, "Ver": "00000000"} for name in sorted(named)]
         items.apply(json.encode({"Upsert": {SERVICES: stubs}}), 1)
-    return items.judge(body)
+    return items.validate(body)
 
 
 def _services(item: Item) -> Iterator[str]:
@@ -114,7 +114,7 @@
     verdict = _judge(json.encode(change.call()), [change])
     if verdict.ok:
         return ""
-    why = verdict.why.removeprefix(f"{change.section} {change.name[:80]!r}: ").removeprefix(
+    why = verdict.reason.removeprefix(f"{change.section} {change.name[:80]!r}: ").removeprefix(
         f"{change.section}: "
     )
     found = PATH_PATTERN.match(why) or KEY_PATTERN.match(why)
@@ -140,11 +140,11 @@
         raise ConfigError(f"{address}: answered {answer.error()}; is it a control node?")
     try:
         index = json.decode(answer.body)["Index"]
-        verdict = Items().judge(answer.body)
+        verdict = Items().validate(answer.body)
     except (DecodeError, KeyError, TypeError) as err:
         raise ConfigError(f"{address}: no configuration: {err}") from None
     if not verdict.ok or not isinstance(index, int):
-        raise ConfigError(f"{address}: no configuration: {verdict.why}")
+        raise ConfigError(f"{address}: no configuration: {verdict.reason}")
     return index, answer.body
 
 
@@ -180,8 +180,8 @@
         for change in item_changes(body)
         if (line := _difference(change, present.get((change.section, change.name))))
     ]
-    verdict = items.judge(body)
-    return lines if verdict.ok else [*lines, f"! refused: {verdict.why}"]
+    verdict = items.validate(body)
+    return lines if verdict.ok else [*lines, f"! refused: {verdict.reason}"]
 
 
 def _difference(change: ItemChange, present: Item | None) -> str:
--- a/minthitch/mesh/configuration/items.py
+++ b/minthitch/mesh/configuration/items.py
@@ -34,24 +34,24 @@
 class Verdict(Struct, frozen=True):
     """The outcome of a call.
 
-    Where it is rejected (`kind` is set, `why` one line), no part of it is in force.
+    Where it is rejected (`kind` is set, `reason` one line), no part of it is in force.
     """
 
     ok: bool
-    why: str = ""
+    reason: str = ""
     changed: bool = False
     kind: ErrorKind | None = None
 
 
 class Delta(Struct, frozen=True, array_like=True):
-    """The rows that changed after `after`, up to `index`; with `after` below `forgotten`, all rows.
+    """The rows that changed after `after`, up to `index`; with `after` below `pruned_index`, all rows.
 
-    `forgotten` is the highest index among the tombstones that are no longer kept.
+    `pruned_index` is the highest index among the tombstones that are no longer kept.
     """
 
     after: int
     index: int
-    forgotten: int
+    pruned_index: int
     rows: list[Row]
 
 
@@ -63,10 +63,10 @@
 
     def __init__(self) -> None:
         self.index = 0
-        self._forgotten = 0  # the highest index among the tombstones that are no longer kept
+        self._pruned_index = 0  # the highest index among the tombstones that are no longer kept
         self._rows: dict[Key, Row] = {}
 
-    def present(self, section: str) -> Iterator[tuple[str, bytes]]:
+    def live_items(self, section: str) -> Iterator[tuple[str, bytes]]:
         """Names and bytes of a section's items that are not deleted."""
         for row in self._rows.values():
             if row.section == section and row.body is not None:
@@ -88,18 +88,18 @@
 
         All rows for 0, and where deletions that the copy has not seen are forgotten here.
         """
-        after = 0 if index < self._forgotten else index
+        after = 0 if index < self._pruned_index else index
         rows = [row for row in self._rows.values() if row.index > after]
-        return msgpack.encode(Delta(after, self.index, self._forgotten, rows))
+        return msgpack.encode(Delta(after, self.index, self._pruned_index, rows))
 
-    def _limit_tombstones(self) -> None:
+    def _prune_tombstones(self) -> None:
         tombstones = [row for row in self._rows.values() if row.body is None]
         if len(tombstones) <= MAX_TOMBSTONES:
             return
         tombstones.sort(key=lambda row: (row.version, row.index, row.section, row.name))
         for row in tombstones[:-MAX_TOMBSTONES]:
             del self._rows[row.key]
-            self._forgotten = max(self._forgotten, row.index)
+            self._pruned_index = max(self._pruned_index, row.index)
 
 
 class Items(ItemSet):
@@ -116,13 +116,13 @@
         self.index = max(self.index, index)
         return verdict
 
-    def judge(self, body: bytes) -> Verdict:
+    def validate(self, body: bytes) -> Verdict:
         """What `apply` would say now: a call that is rejected here need not enter the log."""
         return self._check(body, self.index)[0]
 
     def snapshot(self) -> bytes:
         """Everything, tombstones and indices included (msgpack)."""
-        return msgpack.encode(Delta(0, self.index, self._forgotten, list(self._rows.values())))
+        return msgpack.encode(Delta(0, self.index, self._pruned_index, list(self._rows.values())))
 
     def restore(self, snapshot: bytes) -> None:
         """Become what `snapshot` has.
@@ -132,7 +132,7 @@
         """
         delta = _DELTA_DECODER.decode(snapshot)
         self.index = delta.index
-        self._forgotten = delta.forgotten
+        self._pruned_index = delta.pruned_index
         self._rows = {}
         self._route_facts = {}
         self._store(delta.rows)
@@ -148,8 +148,8 @@
         except InvalidCallError as error:
             return Verdict(False, str(error), kind=ErrorKind.BAD_CONFIG), []
         if conflict is not None:
-            why = f"{label(*conflict.key)}: Ver: {conflict.version:08x} is taken by other content"
-            return Verdict(False, why, kind=ErrorKind.CONFIG_CONFLICT), []
+            reason = f"{label(*conflict.key)}: Ver: {conflict.version:08x} is taken by other content"
+            return Verdict(False, reason, kind=ErrorKind.CONFIG_CONFLICT), []
         return Verdict(True, changed=bool(rows)), rows
 
     def _wins(self, row: Row) -> bool:
@@ -182,7 +182,7 @@
             self._rows[row.key] = row
             _update_facts(self._route_facts, row)
         if any(row.body is None for row in rows):
-            self._limit_tombstones()
+            self._prune_tombstones()
 
 
 class Replica(ItemSet):
@@ -205,15 +205,15 @@
             return True
         before = self._rows
         # With deletions forgotten there, what is missing from a complete set has been deleted.
-        self._rows = {} if self.index < new.forgotten else dict(before)
+        self._rows = {} if self.index < new.pruned_index else dict(before)
         for row in new.rows:
             present = before.get(row.key)
             # An older version must not come back during one run of the process, whatever the sender has.
             is_older = present is not None and present.version > row.version
             self._rows[row.key] = present if present is not None and is_older else row
         self.index = new.index
-        self._forgotten = max(self._forgotten, new.forgotten)
-        self._limit_tombstones()
+        self._pruned_index = max(self._pruned_index, new.pruned_index)
+        self._prune_tombstones()
         return True
 
 
--- a/minthitch/mesh/configuration/routes.py
+++ b/minthitch/mesh/configuration/routes.py
@@ -25,12 +25,12 @@
     name: str
     kind: str
     timeout: float
-    goal: float
+    latency_target: float
     priority: int
-    tries: int
+    max_attempts: int
     services: tuple[tuple[str, float], ...]
 
-    def choose(self, point: float) -> str:
+    def choose_service(self, point: float) -> str:
         """The service at `point` (0 up to, not including, 1) by weight; never one of weight 0."""
         remaining = point * sum(weight for _, weight in self.services)
         last = ""
@@ -48,8 +48,8 @@
     """A service: path of its health check, connections that a server accepts, whether it drops repeats."""
 
     name: str
-    health: str
-    conn_cap: int
+    health_path: str
+    max_connections: int
     dedup: bool
 
 
@@ -69,17 +69,17 @@
     longest: int
 
 
-class Table:
+class RoutingTable:
     """All routes, services and limits as of one index. Built anew when items change, never altered."""
 
     def __init__(self, items: ItemSet) -> None:
         self.index = items.index
         self.routes: dict[str, Route] = {}
-        self.services = {name: _service(name, body) for name, body in items.present(SERVICES)}
-        limits = (_limits(LIMITS_DECODER.decode(body)) for _, body in items.present(LIMITS))
+        self.services = {name: _service(name, body) for name, body in items.live_items(SERVICES)}
+        limits = (_limits(LIMITS_DECODER.decode(body)) for _, body in items.live_items(LIMITS))
         self.limits = next(limits, Limits())
         by_host: dict[str, dict[bytes, Route]] = {}
-        for name, body in items.present(ROUTES):
+        for name, body in items.live_items(ROUTES):
             item = ROUTE_DECODER.decode(body)
             self.routes[name] = route = _route(item)
             by_host.setdefault(host_key(item.host), {})[item.pfx.encode()] = route
@@ -105,8 +105,8 @@
 
 
 def _route(item: RouteItem) -> Route:
-    goal = item.tmo_s if item.goal_s is UNSET else item.goal_s
-    return Route(item.name, item.kind, item.tmo_s, goal, item.prio, item.tries, services_of(item))
+    latency_target = item.tmo_s if item.goal_s is UNSET else item.goal_s
+    return Route(item.name, item.kind, item.tmo_s, latency_target, item.prio, item.tries, services_of(item))
 
 
 def _service(name: str, body: bytes) -> Service:
--- a/minthitch/mesh/configuration/settings.py
+++ b/minthitch/mesh/configuration/settings.py
@@ -12,7 +12,7 @@
 
 from msgspec import Struct, ValidationError, convert, field
 
-VARIABLE = "MINTHITCH_BOOT"  # of the environment: the path of the file
+PATH_VARIABLE = "MINTHITCH_BOOT"  # of the environment: the path of the file
 ZONES = "Net.Azs."  # a zone's name follows, which may have dots in it
 BOUNDS = "Terms.Bnd"
 SWITCHES = frozenset({"true", "false"})  # in place of a bound: it says nothing of the figure
@@ -23,13 +23,13 @@
 
 
 class SettingsError(Exception):
-    """The settings can't be used: `key` has `value`, and `why` states the problem."""
+    """The settings can't be used: `key` has `value`, and `reason` states the problem."""
 
-    def __init__(self, key: str, value: str, why: str) -> None:
-        super().__init__(f"{key}={value}: {why}")
+    def __init__(self, key: str, value: str, reason: str) -> None:
+        super().__init__(f"{key}={value}: {reason}")
         self.key = key
         self.value = value
-        self.why = why
+        self.reason = reason
 
 
 class Limits(Struct, frozen=True, rename="pascal"):
@@ -145,12 +145,12 @@
     Raises:
         SettingsError: no file is named, it can't be opened, or its text can't be used.
     """
-    path = environ.get(VARIABLE, "")
+    path = environ.get(PATH_VARIABLE, "")
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read()
     except (OSError, ValueError) as err:
-        raise SettingsError(VARIABLE, path, f"can't be read: {err}") from None
+        raise SettingsError(PATH_VARIABLE, path, f"can't be read: {err}") from None
     return parse_settings(text)
 
 
--- a/minthitch/mesh/control/consensus.py
+++ b/minthitch/mesh/control/consensus.py
@@ -56,16 +56,16 @@
         """End the process."""
 
 
-def data_file_bytes(boot: NodeSettings) -> int:
+def data_file_bytes(settings: NodeSettings) -> int:
     """The limit of the data file."""
-    return int(max(boot.own.limits.disk_mb, MIN_DISK_MB) * FILE_FRACTION) * 1024 * 1024
+    return int(max(settings.own.limits.disk_mb, MIN_DISK_MB) * FILE_FRACTION) * 1024 * 1024
 
 
 class ConsensusDriver:
     """Carries out the actions of a RaftNode and reports to it what has happened."""
 
     def __init__(
-        self, host: Host, boot: NodeSettings, store: Store | None, make_writer: MakeWriter, clock: Clock
+        self, host: Host, settings: NodeSettings, store: Store | None, make_writer: MakeWriter, clock: Clock
     ) -> None:
         """Open the data folder and start the core.
 
@@ -78,10 +78,12 @@
         self._loop = host.loop
         self._clock = clock
         self._last_logged: tuple[Any, ...] = ()
-        store = store or Store(boot.own.datadir, data_file_bytes(boot))
-        self.raft = _start_raft(boot, store, self._loop.time())
+        store = store or Store(settings.own.datadir, data_file_bytes(settings))
+        self.raft = _start_raft(settings, store, self._loop.time())
         snapshot = self.raft.log.snapshot
-        schedule = SnapshotSchedule(boot.own.ip, data_file_bytes(boot), snapshot.index, len(snapshot.data))
+        schedule = SnapshotSchedule(
+            settings.own.ip, data_file_bytes(settings), snapshot.index, len(snapshot.data)
+        )
         self.snapshots = SnapshotTaker(self._loop, self.state, schedule, self._compact)
         self.shutdown = GracefulShutdown(self.raft)
         self.writer = make_writer(store, self._on_durable_soon, self._on_failure_soon, clock)
@@ -187,7 +189,7 @@
         self.writer.stop()
 
 
-def _start_raft(boot: NodeSettings, store: Store, now: float) -> RaftNode:
+def _start_raft(settings: NodeSettings, store: Store, now: float) -> RaftNode:
     """The consensus core with what the disk has.
 
     Raises:
@@ -203,21 +205,21 @@
     )
     if condition is Condition.NEWER:
         raise StoreCorruptedError("the folder was written by a later version")
-    seeds = tuple(address.rpartition(":")[0] for address in boot.net.seeds)
+    seeds = tuple(address.rpartition(":")[0] for address in settings.net.seeds)
     if condition is not Condition.INTACT:
         # Only the first start of the whole system may found a group: otherwise there could be two of them.
-        founds_group = boot.own.init and condition is Condition.EMPTY and boot.own.ip in seeds
+        founds_group = settings.own.init and condition is Condition.EMPTY and settings.own.ip in seeds
         store.initialize(FOUNDER_INCARNATION if founds_group else os.urandom(6).hex())
     is_founder = store.incarnation == FOUNDER_INCARNATION
-    tolerate = boot.terms.tolerate
+    tolerate = settings.terms.tolerate
     tolerated = Tolerated(tolerate.hw, tolerate.azs, tolerate.regions)
     policy = GroupPolicy(
         target_size=target_group_size(tolerated),
-        unresponsive_after_s=min(UNRESPONSIVE_AFTER_S, REPLACEMENT_FRACTION * boot.terms.bounds.sync_s),
+        unresponsive_after_s=min(UNRESPONSIVE_AFTER_S, REPLACEMENT_FRACTION * settings.terms.bounds.sync_s),
         tolerated=tolerated,
     )
     raft = RaftNode(
-        name=f"{boot.own.ip}#{store.incarnation}",
+        name=f"{settings.own.ip}#{store.incarnation}",
         persisted=store.load(),
         founders=tuple(f"{seed}#{FOUNDER_INCARNATION}" for seed in seeds) if is_founder else (),
         timing=TIMING,
@@ -225,5 +227,5 @@
         now=now,
         policy=policy,
     )
-    raft.locations[boot.own.ip] = Location(boot.own.az, boot.own.region)
+    raft.locations[settings.own.ip] = Location(settings.own.az, settings.own.region)
     return raft
--- a/minthitch/mesh/control/program.py
+++ b/minthitch/mesh/control/program.py
@@ -21,16 +21,16 @@
 EXIT_OK, EXIT_ADDRESS, EXIT_DISK = 0, 1, 3
 
 
-def required_settings(boot: NodeSettings) -> tuple[tuple[str, str], ...]:
+def required_settings(settings: NodeSettings) -> tuple[tuple[str, str], ...]:
     """Key and value of each setting that a control node needs."""
-    return (("Self.Datadir", boot.own.datadir), ("Net.Bind.Ctl", boot.net.bind.ctl))
+    return (("Self.Datadir", settings.own.datadir), ("Net.Bind.Ctl", settings.net.bind.ctl))
 
 
-async def serve(boot: NodeSettings) -> int:
+async def serve(settings: NodeSettings) -> int:
     """Serve until SIGTERM. Returns the exit code."""
     loop = asyncio.get_running_loop()
     try:
-        server = ControlServer(boot)
+        server = ControlServer(settings)
     except (StoreError, OSError) as error:
         log_event(Event.DISK_USELESS, why=error)
         return EXIT_DISK
@@ -38,15 +38,15 @@
     listener = Listener(handlers, MAX_CLIENTS, MAX_BUFFERED_BODY_BYTES)
     try:
         peers = await loop.create_server(
-            lambda: Connection(server), boot.own.ip, server.port, backlog=BACKLOG
+            lambda: Connection(server), settings.own.ip, server.port, backlog=BACKLOG
         )
-        await listener.open(boot.net.bind.ctl)
+        await listener.open(settings.net.bind.ctl)
     except OSError as error:
-        log_event(Event.BIND, address=boot.net.bind.ctl, why=error)
+        log_event(Event.BIND, address=settings.net.bind.ctl, why=error)
         return EXIT_ADDRESS
     _handle_signals(loop, server)
-    log_event(Event.STARTED, program="control", node=boot.own.node, zone=boot.own.az)
-    await server.finished.wait()
+    log_event(Event.STARTED, program="control", node=settings.own.node, zone=settings.own.az)
+    await server.stop_requested.wait()
     if server.failure is not None:
         log_event(Event.FAULT, what=repr(server.failure))
         return EXIT_DISK
@@ -60,7 +60,7 @@
 
 def _handle_signals(loop: asyncio.AbstractEventLoop, server: ControlServer) -> None:
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, server.finished.set)
+        loop.add_signal_handler(number, server.stop_requested.set)
     loop.add_signal_handler(signal.SIGHUP, lambda: server.peer_links.connect_to(seeds()))
 
 
--- a/minthitch/mesh/control/server.py
+++ b/minthitch/mesh/control/server.py
@@ -50,7 +50,7 @@
 
     def __init__(
         self,
-        boot: NodeSettings,
+        settings: NodeSettings,
         store: Store | None = None,
         writer: MakeWriter = StorageWriter,
         clock: Clock = time.monotonic,
@@ -58,7 +58,7 @@
         """Start it.
 
         Args:
-            boot: the settings.
+            settings: the settings.
             store: the data folder; None: the one that the settings name. Simulations give their own.
             writer: makes the writer of the store.
             clock: seconds of the steady clock, read anew at each call.
@@ -66,27 +66,29 @@
         Raises:
             StoreError, OSError: the data folder can't be used.
         """
-        self.boot = boot
+        self.settings = settings
         self.clock = clock
         self.loop = asyncio.get_running_loop()
-        self.port = boot.net.port_range[0]
+        self.port = settings.net.port_range[0]
         self.failure: BaseException | None = None
-        self.finished = asyncio.Event()  # the process has to end
+        self.stop_requested = asyncio.Event()  # the process has to end
         self.may_end = asyncio.Event()  # after `begin_shutdown`
         self.registry = Registry()
         self.proposals = Proposals(self)
         self.calls = ConfigurationCalls(self)
         self.updates = SidecarUpdates(self, self.registry)
-        self.claim_expiry = ClaimExpiry(self, boot.terms.bounds.key_win_s)
-        self.peer_links = PeerLinks(self, boot.own.ip, self.port, Location(boot.own.az, boot.own.region))
-        self.consensus = ConsensusDriver(self, boot, store, writer, clock)
+        self.claim_expiry = ClaimExpiry(self, settings.terms.bounds.key_win_s)
+        self.peer_links = PeerLinks(
+            self, settings.own.ip, self.port, Location(settings.own.az, settings.own.region)
+        )
+        self.consensus = ConsensusDriver(self, settings, store, writer, clock)
         self.raft = self.consensus.raft
         self.state = self.consensus.state
-        self.leases = AllowanceLeases(boot.terms.bounds, self.raft)
+        self.leases = AllowanceLeases(settings.terms.bounds, self.raft)
         self._was_up_to_date = False
         self._last_full_update = 0.0
         self.carry_out(self.raft.drain())
-        seeds = tuple(address.rpartition(":")[0] for address in boot.net.seeds)
+        seeds = tuple(address.rpartition(":")[0] for address in settings.net.seeds)
         self.peer_links.connect_to(seeds + self._voter_addresses())
         self._timers = {
             self._tick: self.loop.call_later(TICK_INTERVAL_S, self._tick),
@@ -137,7 +139,7 @@
     def fail(self, error: BaseException) -> None:
         """End this process at once, because of an error."""
         self.failure = error
-        self.finished.set()
+        self.stop_requested.set()
         self.may_end.set()
 
     # Events of the consensus core -----------------------------------------------------------------
--- a/minthitch/mesh/control/state_machine.py
+++ b/minthitch/mesh/control/state_machine.py
@@ -80,7 +80,7 @@
         if verdict.ok:
             return ConfigurationResult(OK, changed=verdict.changed)
         conflict = verdict.kind is ErrorKind.CONFIG_CONFLICT
-        return ConfigurationResult(CONFLICT if conflict else REJECTED, verdict.why)
+        return ConfigurationResult(CONFLICT if conflict else REJECTED, verdict.reason)
 
     def _claim(self, command: ClaimCommand) -> ClaimResult:
         valid = self.claims.acquire(command)
@@ -90,7 +90,9 @@
 
     def longest_route_timeout(self) -> float:
         """Seconds that a request may take at most by the present routes: so late its claim may come."""
-        return max((ROUTE_DECODER.decode(body).tmo_s for _, body in self.items.present(ROUTES)), default=0.0)
+        return max(
+            (ROUTE_DECODER.decode(body).tmo_s for _, body in self.items.live_items(ROUTES)), default=0.0
+        )
 
     def snapshot(self) -> bytes:
         """Everything, in msgpack."""
--- a/minthitch/mesh/control/status.py
+++ b/minthitch/mesh/control/status.py
@@ -40,7 +40,7 @@
         "newest": newest,
         "older": sum(older),
         "most": MAX_CLAIMS,
-        "window_s": server.boot.terms.bounds.key_win_s,
+        "window_s": server.settings.terms.bounds.key_win_s,
     }
 
 
--- a/minthitch/mesh/http/runtime.py
+++ b/minthitch/mesh/http/runtime.py
@@ -17,7 +17,7 @@
     try:
         return tuple(seed.rpartition(":")[0] for seed in load_settings().net.seeds)
     except SettingsError as err:  # caught half written, or wrong: what is known stays
-        log_event(Event.SETTINGS, key=err.key, value=err.value, why=err.why)
+        log_event(Event.SETTINGS, key=err.key, value=err.value, why=err.reason)
         return ()
 
 
@@ -33,7 +33,7 @@
             if not value:
                 raise SettingsError(key, "", "is missing")
     except SettingsError as err:
-        log_event(Event.SETTINGS, key=err.key, value=err.value, why=err.why)
+        log_event(Event.SETTINGS, key=err.key, value=err.value, why=err.reason)
         return 2
     code = uvloop.run(serve(boot))
     os._exit(code)  # nothing is left to be written; the interpreter's own end takes its time
--- a/minthitch/mesh/sidecar/copies.py
+++ b/minthitch/mesh/sidecar/copies.py
@@ -100,7 +100,7 @@
             return
         now, route = self.loop.time(), attempt.trip.route
         self.front.choice.ended(
-            now, attempt.target, route.name, route.goal, now - attempt.sent, ok=False, lost=False
+            now, attempt.target, route.name, route.latency_target, now - attempt.sent, ok=False, lost=False
         )
         if attempt.target.ip == self.own_ip:
             self.front.admission.cancel("own", attempt.ident)
@@ -151,7 +151,9 @@
         if message[0] == ops.ANSWER:
             _, _, status, fields, body, running, queued = message
             choice.told(now, target, running, queued)
-            choice.ended(now, target, route.name, route.goal, took, ok=status < 500, lost=status >= 500)
+            choice.ended(
+                now, target, route.name, route.latency_target, took, ok=status < 500, lost=status >= 500
+            )
             trip.served(attempt, status, fields, body)
         elif message[0] == ops.BUSY:
             _, _, why, arrived, running, queued, wait = message
@@ -163,7 +165,7 @@
         else:
             _, _, why, running, queued = message
             choice.told(now, target, running, queued)
-            choice.ended(now, target, route.name, route.goal, took, ok=False, lost=True)
+            choice.ended(now, target, route.name, route.latency_target, took, ok=False, lost=True)
             trip.lost(attempt)
 
     def lost(self, peer: Peer) -> None:
@@ -180,7 +182,13 @@
             if attempt.left:
                 route = attempt.trip.route
                 choice.ended(
-                    now, attempt.target, route.name, route.goal, now - attempt.sent, ok=False, lost=True
+                    now,
+                    attempt.target,
+                    route.name,
+                    route.latency_target,
+                    now - attempt.sent,
+                    ok=False,
+                    lost=True,
                 )
                 attempt.trip.lost(attempt)
             else:
--- a/minthitch/mesh/sidecar/front.py
+++ b/minthitch/mesh/sidecar/front.py
@@ -11,7 +11,7 @@
 
 from minthitch.engine.calls import Rejected
 from minthitch.mesh.configuration.errors import REPLIES, ErrorKind
-from minthitch.mesh.configuration.routes import Table
+from minthitch.mesh.configuration.routes import RoutingTable
 from minthitch.mesh.configuration.settings import NodeSettings
 from minthitch.mesh.events.events import Event, log_event
 from minthitch.mesh.http.listener import ClientConnection
@@ -53,7 +53,7 @@
         self.last = math.inf  # by when all that is open is answered: this process ends then
         self.shut = math.inf  # from when on nothing more is taken
         self.said_ready = False
-        self.table: Table | None = None
+        self.table: RoutingTable | None = None
         self.choice = Choice(boot.own.az, epoch)
         self.nodes = 1
         self.make_trip: Callable[..., Trip] = Trip  # another while its operator traces requests
@@ -105,7 +105,7 @@
 
     def changed(self, config: bool, records: bool) -> None:
         if config:
-            self.table = Table(self.controls.replica)
+            self.table = RoutingTable(self.controls.replica)
             log_event(Event.CONFIG, index=self.table.index, routes=len(self.table.routes))
         if records:
             self._list()
@@ -161,7 +161,7 @@
             raise Rejected(400, "no X-Idempotency-Key")
         waited = (time.monotonic_ns() - request.heard) / 1e9 if request.heard else 0.0
         left = _deadline(request.fields.get(b"x-deadline-ms"), route.timeout) - min(waited, 1.0)
-        service = route.choose(self.random.random())
+        service = route.choose_service(self.random.random())
         nested = self.nested_routes.record(route.name, self.admission.gate.running)
         # Servers' own calls carry no key.
         self.retry_budget.taken(service, route.kind != "keyed" and self.nested_routes.may_be(route.name))
--- a/minthitch/mesh/sidecar/tracing.py
+++ b/minthitch/mesh/sidecar/tracing.py
@@ -74,7 +74,7 @@
             service,
             self.due - now,
             self.deadline - now,
-            route.tries,
+            route.max_attempts,
             front.nodes,
         )
 
--- a/minthitch/mesh/sidecar/trip.py
+++ b/minthitch/mesh/sidecar/trip.py
@@ -96,7 +96,7 @@
         self.front, self.client, self.token, self.item = front, client, client.token, item
         self.route, self.service, self.began = route, service, now
         self.deadline = min(now + min(left, route.timeout), front.last)
-        self.due = now + route.goal
+        self.due = now + route.latency_target
         self.identity = item.fields[b"x-request-id"]
         named = {part.strip().lower() for part in item.fields.get(b"connection", b"").split(b",")}
         self.fields: Fields = tuple(
@@ -169,12 +169,12 @@
         most = 1
         if first and not self.once:
             copies = front.retry_budget.of(self.service).remaining(steady())
-            most = max(1, min(self.route.tries - self.arrivals, 1 + copies, RACE_MOST))
+            most = max(1, min(self.route.max_attempts - self.arrivals, 1 + copies, RACE_MOST))
         targets = front.choice.pick(
             now,
             self.service,
             self.route.name,
-            self.route.goal,
+            self.route.latency_target,
             self.due - now,
             most,
             len(self.item.body),
@@ -188,7 +188,7 @@
         if not targets:
             self._stuck(ErrorKind.BUSY if self.tried else ErrorKind.NO_SERVER)
         elif first and not self.once:
-            overdue = front.choice.overdue(self.route.name, self.route.goal)
+            overdue = front.choice.overdue(self.route.name, self.route.latency_target)
             self.timers.append(front.loop.call_later(overdue, self._overdue))
 
     def _pay(self) -> bool:
@@ -238,7 +238,7 @@
         """Whether another copy of what may have run may go out, and could be paid."""
         front = self.front
         now = front.loop.time()
-        if self.once or self.arrivals >= self.route.tries or now > self.deadline - LEAST_LEFT:
+        if self.once or self.arrivals >= self.route.max_attempts or now > self.deadline - LEAST_LEFT:
             return False
         if all(life in self.tried for life in front.choice.targets.get(self.service, ())):
             return False
@@ -279,7 +279,7 @@
             return
         if self.out:
             return
-        if self.arrivals >= self.route.tries:
+        if self.arrivals >= self.route.max_attempts:
             self._stuck(ErrorKind.BUSY)
             return
         self._send(False)  # what was turned away unseen is no arrival, and what was paid for it pays for this
@@ -339,7 +339,9 @@
         fields: list[tuple[bytes, bytes]] = []
         if reply.status in (429, 503):
             low, high = BACK_PART
-            pause = max(self.front.random.uniform(low, high) * self.route.goal, BACK_LEAST, self.wait)
+            pause = max(
+                self.front.random.uniform(low, high) * self.route.latency_target, BACK_LEAST, self.wait
+            )
             fields.append((b"Retry-After", b"%.3f" % pause))
         self.front.refused(kind, self.route.name)
         self._respond(reply.status, tuple(fields), b"")
--- a/rigs/simulation/mesh.py
+++ b/rigs/simulation/mesh.py
@@ -134,7 +134,7 @@
 
     def _look(self, server: ControlServer) -> None:
         """As its program does: it ends where it has found a promise broken."""
-        if server.finished.is_set():
+        if server.stop_requested.is_set():
             self.site.record("fault", self.ip, why=f"ended by itself: {server.failure!r}")
             self.loop.after(0.0, self.loop.world, self.stop)
             self.loop.after(1.0, self.loop.world, self.start)
--- a/tests/mesh/test_configuration.py
+++ b/tests/mesh/test_configuration.py
@@ -12,7 +12,7 @@
 from minthitch.mesh.configuration import calls, items, settings
 from minthitch.mesh.configuration.errors import REPLIES, ErrorKind
 from minthitch.mesh.configuration.items import Items, Replica, Verdict
-from minthitch.mesh.configuration.routes import Route, Table
+from minthitch.mesh.configuration.routes import Route, RoutingTable
 
 Item = dict[str, Any]
 SETTINGS = """
@@ -84,9 +84,9 @@
         before = machine.fetch()
         verdict = machine.apply(body, 2)
         self.assertEqual((verdict.ok, verdict.changed, verdict.kind), (False, False, ErrorKind.BAD_CONFIG))
-        self.assertNotIn("\n", verdict.why)
+        self.assertNotIn("\n", verdict.reason)
         for text in verdict_texts:
-            self.assertIn(text, verdict.why)
+            self.assertIn(text, verdict.reason)
         self.assertEqual(machine.fetch(), before)
 
     def test_a_route_that_is_not_proper_names_item_and_key(self) -> None:
@@ -209,7 +209,7 @@
             machine, verdicts = state(first(route()), one, other, one)
             self.assertEqual([verdict.ok for verdict in verdicts], [True, True, False, True])
             self.assertEqual(verdicts[2].kind, ErrorKind.CONFIG_CONFLICT)
-            self.assertIn("r-1", verdicts[2].why)
+            self.assertIn("r-1", verdicts[2].reason)
             stands = json.decode(machine.fetch())
             self.assertEqual((len(stands["Routes"]), len(stands["Svcs"])), (left, 2))
 
@@ -327,8 +327,8 @@
             self.assertEqual((caught.exception.key, caught.exception.value), (key, value))
         with self.assertRaises(settings.SettingsError) as caught:
             settings.parse_settings(SETTINGS.replace("Self.Node", "Self.Nod"))
-        self.assertEqual((caught.exception.key, caught.exception.why), ("Self.Node", "is missing"))
-        with mock.patch.dict("os.environ", {settings.VARIABLE: "/none/such"}):
+        self.assertEqual((caught.exception.key, caught.exception.reason), ("Self.Node", "is missing"))
+        with mock.patch.dict("os.environ", {settings.PATH_VARIABLE: "/none/such"}):
             self.assertRaises(settings.SettingsError, settings.load_settings)
 
 
@@ -341,8 +341,8 @@
         places = sorted({(rng.choice(["x.example", "Y.example"]), prefix) for prefix in prefixes})
         known = [route(f"r-{n}", Host=host, Pfx=pfx) for n, (host, pfx) in enumerate(places) if n % 3]
         machine, verdicts = state(first(*known))
-        self.assertTrue(verdicts[0].ok, verdicts[0].why)
-        table = Table(machine)
+        self.assertTrue(verdicts[0].ok, verdicts[0].reason)
+        table = RoutingTable(machine)
         for _ in range(3000):
             host = rng.choice(["x.example", "X.EXAMPLE:80", "y.example", "z.example"])
             path = "/" + "/".join(rng.choice(parts) for _ in range(rng.randrange(6)))
@@ -359,12 +359,14 @@
     def test_services_fall_out_by_weight(self) -> None:
         split = (("z", 0.0), ("a", 90.0), ("y", 0.0), ("b", 10.0), ("x", 0.0))
         chosen = Route("r", "keyed", 1, 1, 0, 1, split)
-        self.assertEqual([chosen.choose(u) for u in (0.0, 0.899, 0.9, 1 - 2**-53)], ["a", "a", "b", "b"])
+        self.assertEqual(
+            [chosen.choose_service(u) for u in (0.0, 0.899, 0.9, 1 - 2**-53)], ["a", "a", "b", "b"]
+        )
 
     def test_a_table_holds_services_and_limits(self) -> None:
         machine, _ = state(call({"Svcs": [service(Dedup=True)], "Limits": {"IdleS": 9, "Ver": "00000001"}}))
-        table = Table(machine)
-        self.assertEqual((table.services["s-1"].conn_cap, table.services["s-1"].dedup), (110, True))
+        table = RoutingTable(machine)
+        self.assertEqual((table.services["s-1"].max_connections, table.services["s-1"].dedup), (110, True))
         self.assertEqual((table.limits.idle_s, table.limits.header_bytes), (9, 16384))
 
 
--- a/tests/mesh/test_delivery_links.py
+++ b/tests/mesh/test_delivery_links.py
@@ -50,7 +50,7 @@
     """One call, sent once more where it is told to have never left."""
 
     rank = 1
-    route = SimpleNamespace(name="r", goal=1.0)
+    route = SimpleNamespace(name="r", latency_target=1.0)
 
     def __init__(self, walk: Walk, number: int, size: int, once: bool) -> None:
         self.walk, self.once = walk, once
--- a/tests/mesh/test_pages_configuration.py
+++ b/tests/mesh/test_pages_configuration.py
@@ -92,7 +92,7 @@
         before = self.state.fetch()
         verdict = self.send(order)
         if not verdict.ok:
-            self.broken.append(f"refused: {verdict.why}")
+            self.broken.append(f"refused: {verdict.reason}")
         elif verdict.changed or self.state.fetch() != before:
             self.broken.append("changed something")
 
--- a/tests/mesh/test_pages_sighup.py
+++ b/tests/mesh/test_pages_sighup.py
@@ -24,7 +24,7 @@
     def test_seeds_as_the_file_has_them_now(self) -> None:
         with (
             tempfile.NamedTemporaryFile("w+") as file,
-            mock.patch.dict("os.environ", {settings.VARIABLE: file.name}),
+            mock.patch.dict("os.environ", {settings.PATH_VARIABLE: file.name}),
         ):
             for text, found in (
                 (SETTINGS % "10.1.0.14:8306", ("10.1.0.14",)),
