--- a/minthitch/cli/settings.py
+++ b/minthitch/cli/settings.py
@@ -46,7 +46,7 @@
         yield f"Net.PortRange={first},{last}: one port: the lines need no more today, a later version may"
     known = set(_known(settings.NodeSettings, ""))
     for key, value in settings.parse_lines(text).items():
-        if key not in known and not key.startswith(settings.ZONES):
+        if key not in known and not key.startswith(settings.ZONE_PREFIX):
             yield f"{key}={value}: no such key; a start leaves it aside"
 
 
--- a/minthitch/mesh/__init__.py
+++ b/minthitch/mesh/__init__.py
@@ -1,1 +1,1 @@
-"""The service mesh: a sidecar beside each server, and a replicated control plane."""
+"""The service mesh: a sidecar next to each server, and a replicated control plane."""
--- a/minthitch/mesh/configuration/__init__.py
+++ b/minthitch/mesh/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of a process, items in force, routes, calls and kinds of errors."""
+"""Process settings, the replicated configuration, the routing table, HTTP calls and error kinds."""
--- a/minthitch/mesh/configuration/call_parser.py
+++ b/minthitch/mesh/configuration/call_parser.py
@@ -1,4 +1,4 @@
-"""A configuration call, parsed into rows: one for each item that it sets or deletes."""
+"""Parses a configuration call into rows, one for each item that it sets or deletes."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 )
 from minthitch.mesh.configuration.validation import InvalidCallError, Key, label, problem_of
 
-SINGLE_NAME = ""  # under which a section that is one item is kept; an item of a list has a name
+SINGLE_NAME = ""  # the row name of a section that is a single item; items of a list have names
 VERSION_DIGITS = 8
 _HEX_DIGITS = frozenset("0123456789abcdefABCDEF")
 
 
 class Row(Struct, frozen=True, array_like=True, gc=False):
-    """A name's newest version, the index of the log that brought it, the item's bytes (None: deleted)."""
+    """An item's newest version, the log index that set it, and its bytes (None: deleted, a tombstone)."""
 
     section: str
     name: str
@@ -34,7 +34,7 @@
 
     @property
     def key(self) -> Key:
-        """Section and name."""
+        """Section and name, which identify the item."""
         return self.section, self.name
 
 
@@ -47,10 +47,10 @@
 
 
 def parse_call(body: bytes, index: int) -> list[Row]:
-    """The rows of a call that is at `index` of the log, each checked for its form.
+    """Parse the call stored at log index `index` into rows, and validate each item by itself.
 
     Raises:
-        InvalidCallError: the call can't be read in full, or an item is not valid.
+        InvalidCallError: the call can't be parsed completely, or an item is invalid.
     """
     call = _decode_call(body)
     rows: dict[Key, Row] = {}
@@ -67,7 +67,7 @@
 
 def _decode_call(body: bytes) -> _Call:
     try:
-        ANY_DECODER.decode(body)  # parts that are kept as raw bytes must be readable too: they are given back
+        ANY_DECODER.decode(body)  # parts kept as raw bytes are returned later, so must be valid JSON
         call = _CALL_DECODER.decode(body)
     except (DecodeError, RecursionError) as error:
         raise InvalidCallError(f"call: can't be read: {error}") from None
@@ -78,7 +78,7 @@
 
 def _parse_section(section: str, text: bytes, deletes: bool, index: int) -> Iterator[Row]:
     is_list = text.startswith(b"[")
-    # An empty list deletes nothing, whatever the section: an operator may send one for each.
+    # An empty list deletes nothing and is accepted for any section: operators may send one for each.
     deletes_nothing = deletes and text == b"[]"
     if section in KNOWN_SECTIONS and is_list == (section == LIMITS) and not deletes_nothing:
         raise InvalidCallError(f"{section}: must be {'one item' if section == LIMITS else 'a list'}")
@@ -112,14 +112,14 @@
 
 
 def _name_in(text: bytes) -> str:
-    """The name in an item that does not have its proper form."""
+    """The name of an item that failed to decode, for the error message; empty if it has none."""
     decoded = ANY_DECODER.decode(text)
     name = decoded.get("Name", "") if isinstance(decoded, dict) else ""
     return name if isinstance(name, str) else ""
 
 
 def same_content(one: bytes | None, other: bytes | None) -> bool:
-    """Whether two items say the same, in whatever order and spacing. `true` and `1` are not the same."""
+    """Whether two items have equal content, ignoring key order and spacing. `true` and `1` differ."""
     if one is None or other is None or one == other:
         return one == other
     return _normalized(one) == _normalized(other)
--- a/minthitch/mesh/configuration/calls.py
+++ b/minthitch/mesh/configuration/calls.py
@@ -1,4 +1,4 @@
-"""The calls of servers, operators and the platform, and the bodies of heartbeats."""
+"""The HTTP calls of servers, operators and the platform, and the heartbeat body."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Call(Struct, frozen=True, gc=False):
-    """One call: `path` may end with `{}`, which stands for an id; `handler` is a shell's key for its work."""
+    """An HTTP call. `path` may end with `{}`, which stands for an id; `handler` names the code to run."""
 
     name: str
     method: bytes
@@ -25,44 +25,44 @@
     Call("leave", b"POST", b"/Instances.Deregister/{}", "leave"),
     Call("patch", b"POST", b"/Config.Patch", "patch"),
     Call("fetch", b"GET", b"/Config.Fetch", "fetch"),
-    Call("status", b"GET", b"/Mesh.Status", "status"),  # our own: what this process knows, for its operators
-    Call("trace", b"POST", b"/Mesh.Trace/{}", "trace"),  # our own, at a sidecar: for so many seconds
+    Call("status", b"GET", b"/Mesh.Status", "status"),  # this project's: process state for operators
+    Call("trace", b"POST", b"/Mesh.Trace/{}", "trace"),  # this project's, sidecars only: seconds to trace
     Call(
         "explain", b"GET", b"/Mesh.Explain/{}", "explain"
-    ),  # ours, at a sidecar: a request by its X-Request-Id
-    Call("whole", b"GET", b"/Mesh.Config", "whole"),  # our own, at a control node: all items with their index
+    ),  # this project's, sidecars only: a request by its X-Request-Id
+    Call("whole", b"GET", b"/Mesh.Config", "whole"),  # this project's, control nodes: items, log index
 )
 
 
 def find_call(method: bytes, path: bytes) -> tuple[Call, str] | None:
-    """The call that is meant, and the id in its path ("" where it has none); None if there is none such."""
+    """The call with this method and path, and the id in the path ("" without one); None if unknown."""
     for call in CALLS:
         if call.method == method:
-            ident = _ident(call.path, path)
-            if ident is not None:
-                return call, ident
+            path_id = _path_id(call.path, path)
+            if path_id is not None:
+                return call, path_id
     return None
 
 
 def known_methods(path: bytes) -> tuple[bytes, ...]:
-    """The methods known at this path: where there are some, a call that was not found is a 405, not a 404."""
-    return tuple(call.method for call in CALLS if _ident(call.path, path) is not None)
+    """The methods defined for this path. If there are any, an unknown call is a 405 instead of a 404."""
+    return tuple(call.method for call in CALLS if _path_id(call.path, path) is not None)
 
 
-def _ident(template: bytes, path: bytes) -> str | None:
+def _path_id(template: bytes, path: bytes) -> str | None:
     bare = path.partition(b"?")[0]
     if not template.endswith(ID_PLACEHOLDER):
         return "" if bare == template else None
-    stem = template[: -len(ID_PLACEHOLDER)]
-    ident = bare[len(stem) :]
-    # A slash would make one server's id look like the path of another call.
-    if not bare.startswith(stem) or not ident or b"/" in ident or not ident.isascii():
+    prefix = template[: -len(ID_PLACEHOLDER)]
+    path_id = bare[len(prefix) :]
+    # An id with a slash could be mistaken for the path of another call.
+    if not bare.startswith(prefix) or not path_id or b"/" in path_id or not path_id.isascii():
         return None
-    return ident.decode("ascii")
+    return path_id.decode("ascii")
 
 
 class Summary(Struct, frozen=True, rename="pascal", gc=False):
-    """What stays the same for one run of a server: service, version of its software, zone, slots."""
+    """What is fixed while a server process runs: service, software version, zone, capacity in slots."""
 
     svc: Annotated[str, Meta(min_length=1)]
     cap: Annotated[int, Meta(ge=1)]
@@ -71,7 +71,7 @@
 
 
 class Stat(Struct, frozen=True, rename="pascal", gc=False):
-    """What changes: state, `seq` (lower in a late heartbeat), seconds that it is slow after its start."""
+    """What changes: state, sequence number (lower in a late heartbeat), seconds of slow start."""
 
     state: Literal["up", "draining"]
     seq: int
@@ -79,21 +79,21 @@
 
 
 class Heartbeat(Struct, frozen=True, rename="pascal", gc=False):
-    """The body of a heartbeat; `addr` is "ip:port", checked by who connects to it."""
+    """The body of a heartbeat; `addr` is "ip:port", validated by the code that connects to it."""
 
     addr: Annotated[str, Meta(min_length=1)]
     summary: Summary
     stat: Stat
 
 
-# Not strict: integers may come as `9.0`. A server whose heartbeat is rejected gets no requests.
+# Not strict: integers may arrive as `9.0`. A server whose heartbeat is rejected gets no requests.
 _HEARTBEAT_DECODER = Decoder(Heartbeat, strict=False)
 
 
 def decode_heartbeat(body: bytes) -> Heartbeat:
-    """The heartbeat in a body.
+    """Decode the body of a heartbeat.
 
     Raises:
-        msgspec.DecodeError: it is no heartbeat (msgspec.ValidationError is one of these).
+        msgspec.DecodeError: the body is not a heartbeat (msgspec.ValidationError is a subclass).
     """
     return _HEARTBEAT_DECODER.decode(body)
--- a/minthitch/mesh/configuration/errors.py
+++ b/minthitch/mesh/configuration/errors.py
@@ -1,4 +1,4 @@
-"""The one closed list of errors that a caller can be answered with, and what each answer promises."""
+"""All errors that the mesh itself can answer a call with, and what each answer guarantees."""
 
 from __future__ import annotations
 
@@ -8,47 +8,48 @@
 
 
 class ErrorKind(Enum):
-    """Every way in which the system itself, not a server, ends a call."""
+    """The ways in which the mesh itself, instead of a server, ends a call."""
 
-    # The request as it came.
-    BAD_REQUEST = "bad request"  # no proper head or body; clients do not try again
+    # The request itself is at fault.
+    BAD_REQUEST = "bad request"  # malformed head or body; clients must not retry
     HEADER_TOO_LARGE = "header too large"  # over Limits.HdrBytes
     BODY_TOO_LARGE = "body too large"  # over Limits.BodyBytes
-    HEADER_SLOW = "header slow"  # head not complete after Limits.HdrS
-    NO_ROUTE = "no route"  # no route of this host begins the path
-    # The request has not run and never will: another node or another moment may do.
-    NO_CONFIG = "no configuration"  # this node has never learnt one; a 404 would be a lie
-    NO_SERVER = "no server"  # none known that may take it
-    BUSY = "busy"  # all servers full, and no turn in sight
-    NO_TIME = "no time"  # what is left is too short to begin
-    LEAVING = "leaving"  # this node is going down and began no new work
+    HEADER_SLOW = "header slow"  # head incomplete after Limits.HdrS
+    NO_ROUTE = "no route"  # no route of this host has a prefix of the path
+    # The request has not run and will not run: a retry elsewhere or later is safe.
+    NO_CONFIG = "no configuration"  # this node has not received one yet, so a 404 could be wrong
+    NO_SERVER = "no server"  # no known server may take it
+    BUSY = "busy"  # all servers are full, and the queue offers no slot in time
+    NO_TIME = "no time"  # too little time is left to start an attempt
+    LEAVING = "leaving"  # this node is shutting down and did not start the request
     # Keyed requests.
-    KEY_AT_WORK = "key at work"  # the first one is still running, or its end is unknown within the window
-    KEY_UNKNOWN = "key unknown"  # ended without an answer: it may have run
-    KEY_DIFFERS = "key differs"  # one key, two different operations
-    # It may have run: nothing is promised.
-    MAY_HAVE_RUN = "may have run"  # sent to a server, and no complete answer came
-    DEADLINE = "deadline"  # time ran out while a server had it
+    KEY_AT_WORK = "key at work"  # the first request still runs, or its outcome is unknown within the window
+    KEY_UNKNOWN = "key unknown"  # the first request ended without an answer: it may have run
+    KEY_DIFFERS = "key differs"  # the key was used for a different operation
+    # The request may have run: nothing is guaranteed.
+    MAY_HAVE_RUN = "may have run"  # sent to a server, which gave no complete answer
+    DEADLINE = "deadline"  # the deadline passed while a server had it
     # Calls of the operator and of servers.
-    BAD_CONFIG = "bad configuration"  # invalid: no part in force
-    CONFIG_CONFLICT = "configuration conflict"  # other content at a version that is taken: no part in force
-    NO_LEADER = "no leader"  # the core can't agree now; the change may be in force or not: call again
-    NO_DISK = "no disk"  # the disk takes nothing: nothing may be acknowledged
-    METHOD = "method"  # the path is known, the method isn't
-    UNKNOWN_CALL = "unknown call"  # no such path among the calls
-    INTERNAL = "internal"  # our own fault; promises nothing
+    BAD_CONFIG = "bad configuration"  # invalid: no part was applied
+    CONFIG_CONFLICT = "configuration conflict"  # the version exists with other content: no part was applied
+    NO_LEADER = "no leader"  # no consensus now; the change may or may not be applied: retry
+    NO_DISK = "no disk"  # the disk accepts no writes, so nothing may be acknowledged
+    METHOD = "method"  # the path exists, but not with this method
+    UNKNOWN_CALL = "unknown call"  # no call has this path
+    INTERNAL = "internal"  # a fault of the mesh; guarantees nothing
 
 
 class Reply(Struct, frozen=True, gc=False):
-    """An error's answer: HTTP status, whether it says that nothing ran, Retry-After in seconds."""
+    """The answer to an error: HTTP status, whether it guarantees that nothing ran, Retry-After in seconds."""
 
     status: int
     not_run: bool
     retry_after: float | None = None
 
 
-# 408, 421, 429 and 503 are promises by the protocol, whoever sends them: none of these may stand beside
-# `not_run=False`. NO_LEADER and NO_DISK answer only calls of operators and servers, which repeat unchanged.
+# By the protocol, 408, 421, 429 and 503 guarantee that nothing ran, whoever sends them, so they must not be
+# combined with `not_run=False`. NO_LEADER and NO_DISK only answer calls of operators and servers, which retry
+# them unchanged.
 REPLIES: dict[ErrorKind, Reply] = {
     ErrorKind.BAD_REQUEST: Reply(400, True),
     ErrorKind.HEADER_TOO_LARGE: Reply(431, True),
--- a/minthitch/mesh/configuration/items.py
+++ b/minthitch/mesh/configuration/items.py
@@ -1,9 +1,9 @@
-"""The configuration as a replicated state machine, and its copies in the sidecars.
+"""The configuration as a replicated state machine, and its replicas in the sidecars.
 
-Pure: the same calls at the same indices give the same rows and the same verdicts on every node. Items are
-kept as the bytes that were sent, so that what is read back is what was sent, unknown fields and sections
-included. For each name the highest version wins, whether it sets or deletes; a deleted name leaves a
-tombstone, without which an older change that arrives again would bring the item back.
+Deterministic: the same calls at the same log indices give the same rows and verdicts on every node. Items
+are stored as the bytes that were sent, so reading them back returns exactly those, with unknown fields and
+sections. For each name the highest version wins, whether it sets or deletes the item. A deleted item leaves
+a tombstone; without it, an older change that is sent again would restore the item.
 """
 
 from __future__ import annotations
@@ -25,16 +25,16 @@
     label,
 )
 
-# After more deletions than this, the oldest may be undone by an old change that comes again, or a change
-# that was acknowledged may be rejected when it is repeated. 850 changes a day that delete 19 names each
-# stay within it for one day. Memory is used only as far as names are deleted.
+# Beyond this many deletions the oldest tombstones are pruned. An old change that is sent again can then undo
+# such a deletion, and an acknowledged change may be rejected when it is repeated. The limit covers one day
+# with 850 changes that delete 19 names each. Only actual deletions use memory.
 MAX_TOMBSTONES = 16_384
 
 
 class Verdict(Struct, frozen=True):
-    """The outcome of a call.
+    """The outcome of a configuration call.
 
-    Where it is rejected (`kind` is set, `reason` one line), no part of it is in force.
+    If it was rejected (`kind` is set, `reason` is one line), no part of it was applied.
     """
 
     ok: bool
@@ -44,9 +44,9 @@
 
 
 class Delta(Struct, frozen=True, array_like=True):
-    """The rows that changed after `after`, up to `index`; with `after` below `pruned_index`, all rows.
+    """The rows that changed after log index `after`, up to `index`; with `after` 0, all rows.
 
-    `pruned_index` is the highest index among the tombstones that are no longer kept.
+    `pruned_index` is the highest log index of any pruned tombstone.
     """
 
     after: int
@@ -59,34 +59,34 @@
 
 
 class ItemSet:
-    """Rows as of one index of the log: what the state machine and its copies have in common."""
+    """The rows as of one log index; common base of the state machine and its replicas."""
 
     def __init__(self) -> None:
         self.index = 0
-        self._pruned_index = 0  # the highest index among the tombstones that are no longer kept
+        self._pruned_index = 0  # the highest log index of any pruned tombstone
         self._rows: dict[Key, Row] = {}
 
     def live_items(self, section: str) -> Iterator[tuple[str, bytes]]:
-        """Names and bytes of a section's items that are not deleted."""
+        """Name and bytes of each item in a section that is not deleted."""
         for row in self._rows.values():
             if row.section == section and row.body is not None:
                 yield row.name, row.body
 
     def fetch(self) -> bytes:
-        """JSON of all items that are not deleted, laid out as under `Upsert`, each as it was sent."""
+        """All items that are not deleted, as JSON in the layout of `Upsert`; each item's bytes as sent."""
         sections: dict[str, list[tuple[str, bytes]]] = {ROUTES: [], SERVICES: []}
         for row in self._rows.values():
             if row.body is not None:
                 sections.setdefault(row.section, []).append((row.name, row.body))
         known = [name for name in KNOWN_SECTIONS if name in sections]
         ordered = known + sorted(set(sections) - set(KNOWN_SECTIONS))
-        members = [json.encode(name) + b":" + _lay_out(sections[name]) for name in ordered]
+        members = [json.encode(name) + b":" + _encode_section(sections[name]) for name in ordered]
         return b"{" + b",".join(members) + b"}"
 
     def since(self, index: int) -> bytes:
-        """What a copy at `index` lacks (msgpack of `Delta`).
+        """The changes that a replica at `index` lacks (a `Delta` in msgpack).
 
-        All rows for 0, and where deletions that the copy has not seen are forgotten here.
+        Contains all rows if `index` is 0, or if tombstones that the replica has not seen were pruned here.
         """
         after = 0 if index < self._pruned_index else index
         rows = [row for row in self._rows.values() if row.index > after]
@@ -103,32 +103,34 @@
 
 
 class Items(ItemSet):
-    """The state machine. Every control node applies the same calls in the same order."""
+    """The replicated state machine. Every control node applies the same calls in the same order."""
 
     def __init__(self) -> None:
         super().__init__()
-        self._route_facts: dict[str, RouteFacts] = {}  # by name: a check decodes only what a call brings
+        self._route_facts: dict[
+            str, RouteFacts
+        ] = {}  # by route name, so that a check decodes only the items of the call
 
     def apply(self, body: bytes, index: int) -> Verdict:
-        """Apply the call that is at `index` of the log, completely or not at all."""
+        """Apply the call at log index `index`, completely or not at all."""
         verdict, rows = self._check(body, index)
         self._store(rows)
         self.index = max(self.index, index)
         return verdict
 
     def validate(self, body: bytes) -> Verdict:
-        """What `apply` would say now: a call that is rejected here need not enter the log."""
+        """The verdict that `apply` would give now; a call rejected here need not enter the log."""
         return self._check(body, self.index)[0]
 
     def snapshot(self) -> bytes:
-        """Everything, tombstones and indices included (msgpack)."""
+        """All rows, with tombstones and indices, in msgpack."""
         return msgpack.encode(Delta(0, self.index, self._pruned_index, list(self._rows.values())))
 
     def restore(self, snapshot: bytes) -> None:
-        """Become what `snapshot` has.
+        """Replace the contents by those of `snapshot`.
 
         Raises:
-            msgspec.DecodeError: it is no snapshot; this object stays as it was.
+            msgspec.DecodeError: not a snapshot; this object is unchanged.
         """
         delta = _DELTA_DECODER.decode(snapshot)
         self.index = delta.index
@@ -138,7 +140,7 @@
         self._store(delta.rows)
 
     def _check(self, body: bytes, index: int) -> tuple[Verdict, list[Row]]:
-        """The verdict on a call, and the rows that it changes."""
+        """The verdict on a call, and the rows that it would change."""
         try:
             sent = parse_call(body, index)
             rows = [row for row in sent if self._wins(row)]
@@ -148,7 +150,7 @@
         except InvalidCallError as error:
             return Verdict(False, str(error), kind=ErrorKind.BAD_CONFIG), []
         if conflict is not None:
-            reason = f"{label(*conflict.key)}: Ver: {conflict.version:08x} is taken by other content"
+            reason = f"{label(*conflict.key)}: Ver: {conflict.version:08x} exists with other content"
             return Verdict(False, reason, kind=ErrorKind.CONFIG_CONFLICT), []
         return Verdict(True, changed=bool(rows)), rows
 
@@ -165,7 +167,7 @@
         )
 
     def _check_result(self, rows: list[Row]) -> None:
-        """Check what the configuration would be. It was valid before, so any problem comes with `rows`."""
+        """Validate the resulting configuration. It was valid before, so any problem is caused by `rows`."""
         if not rows:
             return
         bodies = {key: row.body for key, row in self._rows.items()}
@@ -186,29 +188,30 @@
 
 
 class Replica(ItemSet):
-    """A sidecar's copy: always the committed state as of `index`, which only rises."""
+    """A sidecar's replica: always the committed state as of `index`, which never decreases."""
 
     def merge(self, delta: bytes) -> bool:
-        """Take what `since` gave on any node.
+        """Merge a delta from `since` of any node.
 
         Returns:
-            False where it starts after this copy's index, so that changes between would be missed: ask
-            again with `index`.
+            False if the delta starts after this replica's index, so that changes in between would be
+            missed: request a delta from `index` again.
 
         Raises:
-            msgspec.DecodeError: it is no delta; this copy stays as it was.
+            msgspec.DecodeError: not a delta; this replica is unchanged.
         """
         new = _DELTA_DECODER.decode(delta)
         if new.after > self.index:
             return False
-        if new.index <= self.index:  # outdated, late or from a node that lags
+        if new.index <= self.index:  # late, or from a node that lags behind
             return True
         before = self._rows
-        # With deletions forgotten there, what is missing from a complete set has been deleted.
+        # The sender pruned tombstones that this replica has not seen, so it sent all rows: a row that is
+        # missing was deleted.
         self._rows = {} if self.index < new.pruned_index else dict(before)
         for row in new.rows:
             present = before.get(row.key)
-            # An older version must not come back during one run of the process, whatever the sender has.
+            # Within one run of the process a version must never go back, whatever the sender has.
             is_older = present is not None and present.version > row.version
             self._rows[row.key] = present if present is not None and is_older else row
         self.index = new.index
@@ -226,7 +229,7 @@
         route_facts[row.name] = facts_of(ROUTE_DECODER.decode(row.body))
 
 
-def _lay_out(items: list[tuple[str, bytes]]) -> bytes:
+def _encode_section(items: list[tuple[str, bytes]]) -> bytes:
     if items and items[0][0] == SINGLE_NAME:
         return items[0][1]
     return b"[" + b",".join(body for _, body in sorted(items)) + b"]"
--- a/minthitch/mesh/configuration/routes.py
+++ b/minthitch/mesh/configuration/routes.py
@@ -1,4 +1,4 @@
-"""The configuration as the data plane uses it: host and path to route, name to service, limits."""
+"""The configuration as the data plane uses it: route lookup by host and path, services and limits."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Route(Struct, frozen=True):
-    """A route in force; times in seconds, priority 0 is the highest, `services` are names and weights."""
+    """An active route; times in seconds, priority 0 is the highest, `services` are names and weights."""
 
     name: str
     kind: str
@@ -31,7 +31,7 @@
     services: tuple[tuple[str, float], ...]
 
     def choose_service(self, point: float) -> str:
-        """The service at `point` (0 up to, not including, 1) by weight; never one of weight 0."""
+        """Choose a service by weight for a random `point` in [0, 1); never one of weight 0."""
         remaining = point * sum(weight for _, weight in self.services)
         last = ""
         for name, weight in self.services:
@@ -41,11 +41,11 @@
                 return name
             remaining -= weight
             last = name
-        return last  # rounding may leave a trace
+        return last  # rounding errors may leave a small remainder
 
 
 class Service(Struct, frozen=True, gc=False):
-    """A service: path of its health check, connections that a server accepts, whether it drops repeats."""
+    """A service: health check path, connections that a server accepts, whether it deduplicates requests."""
 
     name: str
     health_path: str
@@ -54,7 +54,7 @@
 
 
 class Limits(Struct, frozen=True, gc=False):
-    """Limits of a client's requests (bytes), of the time for a head, and of idle connections (seconds)."""
+    """Limits on clients: bytes of head and body, seconds for a head and until an idle connection closes."""
 
     header_bytes: int = 16384
     body_bytes: int = 67108864
@@ -63,14 +63,14 @@
 
 
 class _HostRoutes(Struct, frozen=True):
-    """The routes of one host by prefix, and the length of the longest prefix."""
+    """One host's routes by path prefix, and the length of the longest prefix."""
 
     routes: dict[bytes, Route]
     longest: int
 
 
 class RoutingTable:
-    """All routes, services and limits as of one index. Built anew when items change, never altered."""
+    """All routes, services and limits as of one log index. Rebuilt when items change, never modified."""
 
     def __init__(self, items: ItemSet) -> None:
         self.index = items.index
@@ -88,12 +88,12 @@
         }
 
     def match(self, host: bytes, path: bytes) -> Route | None:
-        """The route of this host (any case, port or not) with the longest prefix that begins the path."""
+        """The route with the longest matching path prefix; the host's case and port are ignored."""
         host_routes = self._hosts.get(host) or self._hosts.get(host.partition(b":")[0].strip().lower())
         if host_routes is None:
             return None
         query = path.find(b"?")
-        # No prefix is longer, so a path of ten thousand slashes costs no more than the longest prefix has.
+        # Searching only as far as the longest prefix bounds the cost of a path with ten thousand slashes.
         end = host_routes.longest if query < 0 else min(query, host_routes.longest)
         end = path.rfind(b"/", 0, end)
         while end >= 0:
--- a/minthitch/mesh/configuration/schema.py
+++ b/minthitch/mesh/configuration/schema.py
@@ -1,4 +1,4 @@
-"""The items of a configuration as they are sent: structs and decoders, one for each section."""
+"""Configuration items as they are sent: a struct and a decoder for each section."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class WeightedService(Struct, frozen=True, rename="pascal", gc=False):
-    """One part of a route's split; weights count in proportion to their sum."""
+    """One service of a route's traffic split; its share is its weight over the sum of all weights."""
 
     svc: str
     wt: float
@@ -44,7 +44,7 @@
 
 
 class LimitsItem(Struct, frozen=True, rename="pascal", gc=False):
-    """Limits of a client's requests (bytes), of the time for a head, and of idle connections (seconds)."""
+    """Limits on clients: bytes of head and body, seconds for a head and until an idle connection closes."""
 
     ver: str
     hdr_bytes: int = 16384
@@ -54,14 +54,14 @@
 
 
 class NamedItem(Struct, frozen=True, rename="pascal", gc=False):
-    """An item of a list of an unknown section, or one to delete."""
+    """An item in the list of an unknown section, or a deletion of a list item."""
 
     name: str
     ver: str
 
 
 class SingleItem(Struct, frozen=True, rename="pascal", gc=False):
-    """An unknown section that is one item, or one to delete."""
+    """An unknown section that is a single item, or its deletion."""
 
     ver: str
 
@@ -75,7 +75,7 @@
 LIST_DECODER = json.Decoder(list[Raw])
 _NAMED_DECODER = json.Decoder(NamedItem)
 _SINGLE_DECODER = json.Decoder(SingleItem)
-_OWN_DECODERS: dict[str, json.Decoder[Item]] = {
+_SECTION_DECODERS: dict[str, json.Decoder[Item]] = {
     ROUTES: ROUTE_DECODER,  # type: ignore[dict-item]
     SERVICES: SERVICE_DECODER,  # type: ignore[dict-item]
     LIMITS: LIMITS_DECODER,  # type: ignore[dict-item]
@@ -83,18 +83,18 @@
 
 
 def decoder_of(section: str, *, deletes: bool, is_list: bool) -> json.Decoder[Item]:
-    """The decoder of an item: by its section, or the one that reads only name and version."""
+    """The decoder of a section's items; for deletions and unknown sections, of name and version only."""
     plain: json.Decoder[Item] = _NAMED_DECODER if is_list else _SINGLE_DECODER  # type: ignore[assignment]
-    return plain if deletes else _OWN_DECODERS.get(section, plain)
+    return plain if deletes else _SECTION_DECODERS.get(section, plain)
 
 
 def services_of(item: RouteItem) -> tuple[tuple[str, float], ...]:
-    """A route's services and their weights; a route with one service gives it the weight 1."""
+    """A route's services and their weights; a single service has weight 1."""
     if item.split is not UNSET:
         return tuple((weighted.svc, weighted.wt) for weighted in item.split)
     return ((item.svc, 1.0),) if item.svc is not UNSET else ()
 
 
 def host_key(host: str) -> str:
-    """A host as routes compare it: lower case, without a port."""
+    """A host name normalized for comparison: lower case, without a port."""
     return host.partition(":")[0].strip().lower()
--- a/minthitch/mesh/configuration/settings.py
+++ b/minthitch/mesh/configuration/settings.py
@@ -1,8 +1,8 @@
-"""The settings of a process: the file named by the variable MINTHITCH_BOOT.
+"""The settings of a process, read from the file named by the environment variable MINTHITCH_BOOT.
 
-Its lines (`a.b.c=value`, commas between the items of a list) are read here and typed by msgspec. No
-library reads them, for weight: a bare process took 8.5 MB resident, with javaproperties 20, with
-python-dotenv 13.2, and every process of the mesh pays for its memory all day.
+Its lines (`a.b.c=value`, list items separated by commas) are parsed here and converted by msgspec. No
+library parses them, to save memory in every process of the mesh: a bare process took 8.5 MB resident, with
+javaproperties 20, with python-dotenv 13.2.
 """
 
 from __future__ import annotations
@@ -12,18 +12,18 @@
 
 from msgspec import Struct, ValidationError, convert, field
 
-PATH_VARIABLE = "MINTHITCH_BOOT"  # of the environment: the path of the file
-ZONES = "Net.Azs."  # a zone's name follows, which may have dots in it
+PATH_VARIABLE = "MINTHITCH_BOOT"  # environment variable with the path of the settings file
+ZONE_PREFIX = "Net.Azs."  # followed by the zone's name, which may contain dots
 BOUNDS = "Terms.Bnd"
-SWITCHES = frozenset({"true", "false"})  # in place of a bound: it says nothing of the figure
+BOOLEANS = frozenset({"true", "false"})  # allowed in place of a bound, which then keeps its default
 TABLES = ("Self", "Self.Limits", "Net", "Net.Bind", "Infra", "Terms", "Terms.Tolerate", BOUNDS)
 LISTS = frozenset({"Self.Serves", "Net.PortRange", "Net.Seeds", "Terms.Slo"})
 MAX_PORT, MAX_OCTET, IP_OCTETS = 65535, 255, 4
-MAX_DIGITS = 5  # of a port: longer texts are no numbers of ours
+MAX_DIGITS = 5  # of a port; longer texts are not accepted as numbers
 
 
 class SettingsError(Exception):
-    """The settings can't be used: `key` has `value`, and `reason` states the problem."""
+    """The settings are invalid: `key` has `value`, and `reason` is the problem."""
 
     def __init__(self, key: str, value: str, reason: str) -> None:
         super().__init__(f"{key}={value}: {reason}")
@@ -33,7 +33,7 @@
 
 
 class Limits(Struct, frozen=True, rename="pascal"):
-    """What the machine gives this process: cores, megabytes, descriptors, megabits a second."""
+    """Resources of this process: cores, megabytes, file descriptors, megabits per second."""
 
     cpu: float = 1.0
     ncpu: float = 1.0
@@ -44,7 +44,7 @@
 
 
 class SelfSettings(Struct, frozen=True, rename="pascal"):
-    """This process and its machine. An address or name that its class lacks is ""."""
+    """This process and its machine. Addresses and names that its machine class does not have are ""."""
 
     node: str
     mclass: str
@@ -54,7 +54,8 @@
     role: str = ""
     serves: tuple[str, ...] = ()
     quorum: bool = False
-    # A process that takes this for the first start may found a group, so it has to be stated.
+    # Whether this is the first start of the whole system. Only then may a node found a consensus group, so
+    # it must be set explicitly.
     init: bool = False
     datadir: str = ""
     upstream: str = ""
@@ -63,7 +64,7 @@
 
 
 class Bind(Struct, frozen=True, rename="pascal"):
-    """Addresses to listen at, "ip:port"; "" for what this process does not serve."""
+    """Addresses to listen on, "ip:port"; "" if this process does not serve that interface."""
 
     inner: str = field(default="", name="In")
     out: str = ""
@@ -72,7 +73,7 @@
 
 
 class Net(Struct, frozen=True, rename="pascal"):
-    """Addresses, the ports for the project's own connections (first, last), seeds, regions by zone."""
+    """Listen addresses, port range of mesh connections (first, last), seed nodes, region of each zone."""
 
     port_range: tuple[int, int]
     seeds: tuple[str, ...]
@@ -81,7 +82,7 @@
 
 
 class Infra(Struct, frozen=True, rename="pascal"):
-    """What surrounds the system; `hb_s` is the interval of heartbeats in seconds."""
+    """The surrounding infrastructure; `hb_s` is the heartbeat interval in seconds."""
 
     sd: str = "static"
     ingress: str = "static"
@@ -90,7 +91,7 @@
 
 
 class Tolerate(Struct, frozen=True, rename="pascal"):
-    """How many machines, zones and regions may be lost at the same time."""
+    """How many machines, zones and regions may fail at the same time."""
 
     hw: int = 0
     azs: int = 0
@@ -98,10 +99,10 @@
 
 
 class Bounds(Struct, frozen=True, rename="pascal"):
-    """The rules' figures, in seconds but for the ratio and the slack (a number of requests).
+    """The numeric bounds of the service terms, in seconds except the ratio and the slack (in requests).
 
-    A bound is left out, or `true` or `false` in place of a figure, where its part of the rules is not in
-    force or has no figure; what stands here is on the safe side.
+    A bound may be absent, or `true` or `false`, if its part of the terms is not in force or has no number.
+    The defaults here are conservative.
     """
 
     seed_lag_s: float = 3.0
@@ -123,7 +124,7 @@
 
 
 class Terms(Struct, frozen=True, rename="pascal"):
-    """The parts of the rules in force, the losses to bear, the figures."""
+    """The service terms: the parts in force, the failures to tolerate, the numeric bounds."""
 
     slo: tuple[str, ...] = ()
     tolerate: Tolerate = Tolerate()
@@ -131,7 +132,7 @@
 
 
 class NodeSettings(Struct, frozen=True, rename="pascal"):
-    """The settings file."""
+    """All settings of the file."""
 
     own: SelfSettings = field(name="Self")
     net: Net
@@ -140,10 +141,10 @@
 
 
 def load_settings() -> NodeSettings:
-    """The settings as they stand in the file now.
+    """Read the settings file.
 
     Raises:
-        SettingsError: no file is named, it can't be opened, or its text can't be used.
+        SettingsError: no file is named, it can't be read, or its text is invalid.
     """
     path = environ.get(PATH_VARIABLE, "")
     try:
@@ -155,22 +156,22 @@
 
 
 def parse_settings(text: str) -> NodeSettings:
-    """The settings in a file's text; fields that are not known are left aside.
+    """Parse the text of a settings file; unknown fields are ignored.
 
     Raises:
-        SettingsError: a field is missing, or its value can't be what it must be.
+        SettingsError: a field is missing, or its value is invalid.
     """
     found = parse_lines(text)
     try:
-        boot = convert(_tree(found), NodeSettings, strict=False)
+        boot = convert(_nested(found), NodeSettings, strict=False)
     except ValidationError as err:
-        raise _named(str(err), found) from None
+        raise _settings_error(str(err), found) from None
     _check(boot)
     return boot
 
 
 def parse_lines(text: str) -> dict[str, str]:
-    """Each key and its value as they stand in a file's text, known or not.
+    """All keys and values in the text of a settings file, known or unknown.
 
     Raises:
         SettingsError: a line has no "=".
@@ -180,17 +181,17 @@
         if not line or line.startswith("#"):
             continue
         key, equals, value = line.partition("=")
-        if not equals:  # a file caught half written, not a field that is unknown
+        if not equals:  # a partly written file, not an unknown field
             raise SettingsError(key, "", "no '=' in the line")
         found[key.strip()] = value.strip()
     return found
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """The IP number and the port of "ip:port".
+    """Split "ip:port" into address and port.
 
     Raises:
-        ValueError: it is no such address.
+        ValueError: not such an address.
     """
     ip, colon, port = text.rpartition(":")
     if not colon or not _is_ip(ip) or not _is_number(port, MAX_PORT) or int(port) == 0:
@@ -198,18 +199,18 @@
     return ip, int(port)
 
 
-def _tree(values: dict[str, str]) -> dict[str, object]:
+def _nested(values: dict[str, str]) -> dict[str, object]:
     tables: dict[str, dict[str, object]] = {name: {} for name in TABLES}
     zones: dict[str, str] = {}
     for key, value in values.items():
         table, _, name = key.rpartition(".")
-        if key.startswith(ZONES):
-            zones[key[len(ZONES) :]] = value
-        elif table == BOUNDS and value.lower() in SWITCHES:
-            continue  # a process must not refuse to start because of a rule that it does not use
+        if key.startswith(ZONE_PREFIX):
+            zones[key[len(ZONE_PREFIX) :]] = value
+        elif table == BOUNDS and value.lower() in BOOLEANS:
+            continue  # a bound that is not in force must not keep the process from starting
         elif table in tables:
-            tables[table][name] = _items(value) if key in LISTS else value
-    for path in TABLES:  # after the fields: a field that bears a table's name does not hide it
+            tables[table][name] = _split_list(value) if key in LISTS else value
+    for path in TABLES:  # after the fields, so that a field named like a table can't replace it
         parent, _, name = path.rpartition(".")
         if parent:
             tables[parent][name] = tables[path]
@@ -217,12 +218,12 @@
     return {name: tables[name] for name in TABLES if "." not in name}
 
 
-def _items(value: str) -> list[str]:
+def _split_list(value: str) -> list[str]:
     return [item.strip() for item in value.split(",") if item.strip()]
 
 
-def _named(message: str, values: dict[str, str]) -> SettingsError:
-    """The complaint of msgspec ("... - at `$.Self.Init`") with the key and value of the file."""
+def _settings_error(message: str, values: dict[str, str]) -> SettingsError:
+    """Convert msgspec's message ("... - at `$.Self.Init`") to an error with the file's key and value."""
     why, _, path = message.partition(" - at `$")
     key = path.strip(".`").partition("[")[0]
     problem, _, name = why.partition("missing required field `")
@@ -233,10 +234,10 @@
 
 def _check(boot: NodeSettings) -> None:
     if not _is_ip(boot.own.ip):
-        raise SettingsError("Self.Ip", boot.own.ip, "not an IP number")
+        raise SettingsError("Self.Ip", boot.own.ip, "not an IP address")
     first, last = boot.net.port_range
     if not 0 < first <= last <= MAX_PORT:
-        raise SettingsError("Net.PortRange", f"{first},{last}", "not a range of ports")
+        raise SettingsError("Net.PortRange", f"{first},{last}", "not a port range")
     _check_bounds(boot.terms.bounds)
     bind = boot.net.bind
     _check_address("Self.Upstream", boot.own.upstream)
@@ -250,9 +251,9 @@
 
 def _check_bounds(bounds: Bounds) -> None:
     for name, key in zip(bounds.__struct_fields__, bounds.__struct_encode_fields__, strict=True):
-        figure = getattr(bounds, name)
-        if not isfinite(figure) or figure < 0:  # NaN compares false with everything
-            raise SettingsError(f"{BOUNDS}.{key}", str(figure), "not a figure of 0 or more")
+        bound = getattr(bounds, name)
+        if not isfinite(bound) or bound < 0:  # NaN compares false with everything
+            raise SettingsError(f"{BOUNDS}.{key}", str(bound), "not a number of 0 or more")
 
 
 def _check_address(key: str, value: str) -> None:
--- a/minthitch/mesh/configuration/validation.py
+++ b/minthitch/mesh/configuration/validation.py
@@ -1,4 +1,4 @@
-"""What makes an item invalid by itself, and which items can't be valid together."""
+"""Validation of single items, and of all items together."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
     services_of,
 )
 
-MAX_SHOWN_NAME = 80  # characters of a name in a message
+MAX_SHOWN_NAME = 80  # characters of a name shown in a message
 Key = tuple[str, str]  # section, name
 
 
 class InvalidCallError(Exception):
-    """A call is invalid; the message says in one line which item and why."""
+    """A call is invalid; the one-line message names the item and the reason."""
 
 
 class RouteFacts(NamedTuple):
-    """What the checks between items need to know of a route."""
+    """The fields of a route that checks across items need."""
 
     host: str
     prefix: str
@@ -34,31 +34,31 @@
 
 
 def label(section: str, name: str, otherwise: str = "") -> str:
-    """An item in a message: section and name, or `otherwise` where it has no name."""
+    """An item's label in a message: section and name, or `otherwise` if it has no name."""
     return f"{section} {name[:MAX_SHOWN_NAME]!r}" if name else otherwise or section
 
 
 def facts_of(item: RouteItem) -> RouteFacts:
-    """The facts of a route."""
+    """Extract the fields of a route that checks across items need."""
     return RouteFacts(host_key(item.host), item.pfx, tuple(service for service, _ in services_of(item)))
 
 
 def problem_of(item: Item) -> str:
-    """What is wrong with an item by itself (`key: reason`); empty: nothing."""
+    """The problem of a single item as `key: reason`; empty if it is valid."""
     if isinstance(item, RouteItem):
-        return _match_problem(item) or _figures_problem(item) or _services_problem(item)
+        return _match_problem(item) or _range_problem(item) or _services_problem(item)
     if isinstance(item, ServiceItem):
         if not item.hc.startswith("/"):
             return "Hc: must start with a slash"
         return "Maxconn: must be at least 1" if item.maxconn < 1 else ""
     if isinstance(item, LimitsItem):
-        figures: dict[str, float] = {
+        limits: dict[str, float] = {
             "HdrBytes": item.hdr_bytes,
             "BodyBytes": item.body_bytes,
             "HdrS": item.hdr_s,
             "IdleS": item.idle_s,
         }
-        return next((f"{key}: must be over 0" for key, value in figures.items() if value <= 0), "")
+        return next((f"{key}: must be over 0" for key, value in limits.items() if value <= 0), "")
     return ""
 
 
@@ -70,7 +70,7 @@
     return ""
 
 
-def _figures_problem(item: RouteItem) -> str:
+def _range_problem(item: RouteItem) -> str:
     if item.tmo_s <= 0:
         return "TmoS: must be over 0"
     if item.goal_s is not UNSET and item.goal_s <= 0:
@@ -82,11 +82,11 @@
 
 def _services_problem(item: RouteItem) -> str:
     if item.svc is not UNSET and item.split is not UNSET:
-        return "Split: beside Svc"
+        return "Split: not allowed together with Svc"
     if item.svc is not UNSET:
         return "" if item.svc else "Svc: is empty"
     if item.split is UNSET:
-        return "Svc: missing, and Split too"
+        return "Svc: missing, and there is no Split"
     if any(weighted.wt < 0 for weighted in item.split):
         return "Split: a weight is negative"
     if not 0 < sum(weighted.wt for weighted in item.split) < float("inf"):
@@ -95,10 +95,10 @@
 
 
 def check_routes(routes: dict[str, RouteFacts], services: set[str]) -> None:
-    """Every route's services exist, and no two routes match the same.
+    """Check that every route's services exist and no two routes have the same host and prefix.
 
     Raises:
-        InvalidCallError: they don't.
+        InvalidCallError: a service does not exist, or two routes collide.
     """
     matches: dict[tuple[str, str], str] = {}
     for name, facts in routes.items():
@@ -113,10 +113,10 @@
 
 
 def check_layout(keys: Iterable[Key], single_name: str) -> None:
-    """A section is a list or one item: both could not be laid out when read back.
+    """Check that each section is either a list or a single item: JSON can't represent both.
 
     Raises:
-        InvalidCallError: a section is both.
+        InvalidCallError: a section has both.
     """
     is_single: dict[str, bool] = {}
     for section, name in keys:
--- a/minthitch/mesh/events/__init__.py
+++ b/minthitch/mesh/events/__init__.py
@@ -1,1 +1,1 @@
-"""What the programs say: numbered events, in one table."""
+"""The numbered log events of the mesh's programs."""
--- a/minthitch/mesh/events/events.py
+++ b/minthitch/mesh/events/events.py
@@ -1,6 +1,6 @@
-"""Numbered log events of the mesh's programs. Their catalogue is docs/events.md; a test compares the two.
+"""Numbered log events of the mesh's programs, documented in docs/events.md; a test compares the two.
 
-Numbers stay what they are for good. 1xx: any program, 2xx: sidecar, 3xx: control node, 4xx: disk.
+An event's number never changes. 1xx: any program, 2xx: sidecar, 3xx: control node, 4xx: disk.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Event(Enum):
-    """Number, level, and text with the names of its values."""
+    """An event's number, log level and message template."""
 
     SETTINGS = 101, logging.ERROR, "settings can't be used: {key}={value}: {why}"
     STARTED = 102, logging.INFO, "{program} {node} started in zone {zone}"
@@ -54,12 +54,12 @@
 
     @property
     def number(self) -> int:
-        """The number in the log line, which never changes."""
+        """The number shown in the log line; it never changes."""
         return int(self.value[0])
 
 
-class _Lines(logging.Handler):
-    """To standard error, bounded in lines a second."""
+class _StderrHandler(logging.Handler):
+    """Writes log lines to standard error, limited in lines per second."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -70,15 +70,15 @@
 
 
 def open_log(level: int = logging.INFO) -> None:
-    """Log lines go to standard error from here on."""
+    """Start sending log lines to standard error."""
     LOG.setLevel(level)
     LOG.propagate = False
     if not LOG.handlers:
-        LOG.addHandler(_Lines())
+        LOG.addHandler(_StderrHandler())
 
 
 def log_event(event: Event, **values: object) -> None:
-    """Logs one event; values by the names that its text has."""
+    """Log one event; `values` are the fields of its message template."""
     number, level, text = event.value
     if LOG.isEnabledFor(level):
         LOG.log(level, "%s", f"E{number} {text.format(**values)}")
--- a/minthitch/mesh/storage/errors.py
+++ b/minthitch/mesh/storage/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the storage, and the one place that maps LMDB's errors to them."""
+"""Storage errors, and the one place that converts LMDB's errors to them."""
 
 from __future__ import annotations
 
@@ -20,23 +20,23 @@
 
 
 class StoreError(Exception):
-    """A data folder can't be used, now or ever."""
+    """The data folder can't be used, temporarily or permanently."""
 
 
 class StoreUnavailableError(StoreError):
-    """The disk or the file is full, or refuses for now. Nothing was written: write the same again."""
+    """The disk or the file is full, or refuses writes for now. Nothing was written: retry the same write."""
 
 
 class StoreCorruptedError(StoreError):
-    """The file is not what was written. This disk has to be treated as lost."""
+    """The file does not contain what was written. This disk must be treated as lost."""
 
 
 @contextmanager
 def storage_errors(*, reading: bool = False) -> Iterator[None]:
-    """Raise errors of LMDB, of the system and of decoding as errors of this module.
+    """Convert LMDB, operating system and decoding errors to this module's errors.
 
     Args:
-        reading: nothing is written, so any error of LMDB is a sign of corruption.
+        reading: nothing is written, so almost any LMDB error means corruption.
     """
     try:
         yield
@@ -53,7 +53,7 @@
 
 
 def is_out_of_space(error: StoreError) -> bool:
-    """Whether the disk or the file is full, and not merely refusing for another reason."""
+    """Whether the error is a full disk or file, rather than another refusal."""
     cause = error.__cause__
     full = isinstance(cause, (lmdb.MapFullError, lmdb.DiskError))
     return full or getattr(cause, "errno", 0) == errno.ENOSPC
--- a/minthitch/mesh/storage/lmdb_meta.py
+++ b/minthitch/mesh/storage/lmdb_meta.py
@@ -1,6 +1,6 @@
-"""LMDB's two meta pages, read from the file before LMDB trusts them: they carry no checksum.
+"""Checks LMDB's two meta pages before LMDB opens the file, because they have no checksum.
 
-Layout of LMDB 0.9, 64 bits, little endian: page header (16 bytes), then magic, version, address, map size,
+Layout in LMDB 0.9, 64 bit, little endian: page header (16 bytes), then magic, version, address, map size,
 two database records of 48 bytes (the root page is the last word of each), last page, transaction id.
 """
 
@@ -15,7 +15,7 @@
 PAGE_SIZES = (4096, 8192, 16384, 32768)
 BRANCH_PAGE, LEAF_PAGE = 0x01, 0x02  # flags in a page's header
 NO_PAGE = 0xFFFFFFFFFFFFFFFF
-MAX_TREE_DEPTH = 16  # no tree is deeper; links of a torn page may form a cycle
+MAX_TREE_DEPTH = 16  # no tree is deeper; the links of a torn page could form a cycle
 NODE_HEADER_BYTES = 16  # of a node, with its 8-byte key
 _META = struct.Struct("<IIQQ40sQ40sQQQ")
 _PAGE_HEADER = struct.Struct("<QHH")
@@ -23,17 +23,17 @@
 
 
 class MetaPage(NamedTuple):
-    """The head of a state of the file."""
+    """One of the two meta pages: the entry point to one committed state of the file."""
 
     offset: int  # of the page in the file
     page_size: int  # bytes
-    roots: tuple[int, int]  # pages: table of free pages, main table
+    roots: tuple[int, int]  # root pages of the free list and of the main database
     last_page: int
     transaction_id: int
 
 
 def read_meta_pages(file: str) -> list[MetaPage]:
-    """The meta pages that look like ones, the newest first.
+    """The meta pages with a valid magic and page size, the newest first.
 
     Raises:
         OSError: the file can't be read.
@@ -54,14 +54,14 @@
     (magic, _, _, _, free_database, free_root, _, main_root, last_page, transaction_id) = _META.unpack_from(
         raw, PAGE_HEADER_BYTES
     )
-    page_size = int.from_bytes(free_database[:4], "little")  # kept in a spare word of that record
+    page_size = int.from_bytes(free_database[:4], "little")  # LMDB stores it in an unused word of this record
     if magic != MAGIC or page_size not in PAGE_SIZES:
         return None
     return MetaPage(offset, page_size, (free_root, main_root), last_page, transaction_id)
 
 
 def has_valid_roots(file: str, page: MetaPage) -> bool:
-    """Whether the roots are tree pages in the file. LMDB would follow invalid ones past its end."""
+    """Whether both roots are tree pages within the file. LMDB would read beyond its end otherwise."""
     size = os.path.getsize(file)
     with open(file, "rb") as opened:
         for root in page.roots:
@@ -77,10 +77,11 @@
 
 
 def last_freeing_transaction(file: str, page: MetaPage) -> int:
-    """The last transaction in the table of free pages; 0 where there is none, or no such table.
+    """The id of the last transaction in the free list; 0 if the list is empty or unreadable.
 
-    Each of our commits frees pages, under its own number. Where the last one is another, this root is older
-    than its meta page: its pages may be in use, and new commits would write over them.
+    Every commit of this store frees pages and records them under its own transaction id. If the last id is a
+    different one, the free list's root is older than its meta page: it lists pages that may be in use, and
+    new commits would overwrite them.
     """
     number = page.roots[0]
     with open(file, "rb") as opened:
@@ -101,7 +102,7 @@
 
 
 def _last_node_offset(raw: bytes, page_size: int) -> int | None:
-    """Where the last node of a tree page is; None where the page is no proper one."""
+    """The offset of a tree page's last node; None if the page is malformed."""
     if len(raw) < page_size:
         return None
     (lower,) = struct.unpack_from("<H", raw, 12)
@@ -112,7 +113,7 @@
 
 
 def invalidate(file: str, page: MetaPage) -> None:
-    """Make LMDB use the meta page before this one, whose pages are all complete, by setting its id to 0."""
+    """Make LMDB use the other, previous meta page, by setting this one's transaction id to 0."""
     with open(file, "r+b") as opened:
         opened.seek(page.offset + PAGE_HEADER_BYTES + _META.size - 8)
         opened.write(bytes(8))
--- a/minthitch/mesh/storage/records.py
+++ b/minthitch/mesh/storage/records.py
@@ -1,7 +1,7 @@
-"""The records of the file and their checksums.
+"""The records in the data file and their checksums.
 
-    h            header: format, incarnation, generation, LMDB's transaction, term, vote, snapshot, last index
-    l + index    an entry of the log (index: 8 bytes, big endian)
+    h            header: format, incarnation, generation, LMDB transaction, term, vote, snapshot, last index
+    l + index    a log entry (index: 8 bytes, big endian)
     i + number   a chunk of the snapshot (number: 4 bytes, big endian)
 
 Each value is the CRC-32 of key and body (4 bytes, little endian), then the body in msgpack.
@@ -19,12 +19,12 @@
 
 FORMAT_NAME, FORMAT_VERSION = "minthitch store", 1
 HEADER_KEY, LOG_PREFIX, SNAPSHOT_PREFIX = b"h", b"l", b"i"
-CHUNK_BYTES = 16 * 1024  # a value needs consecutive free pages, and in time only short runs of them are left
+CHUNK_BYTES = 16 * 1024  # a value needs consecutive free pages, and fragmentation leaves only short runs
 CHECKSUM_BYTES = 4
 
 
 class Header:
-    """The record that tells what else has to be there."""
+    """The header record: it states which other records must exist."""
 
     __slots__ = (
         "incarnation",
@@ -40,8 +40,8 @@
     )
 
     def __init__(self, incarnation: str) -> None:
-        self.incarnation = incarnation  # the name with which this disk was begun
-        self.generation = 0  # of commits
+        self.incarnation = incarnation  # set when the disk was initialized; part of the member's name
+        self.generation = 0  # number of commits
         self.transaction_id = 0
         self.term = 0
         self.voted_for = ""
@@ -52,13 +52,13 @@
         self.last_index = 0
 
     def pack(self) -> bytes:
-        """The record's body; the order of the fields is that of the slots."""
+        """Encode the record's body; the fields are in the order of the slots."""
         fields = [FORMAT_NAME, FORMAT_VERSION, *(getattr(self, slot) for slot in self.__slots__)]
         return bytes(msgpack.packb(fields))
 
     @classmethod
     def unpack(cls, fields: list[Any]) -> Header:
-        """The header with the fields of an unpacked body."""
+        """Create a header from the fields of a decoded body."""
         header = cls("")
         for slot, value in zip(cls.__slots__, fields[2:], strict=True):
             setattr(header, slot, value)
@@ -66,7 +66,7 @@
         return header
 
     def copy(self) -> Header:
-        """A header with the same fields."""
+        """A copy of this header."""
         header = Header(self.incarnation)
         for slot in self.__slots__:
             setattr(header, slot, getattr(self, slot))
@@ -74,13 +74,13 @@
 
 
 def checksummed(key: bytes, body: bytes) -> bytes:
-    """The value of a record: checksum and body."""
+    """The value of a record: the checksum and the body."""
     checksum = zlib.crc32(body, zlib.crc32(key))
     return checksum.to_bytes(CHECKSUM_BYTES, "little") + body
 
 
 def verified(key: bytes, value: bytes | None) -> bytes:
-    """The body of a record.
+    """The body of a record, after checking its checksum.
 
     Raises:
         StoreCorruptedError: the record is missing or damaged.
@@ -94,43 +94,43 @@
 
 
 def log_key(index: int) -> bytes:
-    """The key of an entry."""
+    """The key of a log entry."""
     return LOG_PREFIX + index.to_bytes(8, "big")
 
 
 def chunk_key(number: int) -> bytes:
-    """The key of a chunk of the snapshot."""
+    """The key of a snapshot chunk."""
     return SNAPSHOT_PREFIX + number.to_bytes(4, "big")
 
 
 def chunk_count(size: int) -> int:
-    """How many chunks a snapshot of `size` bytes has."""
+    """The number of chunks of a snapshot of `size` bytes."""
     return -(-size // CHUNK_BYTES)
 
 
 def pack_entry(entry: Entry) -> bytes:
-    """The body of an entry's record."""
+    """Encode the body of a log entry's record."""
     return bytes(msgpack.packb((entry.term, entry.kind, entry.data)))
 
 
 def read_snapshot(transaction: Any, header: Header) -> Snapshot:
-    """The snapshot that the header tells of.
+    """Read the snapshot that the header describes.
 
     Raises:
-        StoreCorruptedError: a part of it is missing or damaged.
+        StoreCorruptedError: a chunk is missing or damaged.
     """
     keys = [chunk_key(number) for number in range(chunk_count(header.snapshot_size))]
     data = b"".join([verified(key, transaction.get(key)) for key in keys])
     if len(data) != header.snapshot_size:
-        raise StoreCorruptedError("the snapshot has another length than its header tells")
+        raise StoreCorruptedError("the snapshot's length differs from the one in the header")
     return Snapshot(header.snapshot_index, header.snapshot_term, header.voters, data)
 
 
 def read_entries(transaction: Any, header: Header) -> tuple[Entry, ...]:
-    """The entries after the snapshot up to the last one.
+    """Read the log entries after the snapshot, up to the last index.
 
     Raises:
-        StoreCorruptedError: one of them is missing or damaged, or there are others.
+        StoreCorruptedError: an entry is missing, damaged or unexpected.
     """
     entries: list[Entry] = []
     with transaction.cursor() as cursor:
@@ -144,5 +144,5 @@
             entries.append(Entry(index, term, kind, data))
             found = cursor.next()
     if header.snapshot_index + len(entries) != header.last_index:
-        raise StoreCorruptedError(f"entries end before {header.last_index}")
+        raise StoreCorruptedError(f"the entries do not end at index {header.last_index}")
     return tuple(entries)
--- a/minthitch/mesh/storage/store.py
+++ b/minthitch/mesh/storage/store.py
@@ -1,8 +1,8 @@
-"""The data folder of a control node: opened and checked at the start, then written in transactions.
+"""The data folder of a control node: opened and checked at startup, then written in transactions.
 
-A commit of LMDB syncs its pages and then its meta page. So a loss of power can tear only the newest meta
-page, of a commit that was not reported; the one before is complete and has everything that was
-acknowledged.
+An LMDB commit syncs its data pages before it writes its meta page. A power loss can therefore tear only the
+newest meta page, of a commit that was not yet reported as durable. The previous meta page is intact and
+leads to everything that was acknowledged.
 """
 
 from __future__ import annotations
@@ -40,29 +40,29 @@
 )
 
 FILE_NAME = "data.mdb"
-# This part of the file's limit is reserved for a snapshot once the log has filled the file
+# An emergency snapshot may exceed the file's limit by this fraction, once the log has filled the file.
 RESERVE_DIVISOR = 4
-REUSE_COMMITS = 2  # further commits after which LMDB reuses the pages that a commit has freed
+REUSE_COMMITS = 2  # LMDB reuses the pages that a commit freed only after this many further commits
 FIRST_PAGES_BYTES = 4 * 4096
 META_PAGES = 2
 MIN_HEADER_FIELDS = 2  # name and version of the format
 
 
 class Condition(Enum):
-    """What was found in the folder."""
+    """The state in which the data folder was found."""
 
     INTACT = "intact"
     EMPTY = "empty"
-    TORN = "torn"  # something acknowledged may be missing: this disk has to be treated as lost
+    TORN = "torn"  # acknowledged data may be missing: this disk must be treated as lost
     FOREIGN = "foreign"  # a file of another program
-    NEWER = "newer"  # a file of a later version: it must not be changed
+    NEWER = "newer"  # a file of a newer version of this program: it must not be changed
 
 
 class Store:
-    """The folder `path`, in at most `map_bytes`. To be used by one thread at a time.
+    """The data folder `path`, limited to `map_bytes`. Only one thread at a time may use it.
 
-    `condition` tells what was found. Only INTACT can be loaded; EMPTY and TORN need `initialize` with a new
-    name.
+    `condition` is the state it was found in. Only INTACT can be loaded; EMPTY and TORN need `initialize` with
+    a new incarnation.
     """
 
     def __init__(self, path: str, map_bytes: int) -> None:
@@ -76,14 +76,14 @@
 
     @property
     def incarnation(self) -> str:
-        """The name with which this disk was initialized; empty where it was not."""
+        """The incarnation with which this disk was initialized; empty if it never was."""
         return self.header.incarnation
 
     def initialize(self, incarnation: str) -> None:
-        """Start over under a new name. A file of another program is moved aside, one of ours is deleted.
+        """Start empty with a new incarnation. Moves a foreign or newer file aside, and deletes any other.
 
         Raises:
-            StoreUnavailableError: the disk refuses.
+            StoreUnavailableError: the disk refuses writes.
         """
         self.close()
         if os.path.exists(self.file):
@@ -91,7 +91,7 @@
                 os.replace(self.file, self.file + ".aside")
             else:
                 os.remove(self.file)
-        # Without this sync the old file, and votes under its old name, could be back after a loss of power.
+        # Without this sync, a power loss could bring back the old file with votes of the old incarnation.
         self._sync_folder()
         self.header = Header(incarnation)
         with storage_errors():
@@ -101,23 +101,23 @@
         self.condition = Condition.INTACT
 
     def load(self) -> PersistedState | None:
-        """What is stored; None where there is nothing to go on from.
+        """Read the stored state; None if there is none to resume from.
 
         Raises:
-            StoreCorruptedError: it can't be read any more.
+            StoreCorruptedError: the file can't be read any more.
         """
         if self.condition is not Condition.INTACT:
             return None
         header = self.header
         if header.generation <= 1:
-            return None  # initialized, and nothing written since
+            return None  # initialized, but nothing written since
         with storage_errors(reading=True), self._environment.begin() as transaction:
             snapshot = read_snapshot(transaction, header)
             entries = read_entries(transaction, header)
         return PersistedState(header.term, header.voted_for, snapshot, entries)
 
     def write(self, persist: Persist) -> None:
-        """Write all of `persist`, durable on return.
+        """Write all of `persist` in one transaction; it is durable on return.
 
         Raises:
             StoreUnavailableError: nothing was written.
@@ -140,7 +140,7 @@
             self._commit(header, persist)
 
     def write_snapshot_in_reserve(self, snapshot: Snapshot) -> None:
-        """Write a snapshot into a file that is full to its limit, so that it drops entries of the log.
+        """Write a snapshot into a full file, above its limit, to drop the log entries that it covers.
 
         Raises:
             StoreUnavailableError, StoreCorruptedError: as for `write`.
@@ -152,19 +152,19 @@
         for _ in range(REUSE_COMMITS):
             self.write(Persist(0, self.header.term, self.header.voted_for, 0, (), None))
         with storage_errors():
-            self._environment.set_mapsize(self.map_bytes)  # LMDB keeps more where more is in use now
+            self._environment.set_mapsize(self.map_bytes)  # if more is in use, LMDB keeps the larger size
 
     def close(self) -> None:
-        """Release the file."""
+        """Close the file."""
         if self._environment is not None:
             self._environment.close()
             self._environment = None
 
     def reopen(self) -> None:
-        """Open the file again, as LMDB requires after a failed write.
+        """Reopen the file, as LMDB requires after a failed write.
 
         Raises:
-            StoreCorruptedError: the file is not as it was left.
+            StoreCorruptedError: the file has changed since it was closed.
             StoreUnavailableError, OSError: it can't be read now.
         """
         before = self.header
@@ -177,14 +177,14 @@
             raise
         after = self.header
         if condition is not Condition.INTACT or after.incarnation != before.incarnation:
-            raise StoreCorruptedError("the file can't be opened again")
+            raise StoreCorruptedError("the file is not intact after reopening")
         if after.generation not in (before.generation, before.generation + 1):
             raise StoreCorruptedError(f"generation {after.generation} after {before.generation}")
 
     # Writing --------------------------------------------------------------------------------------
 
     def _open(self) -> None:
-        # LMDB's lock file is not needed: one process uses this folder.
+        # LMDB's lock file is not needed: only one process uses this folder.
         self._environment = lmdb.Environment(
             self.path,
             map_size=self.map_bytes,
@@ -206,7 +206,7 @@
 
     def _commit(self, header: Header, persist: Persist | None) -> None:
         if self._environment is None:
-            raise StoreUnavailableError("the file could not be opened again")
+            raise StoreUnavailableError("the file could not be reopened")
         with self._environment.begin(write=True) as transaction:
             if persist is not None:
                 self._put(transaction, persist)
@@ -229,7 +229,7 @@
     # Opening --------------------------------------------------------------------------------------
 
     def _open_existing(self) -> Condition:
-        """Open what is there. A torn newest meta page is invalidated and the one before is tried, once."""
+        """Open the existing file. If its newest meta page is torn, try the previous one, once."""
         if not os.path.exists(self.file) or not self._has_content():
             return Condition.EMPTY
         metas = lmdb_meta.read_meta_pages(self.file)
@@ -237,12 +237,12 @@
             return Condition.FOREIGN
         newest = metas[0]
         if len(metas) == 1 and newest.transaction_id > 1:
-            return Condition.TORN  # the other page was one, too, after so many commits
+            return Condition.TORN  # after more than one commit both meta pages must be valid
         if not lmdb_meta.has_valid_roots(self.file, newest):
             return self._open_previous(metas)
         condition = self._open_and_check()
-        # Where the header of that very commit is found, its meta page is complete and the damage is
-        # elsewhere. The commit may have been acknowledged then, and the state before it would forget that.
+        # If the header record is of the newest commit, its meta page is complete and the damage is elsewhere.
+        # That commit may have been acknowledged, so falling back to the previous state could lose it.
         meta_is_torn = self.header.transaction_id != newest.transaction_id
         if condition is Condition.INTACT and self._has_older_root(newest):
             condition = Condition.TORN
@@ -257,7 +257,7 @@
         return lmdb_meta.last_freeing_transaction(self.file, newest) != newest.transaction_id
 
     def _has_content(self) -> bool:
-        """Whether the first commit has written anything: a loss of power in it may leave a file of zeros."""
+        """Whether anything was written: a power loss during the first commit may leave a file of zeros."""
         with open(self.file, "rb") as opened:
             return any(opened.read(FIRST_PAGES_BYTES))
 
@@ -282,7 +282,7 @@
             return Condition.TORN
 
     def _check(self) -> Condition:
-        """Read everything once.
+        """Read and verify all records.
 
         Raises:
             StoreCorruptedError: a record is missing or damaged.
@@ -313,7 +313,7 @@
 
 
 def _delete_entries(transaction: Any, first: int, last: int) -> None:
-    """Delete the entries from `first` to `last` that exist."""
+    """Delete the existing log entries from index `first` to `last`."""
     with transaction.cursor() as cursor:
         if not cursor.set_range(log_key(first)):
             return
--- a/minthitch/mesh/storage/writer.py
+++ b/minthitch/mesh/storage/writer.py
@@ -1,4 +1,4 @@
-"""Writes of the store in a thread of their own: a sync takes milliseconds, or hangs for seconds."""
+"""Writes to the store in a separate thread: a sync takes milliseconds, but may hang for seconds."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from minthitch.mesh.storage.errors import StoreCorruptedError, StoreUnavailableError
 from minthitch.mesh.storage.store import Store
 
-RETRY_DELAY_S = 0.2  # between attempts of a write that the disk refuses
+RETRY_DELAY_S = 0.2  # between attempts at a write that the disk refuses
 
 
 class StorageWriter(threading.Thread):
-    """Writes in the order of submission.
+    """Executes writes in the order of submission.
 
-    `on_durable(write_id)` and `on_failure(reason, corrupted)` are called in this thread: give callables
-    that pass the call on with `loop.call_soon_threadsafe`. Where `corrupted` is true nothing is written any
-    more, and the process has to end and come back as one that lost its disk.
+    `on_durable(write_id)` and `on_failure(reason, corrupted)` are called in this thread, so they must forward
+    to the event loop with `loop.call_soon_threadsafe`. If `corrupted` is true, no more writes are executed,
+    and the process must exit and restart as a node that lost its disk.
     """
 
     def __init__(
@@ -32,8 +32,8 @@
     ) -> None:
         super().__init__(name="storage-writer", daemon=True)
         self.store = store
-        # Written before a write that the disk refuses, to make space by dropping entries of the log. Its
-        # index must not be beyond what this disk already has of the committed log.
+        # Written before a refused write is retried, to free space by dropping log entries. Its index must not
+        # exceed the committed log that this disk already has.
         self.emergency_snapshot: Snapshot | None = None
         self._on_durable = on_durable
         self._on_failure = on_failure
@@ -45,7 +45,7 @@
 
     @property
     def pending_since(self) -> float | None:
-        """When the write under way was begun (seconds of the steady clock); None where there is none."""
+        """When the current write started, in seconds of the monotonic clock; None if the queue is empty."""
         return self._pending_since
 
     def submit(self, persist: Persist) -> None:
@@ -57,13 +57,13 @@
             self._changed.notify()
 
     def stop(self) -> None:
-        """Finish what is queued and end; a write that is refused is given up."""
+        """Finish the queued writes, then stop the thread; a refused write is abandoned."""
         with self._changed:
             self._stopping = True
             self._changed.notify()
 
     def run(self) -> None:
-        """The thread's work."""
+        """Execute queued writes until stopped."""
         while True:
             with self._changed:
                 while not self._queue and not self._stopping:
@@ -79,7 +79,7 @@
             self._on_durable(persist.write_id)
 
     def _write(self, persist: Persist) -> bool:
-        """True once the write is durable, False where it never will be."""
+        """Write until durable; False if it never will be."""
         while True:
             try:
                 self.store.write(persist)
@@ -97,7 +97,7 @@
                 return False
 
     def _make_space(self) -> bool:
-        """Write the emergency snapshot, if one was given; False where the file is corrupted."""
+        """Write the emergency snapshot, if there is one; False if the file is corrupted."""
         snapshot, self.emergency_snapshot = self.emergency_snapshot, None
         header = self.store.header
         if snapshot is None or not header.snapshot_index < snapshot.index <= header.last_index:
@@ -113,12 +113,12 @@
         return True
 
     def _reopen(self) -> bool:
-        """Open the file again, as LMDB takes no more writes after some failures."""
+        """Reopen the file, as LMDB accepts no writes after some failures; False if it is corrupted."""
         try:
             self.store.reopen()
         except StoreCorruptedError as error:
             self._on_failure(str(error), True)
             return False
         except (OSError, StoreUnavailableError):
-            return True  # the disk still refuses, as the next write will report
+            return True  # the disk still refuses: the next write reports it
         return True
