--- a/minthitch/mesh/control/__init__.py
+++ b/minthitch/mesh/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane: consensus, configuration, service registry, ownership of idempotency keys; durable."""
+"""The control plane: replicated configuration and idempotency claims, and the service registry."""
--- a/minthitch/mesh/control/claim_expiry.py
+++ b/minthitch/mesh/control/claim_expiry.py
@@ -1,4 +1,4 @@
-"""The leader's part in forgetting old claims: it records time, and appends rotations."""
+"""Expires old claims: the leader records elapsed time in the log and appends rotations."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Host(Protocol):
-    """The control node whose claims they are."""
+    """The control node that owns the claims."""
 
     raft: RaftNode
     state: StateMachine
@@ -21,7 +21,7 @@
 
 
 class ClaimExpiry:
-    """`window_s` seconds is the time for which a key is kept (see minthitch.mesh.idempotency.rotation)."""
+    """Keeps each key for at least `window_s` seconds (see minthitch.mesh.idempotency.rotation)."""
 
     def __init__(self, host: Host, window_s: float) -> None:
         self.clock = LeadershipClock()
@@ -29,10 +29,10 @@
         self._window_s = window_s
 
     def tick(self, now: float, margin_s: float) -> None:
-        """As leader, append what is due.
+        """As leader, append a rotation or a time record if one is due.
 
         Args:
-            now: read from the steady clock right before.
+            now: fresh monotonic time.
             margin_s: seconds for which claims are kept beyond the window.
         """
         raft, state = self._host.raft, self._host.state
@@ -50,7 +50,7 @@
             self._record_time(now)
 
     def _needed_ms(self, margin_s: float) -> int:
-        """Time between two rotations. All routes are read only once the rest of the time is over."""
+        """Time between two rotations. Decodes all routes only once the minimum time has passed."""
         shortest = int((self._window_s + margin_s) * 1000)
         if self._host.state.elapsed_ms < shortest:
             return shortest
--- a/minthitch/mesh/control/consensus.py
+++ b/minthitch/mesh/control/consensus.py
@@ -1,4 +1,4 @@
-"""Runs the consensus core of a control node: its clock, its disk, and the state machine."""
+"""Runs the consensus core of a control node: time, durable storage and the state machine."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 from minthitch.mesh.storage.writer import StorageWriter
 
 TIMING = Timing(heartbeat=0.05, election_timeout=0.25)
-MAX_SNAPSHOT_ENTRIES = 4_000  # between two snapshots, however small: a start applies all of them
-REPLACEMENT_FRACTION = 0.35  # of SyncS, after which a voter that does not answer may be replaced
-FILE_FRACTION = 0.7  # of the disk that the data file may take
+MAX_SNAPSHOT_ENTRIES = 4_000  # between two snapshots, however small: a restart applies all of them again
+REPLACEMENT_FRACTION = 0.35  # of Terms.Bnd.SyncS, after which an unresponsive voter may be replaced
+FILE_FRACTION = 0.7  # of the disk that the data file may use
 MIN_DISK_MB = 16.0
 FOUNDER_INCARNATION = "0"
 
@@ -36,7 +36,7 @@
 
 
 class Host(Protocol):
-    """The control node that the core belongs to."""
+    """The control node that runs the core."""
 
     loop: asyncio.AbstractEventLoop
 
@@ -44,25 +44,25 @@
         """Send a message to another member."""
 
     def on_applied(self, entry: Entry, result: tuple[Any, ...]) -> None:
-        """A committed entry was applied."""
+        """Called after a committed entry was applied."""
 
     def on_state_changed(self) -> None:
-        """The configuration or the voters have changed."""
+        """Called when the configuration or the voters have changed."""
 
     def on_leader_changed(self) -> None:
-        """There is another leader, or other voters."""
+        """Called when the leader, the term or the voters have changed."""
 
     def fail(self, error: BaseException) -> None:
-        """End the process."""
+        """End the process because of an error."""
 
 
 def data_file_bytes(settings: NodeSettings) -> int:
-    """The limit of the data file."""
+    """The size limit of the data file in bytes."""
     return int(max(settings.own.limits.disk_mb, MIN_DISK_MB) * FILE_FRACTION) * 1024 * 1024
 
 
 class ConsensusDriver:
-    """Carries out the actions of a RaftNode and reports to it what has happened."""
+    """Executes the actions of a RaftNode and reports events to it."""
 
     def __init__(
         self, host: Host, settings: NodeSettings, store: Store | None, make_writer: MakeWriter, clock: Clock
@@ -90,7 +90,7 @@
         self.writer.start()
 
     def tick(self, now: float) -> bool:
-        """Time has passed; whether there is another leader, or other voters."""
+        """Advance the core's time. Returns whether the leader, the term or the voters have changed."""
         health_changed = not self.shutdown.has_begun and self.disk.update(now, self.pending_write_s())
         if health_changed:
             self.carry_out(self.raft.set_disk_health(now, self.disk.healthy))
@@ -98,23 +98,23 @@
         return self._log_changes()
 
     def receive(self, source: str, target: str, wire: tuple[Any, ...]) -> None:
-        """A message of another member. One to an earlier name was meant for the disk that was lost."""
+        """Handle a member's message; drop one to an earlier incarnation of this node, whose disk was lost."""
         message = decode_message(wire) if target == self.raft.name else None
         if message is not None:
             self.carry_out(self.raft.receive(self._loop.time(), source, message))
 
     def is_up_to_date(self, now: float) -> bool:
-        """Whether everything committed is applied here, as far as a leader in contact reported."""
+        """Whether all entries known to be committed are applied, and a quorum is in contact."""
         raft = self.raft
         return raft.in_contact_with_quorum(now) and raft.last_applied >= raft.commit_index > 0
 
     def pending_write_s(self) -> float:
-        """Seconds that the write under way takes already."""
+        """Seconds since the current write started; 0 without one."""
         since = self.writer.pending_since
         return self._clock() - since if since is not None else 0.0
 
     def carry_out(self, actions: list[Action]) -> None:
-        """Do what the core asks for, in its order."""
+        """Execute the core's actions in order."""
         for action in actions:
             if isinstance(action, Send):
                 self._host.send(action)
@@ -159,7 +159,7 @@
 
     def _on_failure(self, reason: str, corrupted: bool) -> None:
         self.disk.on_write_refused(self._loop.time(), reason)
-        if corrupted:  # the process has to come back as one that lost its disk
+        if corrupted:  # the process must restart as a node that lost its disk
             self._host.fail(StoreCorruptedError(reason))
         else:
             self.snapshots.take_early(self.raft.last_applied)
@@ -184,16 +184,16 @@
         return True
 
     def close(self) -> None:
-        """Write what is queued, and stop."""
+        """Finish the queued writes and stop."""
         self.snapshots.close()
         self.writer.stop()
 
 
 def _start_raft(settings: NodeSettings, store: Store, now: float) -> RaftNode:
-    """The consensus core with what the disk has.
+    """Create the consensus core from the state on disk.
 
     Raises:
-        StoreCorruptedError: a later version wrote the folder, and using it would lose what that one stored.
+        StoreCorruptedError: a newer version wrote the folder, and using it would lose that data.
     """
     seed = random.Random(os.urandom(8)).getrandbits(60)
     condition = store.condition
@@ -204,10 +204,10 @@
         term=store.header.term,
     )
     if condition is Condition.NEWER:
-        raise StoreCorruptedError("the folder was written by a later version")
+        raise StoreCorruptedError("the folder was written by a newer version")
     seeds = tuple(address.rpartition(":")[0] for address in settings.net.seeds)
     if condition is not Condition.INTACT:
-        # Only the first start of the whole system may found a group: otherwise there could be two of them.
+        # Only the first start of the whole system may found a group; otherwise there could be two groups.
         founds_group = settings.own.init and condition is Condition.EMPTY and settings.own.ip in seeds
         store.initialize(FOUNDER_INCARNATION if founds_group else os.urandom(6).hex())
     is_founder = store.incarnation == FOUNDER_INCARNATION
--- a/minthitch/mesh/control/handlers.py
+++ b/minthitch/mesh/control/handlers.py
@@ -1,4 +1,4 @@
-"""What a control node answers at `Ctl`: calls of operators, and heartbeats that reached no sidecar."""
+"""HTTP calls at `Net.Bind.Ctl`: calls of operators, and heartbeats that reached no sidecar."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 MAX_HEADER_BYTES = 16 * 1024
 MAX_BODY_BYTES = 4 * 1024 * 1024  # of one configuration call
-MAX_REASON_BYTES = 400  # of an error in an answer
-UNCLEAR = "unclear: send it again"  # it may have been committed: a repeat is acknowledged again
-SIDECAR_CALLS = ("trace", "explain")  # that only sidecars answer
+MAX_REASON_BYTES = 400  # of the error text in an answer
+UNCLEAR = "unclear: send it again"  # it may have been committed; repeating it is safe
+SIDECAR_CALLS = ("trace", "explain")  # only sidecars answer these
 JSON = ((b"Content-Type", b"application/json"),)
 
 
 class ControlHandlers:
-    """Answers the calls of `minthitch.mesh.configuration.calls`."""
+    """Handles the calls defined in `minthitch.mesh.configuration.calls`."""
 
     def __init__(self, server: ControlServer) -> None:
         self.shutting_down = False
@@ -35,26 +35,26 @@
     # RequestHandler -------------------------------------------------------------------------------
 
     def on_client_lost(self, client: ClientConnection) -> None:
-        """A client has gone: what it asked for is done all the same."""
+        """A client disconnected; its pending calls are still executed."""
 
     def accepts_requests(self) -> bool:
-        """Whether connections are kept for further requests."""
+        """Whether connections stay open for further requests."""
         return not self.shutting_down
 
     def max_header_bytes(self) -> int:
-        """The limit of a request's head."""
+        """The size limit of a request's head."""
         return MAX_HEADER_BYTES
 
     def max_body_bytes(self) -> int:
-        """The limit of a request's body."""
+        """The size limit of a request's body."""
         return MAX_BODY_BYTES
 
     def log_client_error(self, text: str) -> None:
-        """Log what a client did wrong."""
+        """Log a client's protocol error."""
         log_event(Event.CLIENT_ERROR, text=text)
 
     def handle(self, client: ClientConnection, request: Incoming) -> None:
-        """Answer a request, now or later."""
+        """Handle a request; the answer may be sent later."""
         found = find_call(request.method, request.target)
         if found is None:
             kind = ErrorKind.METHOD if known_methods(request.target) else ErrorKind.UNKNOWN_CALL
@@ -88,7 +88,7 @@
     # Answers --------------------------------------------------------------------------------------
 
     def _handle_heartbeat(self, client: ClientConnection, handler: str, server_id: str, body: bytes) -> None:
-        """Acknowledge a server's state only where its sidecar acts on it already."""
+        """Acknowledge a server's state only if its sidecar already acts on it."""
         records = self._server.registry.records.values()
         if handler == "leave":
             is_applied = is_deregistered(records, server_id)
@@ -125,8 +125,10 @@
     def _respond_with_index(
         self, client: ClientConnection, token: int, result: tuple[Any, ...] | None
     ) -> None:
-        """As a call that would bring it back, with the index of the log as of which it is valid."""
-        if result is None or len(result) < len(FetchResult._fields):  # an older leader sends no index
+        """Answer with a call that would restore this configuration, and its log index."""
+        if result is None or len(result) < len(
+            FetchResult._fields
+        ):  # a leader of an older version sends no index
             self._respond_error(client, token, ErrorKind.NO_LEADER, UNCLEAR)
         else:
             fetched = FetchResult(*result)
--- a/minthitch/mesh/control/peer_links.py
+++ b/minthitch/mesh/control/peer_links.py
@@ -1,4 +1,4 @@
-"""Links to the other control nodes, and the way in which a learner is added to the group."""
+"""Links to the other control nodes, and requests of learners to join the group."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 
 
 class Host(MessageReceiver, Protocol):
-    """The control node whose links these are."""
+    """The control node that owns the links."""
 
     raft: RaftNode
 
     def carry_out(self, actions: list[Action]) -> None:
-        """Do what the consensus core asks for."""
+        """Execute the actions of the consensus core."""
 
     def time(self) -> float:
         """The loop's time in seconds."""
 
 
 class PeerLinks:
-    """One link to each other control node that is known, by address."""
+    """One link to each known control node, by address."""
 
     def __init__(self, host: Host, ip: str, port: int, location: Location) -> None:
         self.links: dict[str, Link] = {}
@@ -39,7 +39,7 @@
         self._hello = (ops.HELLO, "control", ip, *location)
 
     def connect_to(self, addresses: tuple[str, ...]) -> None:
-        """Keep a link to each of these from now on."""
+        """Open and keep a link to each of these addresses."""
         for address in addresses:
             if address not in self.links and address != self._ip:
                 link = Link(self._host, (address, self._port), self._hello)
@@ -47,11 +47,11 @@
                 link.start()
 
     def link_to_leader(self) -> Link | None:
-        """The link to the leader, as far as it is known."""
+        """The link to the leader; None if there is no known leader or no link to it."""
         return self.links.get(address_of(self._host.raft.leader or ""))
 
     def send(self, action: Send) -> None:
-        """Send a message of the consensus core."""
+        """Send a message of the consensus core to another member."""
         address = address_of(action.to)
         self.connect_to((address,))
         link = self.links.get(address)
@@ -60,9 +60,9 @@
             link.send(envelope, 0)
 
     def on_hello(self, address: str, location: tuple[str, ...]) -> None:
-        """Another control node has connected to this one, and sent its zone and region.
+        """Another control node connected and sent its zone and region.
 
-        The seeds of a learner may not include the leader, but then the leader connects to the learner.
+        This node connects back. A learner whose seeds do not include the leader finds the leader this way.
         """
         if len(location) == len(Location._fields):
             self._host.raft.locations[address] = Location(*location)
@@ -71,7 +71,7 @@
             self.links[address].nudge()
 
     def request_to_join(self) -> None:
-        """As learner, ask every other control node to be added to the group."""
+        """As a learner, ask all other control nodes to be added to the group."""
         raft = self._host.raft
         if raft.role is Role.LEARNER:
             log_event(Event.JOIN_REQUESTED, member=raft.name)
@@ -79,10 +79,10 @@
                 link.send((ops.JOIN, raft.name), 0)
 
     def on_join_request(self, member: str, sender: str) -> None:
-        """A learner asks to be added.
+        """Handle a learner's request to be added to the group.
 
-        The request is forwarded to the leader only if `sender`, the address that opened the connection, is
-        the learner itself: so it is forwarded once, even if two nodes take each other for the leader.
+        It is forwarded to the leader only if it came from the learner itself (`sender`, the address that
+        opened the connection). So it is forwarded once, even if two nodes take each other for the leader.
         """
         address, raft = address_of(member), self._host.raft
         self.connect_to((address,))
--- a/minthitch/mesh/control/program.py
+++ b/minthitch/mesh/control/program.py
@@ -15,14 +15,14 @@
 from minthitch.mesh.transport.connection import Connection
 
 MAX_CLIENTS = 512
-MAX_BUFFERED_BODY_BYTES = 16 * 1024 * 1024  # of long bodies at the same time
-BACKLOG = 512  # connections that wait to be accepted
-FINAL_ANSWERS_S = 0.3  # in which answers in flight are still sent
+MAX_BUFFERED_BODY_BYTES = 16 * 1024 * 1024  # total size of long bodies that are received at the same time
+BACKLOG = 512  # connections waiting to be accepted
+FLUSH_DELAY_S = 0.3  # for sending the last answers before the connections are closed
 EXIT_OK, EXIT_ADDRESS, EXIT_DISK = 0, 1, 3
 
 
 def required_settings(settings: NodeSettings) -> tuple[tuple[str, str], ...]:
-    """Key and value of each setting that a control node needs."""
+    """Key and value of each setting that a control node requires."""
     return (("Self.Datadir", settings.own.datadir), ("Net.Bind.Ctl", settings.net.bind.ctl))
 
 
@@ -67,9 +67,9 @@
 async def _shut_down(
     loop: asyncio.AbstractEventLoop, server: ControlServer, handlers: ControlHandlers
 ) -> bool:
-    """Hand over and answer what is open. False where the disk failed meanwhile.
+    """Hand over leadership and answer open calls. False if the disk failed meanwhile.
 
-    What was acknowledged may be missing then, so nothing more is answered.
+    Acknowledged data may be missing after a disk failure, so nothing more is answered.
     """
     log_event(Event.SIGTERM, open=len(server.calls.open_calls))
     started_at = loop.time()
@@ -79,7 +79,7 @@
     if server.failure is not None:
         log_event(Event.FAULT, what=repr(server.failure))
         return False
-    await asyncio.sleep(FINAL_ANSWERS_S)
+    await asyncio.sleep(FLUSH_DELAY_S)
     log_event(Event.ENDED, after=loop.time() - started_at, open=len(server.calls.open_calls))
     return True
 
@@ -88,7 +88,7 @@
     """Run the process.
 
     Returns:
-        0 after SIGTERM, 1 for an address that can't be bound, 2 for settings, 3 for a disk that can't be
-        used.
+        0 after SIGTERM, 1 for an address that can't be bound, 2 for invalid settings, 3 for an unusable
+        disk or an internal failure.
     """
     return run(serve, required_settings)
--- a/minthitch/mesh/control/proposals.py
+++ b/minthitch/mesh/control/proposals.py
@@ -1,4 +1,4 @@
-"""Proposals that wait for their commit: in the own log of a leader, else forwarded to the leader."""
+"""Pending proposals: appended to this node's log if it leads, otherwise forwarded to the leader."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 from minthitch.mesh.transport.connection import Connection
 from minthitch.mesh.transport.control_messages import ForwardedProposal, ForwardedResult, encode_result
 
-PROPOSAL_TIMEOUT_S = 3.0  # after which a proposal is forgotten: sidecars repeat their claims
-MAX_PROPOSALS = 20_000  # that wait for their result
+PROPOSAL_TIMEOUT_S = 3.0  # then the proposal is abandoned; sidecars repeat their claims
+MAX_PROPOSALS = 20_000  # pending at the same time
 
 
 class Host(Protocol):
-    """The control node that they wait at."""
+    """The control node that holds the proposals."""
 
     raft: RaftNode
     peer_links: PeerLinks
 
     @property
     def disk_healthy(self) -> bool:
-        """Whether its disk can be relied on."""
+        """Whether its disk is healthy."""
 
     def carry_out(self, actions: list[Action]) -> None:
-        """Do what the consensus core asks for."""
+        """Execute the actions of the consensus core."""
 
     def propose(self, kind: int, data: bytes, on_result: OnResult) -> None:
         """Propose a command."""
@@ -39,14 +39,14 @@
 
 
 class LogPosition(NamedTuple):
-    """Where a proposal is in the own log."""
+    """The position of a proposal in this node's log."""
 
     log_index: int
     term: int
 
 
 class PendingEntry:
-    """The callers that wait for one entry of the own log."""
+    """The callers that wait for one entry of this node's log."""
 
     __slots__ = ("term", "callers", "since")
 
@@ -56,7 +56,7 @@
         self.callers: list[OnResult] = []
 
     def finish(self, result: tuple[Any, ...] | None) -> None:
-        """Give the callers their result."""
+        """Pass the result to the callers."""
         for on_result in self.callers:
             on_result(result)
 
@@ -69,18 +69,18 @@
 
 
 class Proposals:
-    """Each caller gets its result once, or None where the outcome is unknown."""
+    """Gives each caller its result exactly once, or None if the outcome is unknown."""
 
     def __init__(self, host: Host) -> None:
         self._host = host
         self._pending: dict[int, PendingEntry] = {}  # by index
         self._next_request_id = 1
         self.forwarded: dict[int, PendingForward] = {}  # by request id
-        # Configuration changes in the own log that are not applied yet, by their bodies.
+        # Configuration changes in this node's log that are not applied yet, by body.
         self.unapplied: dict[bytes, LogPosition] = {}
 
     def propose(self, kind: int, data: bytes, on_result: OnResult) -> None:
-        """Propose a command; `on_result` gets None where the outcome is unknown or there is no leader."""
+        """Propose a command; `on_result` receives None if the outcome is unknown or there is no leader."""
         if not self._host.raft.is_leader:
             self.forward(ops.FORWARD, (kind, data), on_result)
             return
@@ -97,14 +97,14 @@
     def _wait_for(self, position: LogPosition, on_result: OnResult) -> None:
         pending = self._pending.get(position.log_index)
         if pending is not None and pending.term != position.term:
-            pending.finish(None)  # its entry was replaced by another leader's: it will never be applied
+            pending.finish(None)  # another leader replaced its entry, which will never be applied
             pending = None
         if pending is None:
             pending = self._pending[position.log_index] = PendingEntry(position.term, self._host.time())
         pending.callers.append(on_result)
 
     def append(self, kind: int, data: bytes) -> LogPosition | None:
-        """Append a command to the own log; None where this node can't lead now."""
+        """Append a command to this node's log; None if it can't accept one now."""
         host = self._host
         appended = None
         if len(self._pending) < MAX_PROPOSALS and host.disk_healthy:
@@ -113,10 +113,10 @@
         return LogPosition(*appended) if appended is not None else None
 
     def _unapplied_repeat(self, body: bytes) -> LogPosition | None:
-        """Where the same change is in the own log and not applied yet.
+        """The position of an equal change that is in this node's log but not applied yet; None if none.
 
-        Over a slow link a large change takes longer than its callers wait. Appended again with each repeat,
-        it would never be committed.
+        On a slow link, committing a large change takes longer than callers wait. If each repeat were
+        appended again, the change would never be committed.
         """
         position, raft = self.unapplied.get(body), self._host.raft
         if position is None or position.term != raft.term or position.log_index <= raft.last_applied:
@@ -124,7 +124,7 @@
         return position
 
     def on_applied(self, entry: Entry, result: tuple[Any, ...]) -> None:
-        """Give the callers of an entry their result; an entry of another term is not what they proposed."""
+        """Pass an entry's result to its callers; an entry of another term is not the one they proposed."""
         pending = self._pending.pop(entry.index, None)
         if pending is not None:
             pending.finish(result if pending.term == entry.term else None)
@@ -133,7 +133,7 @@
             del self.unapplied[body]
 
     def forward(self, op: int, fields: tuple[Any, ...], on_result: OnResult) -> None:
-        """Ask the leader."""
+        """Forward a message to the leader."""
         link = self._host.peer_links.link_to_leader()
         if link is None or not link.up or len(self.forwarded) >= MAX_PROPOSALS:
             on_result(None)
@@ -144,13 +144,13 @@
         link.send((op, request_id, *fields), 0)
 
     def on_forwarded_result(self, message: ForwardedResult) -> None:
-        """The leader has answered."""
+        """Handle the leader's answer."""
         pending = self.forwarded.pop(message.request_id, None)
         if pending is not None:
             pending.on_result(message.result)
 
     def on_forwarded_proposal(self, connection: Connection, message: ForwardedProposal) -> None:
-        """Another control node takes this one for the leader. Forwarding it again could go in a circle."""
+        """Handle a proposal from another node. It is not forwarded again, which could form a loop."""
         if self._host.raft.is_leader:
             self._host.propose(
                 message.kind,
@@ -161,14 +161,14 @@
             send_result(connection, message.request_id, None)
 
     def on_leader_change(self) -> None:
-        """Nobody knows what became of forwarded proposals: the callers repeat them, which does no harm."""
+        """End all forwarded proposals as unknown; callers may safely repeat them."""
         forwarded, self.forwarded = self.forwarded, {}
         self.unapplied.clear()
         for pending in forwarded.values():
             pending.on_result(None)
 
     def expire(self, now: float) -> None:
-        """Give up what has waited for too long."""
+        """Abandon proposals that have waited for too long."""
         oldest = now - PROPOSAL_TIMEOUT_S
         for index in [index for index, entry in self._pending.items() if entry.since < oldest]:
             self._pending.pop(index).finish(None)
@@ -176,7 +176,7 @@
             self.forwarded.pop(request_id).on_result(None)
 
     def count(self) -> int:
-        """How many proposals wait."""
+        """The number of pending proposals."""
         return len(self._pending) + len(self.forwarded)
 
 
--- a/minthitch/mesh/control/server.py
+++ b/minthitch/mesh/control/server.py
@@ -1,4 +1,4 @@
-"""One control node: its parts, its timers, and the messages of the other processes."""
+"""A control node: its components, timers, and the dispatch of messages from other processes."""
 
 from __future__ import annotations
 
@@ -39,14 +39,14 @@
 )
 
 TICK_INTERVAL_S = 0.02  # between two ticks of the consensus core
-MAINTENANCE_INTERVAL_S = 0.5  # between two looks at who is alive and what has expired
-JOIN_INTERVAL_S = 0.5  # between two requests of a learner to be added
-FULL_UPDATE_INTERVAL_S = 2.0  # between two updates to a sidecar that lacks nothing
-CLAIM_MARGIN_S = 15.0  # for which claims are kept beyond the window: requests take their time too
+MAINTENANCE_INTERVAL_S = 0.5  # between two checks of liveness and expiry
+JOIN_INTERVAL_S = 0.5  # between two join requests of a learner
+FULL_UPDATE_INTERVAL_S = 2.0  # between two updates to all sidecars, also those that are up to date
+CLAIM_MARGIN_S = 15.0  # claims are kept this much longer than the window, as requests take time too
 
 
 class ControlServer:
-    """Everything that one control node has."""
+    """Connects the components of one control node."""
 
     def __init__(
         self,
@@ -55,13 +55,13 @@
         writer: MakeWriter = StorageWriter,
         clock: Clock = time.monotonic,
     ) -> None:
-        """Start it.
+        """Start the control node.
 
         Args:
-            settings: the settings.
-            store: the data folder; None: the one that the settings name. Simulations give their own.
-            writer: makes the writer of the store.
-            clock: seconds of the steady clock, read anew at each call.
+            settings: the settings of this process.
+            store: the data folder; None opens the one in the settings. Simulations pass their own.
+            writer: creates the writer of the store.
+            clock: returns the current monotonic time in seconds.
 
         Raises:
             StoreError, OSError: the data folder can't be used.
@@ -71,8 +71,8 @@
         self.loop = asyncio.get_running_loop()
         self.port = settings.net.port_range[0]
         self.failure: BaseException | None = None
-        self.stop_requested = asyncio.Event()  # the process has to end
-        self.may_end = asyncio.Event()  # after `begin_shutdown`
+        self.stop_requested = asyncio.Event()  # by a signal or a failure
+        self.may_end = asyncio.Event()  # set once the shutdown is complete
         self.registry = Registry()
         self.proposals = Proposals(self)
         self.calls = ConfigurationCalls(self)
@@ -106,22 +106,22 @@
         return self.loop.time()
 
     def is_up_to_date(self, now: float) -> bool:
-        """Whether everything committed is applied here, and is not outdated by a partition."""
+        """Whether all entries known to be committed are applied, and a quorum is in contact."""
         return self.consensus.is_up_to_date(now)
 
     @property
     def disk_healthy(self) -> bool:
-        """Whether the disk can be relied on."""
+        """Whether the disk is healthy."""
         return self.consensus.disk.healthy
 
     def pending_write_s(self) -> float:
-        """Seconds that the write under way takes already."""
+        """Seconds since the current write started; 0 without one."""
         return self.consensus.pending_write_s()
 
     # Calls ----------------------------------------------------------------------------------------
 
     def propose(self, kind: int, data: bytes, on_result: OnResult) -> None:
-        """Propose a command; `on_result` gets None where the outcome is unknown or there is no leader."""
+        """Propose a command; `on_result` receives None if the outcome is unknown or there is no leader."""
         self.proposals.propose(kind, data, on_result)
 
     def patch(self, body: bytes, on_result: OnResult) -> None:
@@ -133,11 +133,11 @@
         self.calls.fetch(on_result)
 
     def begin_shutdown(self) -> None:
-        """Prepare the end of this process: `may_end` is set once it may end."""
+        """Start a graceful shutdown; `may_end` is set once the process may exit."""
         self.carry_out(self.consensus.shutdown.begin(self.loop.time()))
 
     def fail(self, error: BaseException) -> None:
-        """End this process at once, because of an error."""
+        """Stop this process at once because of an error."""
         self.failure = error
         self.stop_requested.set()
         self.may_end.set()
@@ -145,30 +145,30 @@
     # Events of the consensus core -----------------------------------------------------------------
 
     def carry_out(self, actions: list[Action]) -> None:
-        """Do what the consensus core asks for."""
+        """Execute the actions of the consensus core."""
         self.consensus.carry_out(actions)
 
     def send(self, action: Send) -> None:
-        """Send a message of the consensus core."""
+        """Send a message of the consensus core to another member."""
         self.peer_links.send(action)
 
     def on_applied(self, entry: Entry, result: tuple[Any, ...]) -> None:
-        """A committed entry was applied."""
+        """Pass an applied entry's result to the callers that proposed it."""
         self.proposals.on_applied(entry, result)
 
     def on_state_changed(self) -> None:
-        """Sidecars have to be notified of the configuration or of the voters."""
+        """Notify sidecars of the changed configuration or voters."""
         self.updates.schedule()
 
     def on_leader_changed(self) -> None:
-        """There is another leader, or other voters."""
+        """Connect to the present voters, and end proposals forwarded to the previous leader."""
         self.peer_links.connect_to(self._voter_addresses())
         self.proposals.on_leader_change()
 
     # Messages -------------------------------------------------------------------------------------
 
     def on_message(self, connection: Connection, wire: ops.Message) -> None:
-        """A message of another process has come."""
+        """Handle a message of another process."""
         try:
             self._dispatch(connection, wire)
         except ConsensusViolationError as error:
@@ -215,7 +215,7 @@
             send_result(connection, message.request_id, None)
 
     def on_connection_lost(self, connection: Connection) -> None:
-        """A connection has ended."""
+        """Handle the loss of a connection."""
         self.updates.on_connection_lost(connection)
 
     # Time -----------------------------------------------------------------------------------------
@@ -229,7 +229,7 @@
         up_to_date = self.is_up_to_date(now)
         if changed or up_to_date != self._was_up_to_date:
             self._was_up_to_date = up_to_date
-            # Without this, sidecars would send claims to the previous leader for half a second more.
+            # Otherwise sidecars would send claims to the previous leader for up to half a second.
             self.updates.send(to_all=True)
 
     def _maintain(self) -> None:
@@ -245,7 +245,7 @@
         self._grant_leases(max(now, self.clock()))
 
     def _expire_claims(self) -> None:
-        # By the steady clock: the loop's time may be from before a freeze of this process.
+        # Monotonic time, because the loop's time may be from before a freeze of this process.
         self.claim_expiry.tick(self.clock(), CLAIM_MARGIN_S)
 
     def _grant_leases(self, now: float) -> None:
@@ -260,7 +260,7 @@
         self.peer_links.request_to_join()
 
     def close(self) -> None:
-        """Stop everything."""
+        """Stop all components and timers."""
         for timer in self._timers.values():
             timer.cancel()
         self.consensus.close()
--- a/minthitch/mesh/control/shutdown.py
+++ b/minthitch/mesh/control/shutdown.py
@@ -1,7 +1,7 @@
-"""Graceful shutdown of a control node: it hands leadership over first, so that nobody waits for an election.
+"""Graceful shutdown of a control node: it hands over leadership first, to avoid waiting for an election.
 
-It may end once it does not lead, knows who leads instead, has answered the calls that it had accepted, and
-the others have what its disk has.
+The process may exit once it does not lead, knows the new leader, has answered all accepted calls, and the
+other members have the entries on its disk.
 """
 
 from __future__ import annotations
@@ -10,15 +10,15 @@
 
 from minthitch.mesh.raft.actions import Action
 
-SHUTDOWN_TIMEOUT_S = 1.0  # callers give up after a second, and the platform kills not much later
+SHUTDOWN_TIMEOUT_S = 1.0  # callers give up after a second, and the platform kills the process soon after
 
 
 class Consensus(Protocol):
-    """What is asked of the consensus core."""
+    """The part of the consensus core that a shutdown uses."""
 
     @property
     def is_leader(self) -> bool:
-        """Whether it leads."""
+        """Whether this member leads."""
 
     @property
     def name(self) -> str:
@@ -26,17 +26,17 @@
 
     @property
     def leader(self) -> str | None:
-        """The leader's name, as far as known."""
+        """The leader's name; None if unknown."""
 
     def begin_shutdown(self, now: float) -> list[Action]:
-        """Hand leadership over."""
+        """Start handing over leadership."""
 
     def may_end(self, now: float) -> bool:
-        """Whether the others have what this member has."""
+        """Whether the other members have the entries that this member has."""
 
 
 class GracefulShutdown:
-    """Once begun it is never taken back."""
+    """Tracks a graceful shutdown, which can't be cancelled."""
 
     def __init__(self, raft: Consensus) -> None:
         self._raft = raft
@@ -44,18 +44,18 @@
 
     @property
     def has_begun(self) -> bool:
-        """`begin` was called."""
+        """Whether `begin` was called."""
         return self._started_at is not None
 
     def begin(self, now: float) -> list[Action]:
-        """Take no new proposals, hand leadership to the best voter, do not campaign."""
+        """Accept no new proposals, hand leadership to the best voter, start no election."""
         if self._started_at is not None:
             return []
         self._started_at = now
         return self._raft.begin_shutdown(now)
 
     def is_finished(self, now: float, open_calls: int) -> bool:
-        """Whether the process may end."""
+        """Whether the process may exit."""
         if self._started_at is None:
             return False
         raft = self._raft
--- a/minthitch/mesh/control/sidecar_updates.py
+++ b/minthitch/mesh/control/sidecar_updates.py
@@ -1,4 +1,4 @@
-"""What a control node sends to its sidecars: differences, batched, and packed once for many."""
+"""State updates from a control node to sidecars: deltas, batched, each packed once for many sidecars."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 from minthitch.mesh.transport.connection import Connection
 from minthitch.mesh.transport.control_messages import SidecarReport
 
-BATCH_INTERVAL_S = 0.04  # between two updates; one that comes alone is sent at once
+BATCH_INTERVAL_S = 0.04  # between two updates; a single one is sent at once
 NO_CONFIGURATION = -1
 
 
 class Host(Protocol):
-    """The control node whose knowledge is sent."""
+    """The control node that sends the updates."""
 
     raft: RaftNode
     state: StateMachine
     loop: asyncio.AbstractEventLoop
 
     def is_up_to_date(self, now: float) -> bool:
-        """Whether everything committed is applied here."""
+        """Whether all entries known to be committed are applied."""
 
 
 class Subscriber:
-    """A connected sidecar, and what it was sent."""
+    """A connected sidecar, and the state that it was sent."""
 
     __slots__ = ("configuration_index", "registry_version", "ip", "epoch")
 
@@ -45,7 +45,7 @@
 
 
 class SidecarUpdates:
-    """The connected sidecars."""
+    """Sends updates to the connected sidecars."""
 
     def __init__(self, host: Host, registry: Registry) -> None:
         self.subscribers: dict[Connection, Subscriber] = {}
@@ -55,7 +55,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def on_report(self, connection: Connection, report: SidecarReport) -> None:
-        """A sidecar reports on itself, and which configuration it has."""
+        """Handle a sidecar's report of its own state and of the configuration that it has."""
         record = report.record
         subscriber = self.subscribers.get(connection)
         if subscriber is None:
@@ -68,20 +68,20 @@
             self.schedule()
 
     def on_connection_lost(self, connection: Connection) -> None:
-        """A connection has ended."""
+        """Handle the loss of a connection."""
         self.subscribers.pop(connection, None)
 
     def refresh_liveness(self) -> None:
-        """A live connection shows that its sidecar is alive; sidecars without contact are dropped."""
+        """Count sidecars with a live connection as alive; drop those without contact."""
         for connection, subscriber in self.subscribers.items():
             self._registry.refresh(subscriber.ip, subscriber.epoch, connection.came)
         if self._registry.expire(self._host.loop.time()):
             self.schedule()
 
     def schedule(self) -> None:
-        """Something has changed: all that changes within BATCH_INTERVAL_S is sent in one message.
+        """Schedule an update; all changes within BATCH_INTERVAL_S are sent in one message.
 
-        One message for each change would be N x N messages where N sidecars start at once.
+        With one message for each change, N sidecars that start together would cause N x N messages.
         """
         if self._timer is None:
             delay = self._last_sent + BATCH_INTERVAL_S - self._host.loop.time()
@@ -92,7 +92,7 @@
         self.send(to_all=False)
 
     def send(self, *, to_all: bool) -> None:
-        """Send each sidecar what it lacks; with `to_all` also those that lack nothing, as a sign of life."""
+        """Send each sidecar what it lacks; with `to_all` also an update without changes, as a keep-alive."""
         version, index = self._registry.version, self._host.state.items.index
         due = [
             (connection, subscriber)
@@ -135,6 +135,6 @@
         return cast(bytes, msgpack.packb(message))
 
     def close(self) -> None:
-        """Send nothing more."""
+        """Cancel the scheduled update."""
         if self._timer is not None:
             self._timer.cancel()
--- a/minthitch/mesh/control/snapshots.py
+++ b/minthitch/mesh/control/snapshots.py
@@ -1,8 +1,8 @@
-"""When a control node takes a snapshot of its state, and how: by bytes and entries, in short steps.
+"""Snapshots of a control node's state: due by bytes and entries of the log, encoded in short steps.
 
 The log before a snapshot is dropped on disk and in memory, so the bytes between two snapshots bound both.
-Each member waits a little longer than it must, by a fraction derived from its name, so that they do not all
-write at once.
+Each member delays its snapshots by a fraction derived from its name, so that members do not all write at
+once.
 """
 
 from __future__ import annotations
@@ -14,48 +14,48 @@
 from minthitch.mesh.control.state_machine import StateMachine
 from minthitch.mesh.events.events import Event, log_event
 
-# Bytes of entries between two snapshots, or as many as the last snapshot has: the disk then writes each byte
-# about twice, whatever the state's size.
+# Bytes of log between two snapshots, or the size of the last snapshot if that is larger. So each byte is
+# written to disk about twice, however large the state is.
 LOG_BYTES = 8 * 1024 * 1024
-FILE_DIVISOR = 8  # the log may take this part of the file: two snapshots need space beside it
-MIN_EARLY_BYTES = 1024 * 1024  # of log that an early snapshot must drop to be worth its own space
-STAGGER = 0.5  # the largest fraction by which a member waits longer
+FILE_DIVISOR = 8  # the log may use 1/8 of the file, which must also hold two snapshots
+MIN_EARLY_BYTES = 1024 * 1024  # of log that an early snapshot must drop to be worth its space
+STAGGER = 0.5  # the largest fraction by which a member delays its snapshots
 
 
 def stagger_fraction(name: str) -> float:
-    """A member's own fraction of STAGGER, from 0 to 1."""
+    """The fraction of STAGGER, from 0 to 1, that a member delays its snapshots by."""
     return zlib.crc32(name.encode()) / 0xFFFFFFFF
 
 
 class SnapshotSchedule:
-    """Counts what has been applied since the last snapshot."""
+    """Decides when a snapshot is due, from what was applied since the last one."""
 
     def __init__(self, name: str, file_bytes: int, index: int, size: int) -> None:
         self.index = index  # of the last snapshot
         self.size = size  # of the last snapshot
         self.applied_bytes = 0
-        self._stretch = 1.0 + STAGGER * stagger_fraction(name)
+        self._delay_factor = 1.0 + STAGGER * stagger_fraction(name)
         self._max_log_bytes = file_bytes // FILE_DIVISOR
 
     def on_applied(self, size: int) -> None:
-        """An entry of that size was applied."""
+        """Count an applied entry of this size."""
         self.applied_bytes += size
 
     def is_due(self, index: int, max_entries: int) -> bool:
-        """Whether a snapshot is due at `index`, where one is taken every `max_entries` at the latest."""
+        """Whether a snapshot is due at `index`; one is due after `max_entries` at the latest."""
         max_bytes = min(max(LOG_BYTES, self.size), self._max_log_bytes)
-        too_many_entries = index - self.index >= max_entries * self._stretch
-        return self.applied_bytes >= max_bytes * self._stretch or too_many_entries
+        too_many_entries = index - self.index >= max_entries * self._delay_factor
+        return self.applied_bytes >= max_bytes * self._delay_factor or too_many_entries
 
     def on_taken(self, index: int, size: int) -> None:
-        """A snapshot as of `index`, which now is the last applied one, has that size."""
+        """Reset the counters for a snapshot of this size as of `index`, the last applied index."""
         self.index = index
         self.size = size
         self.applied_bytes = 0
 
 
 class SnapshotTaker:
-    """Takes one snapshot at a time; `on_taken(index, data)` is called once it is encoded."""
+    """Takes one snapshot at a time, and calls `on_taken(index, data)` once it is encoded."""
 
     def __init__(
         self,
@@ -71,20 +71,20 @@
         self._on_taken = on_taken
 
     def on_applied(self, index: int, size: int, max_entries: int) -> None:
-        """An entry was applied: take a snapshot where one is due."""
+        """Count an applied entry, and take a snapshot if one is due."""
         self.schedule.on_applied(size)
         if self.next_step is None and self.schedule.is_due(index, max_entries):
             self._begin(index)
 
     def take_early(self, index: int) -> None:
-        """The disk refuses a write: a snapshot that drops much of the log may make space for it."""
+        """After a refused write, take a snapshot if it would drop enough log to free space."""
         schedule = self.schedule
         is_useful = schedule.applied_bytes >= max(MIN_EARLY_BYTES, schedule.size)
         if self.next_step is None and is_useful:
             self._begin(index)
 
     def on_restored(self, index: int, size: int) -> None:
-        """The state was replaced by a leader's snapshot; what was being encoded is of no use."""
+        """Abandon the current snapshot, because a leader's snapshot replaced the state."""
         self.close()
         self.schedule.on_taken(index, size)
 
@@ -93,7 +93,7 @@
         self.next_step = self._loop.call_soon(self._encode, index, self._state.snapshot_steps(), [])
 
     def _encode(self, index: int, steps: Iterator[bytes], encoded: list[bytes]) -> None:
-        """One step in each turn of the loop: whatever else is due comes in between."""
+        """Encode one step per loop iteration, so that other callbacks run in between."""
         step = next(steps, None)
         if step is not None:
             encoded.append(step)
@@ -106,7 +106,7 @@
         self._on_taken(index, data)
 
     def close(self) -> None:
-        """Give up the snapshot that is being encoded."""
+        """Abandon the snapshot that is being encoded."""
         if self.next_step is not None:
             self.next_step.cancel()
             self.next_step = None
--- a/minthitch/mesh/control/state_machine.py
+++ b/minthitch/mesh/control/state_machine.py
@@ -1,4 +1,4 @@
-"""The replicated state machine: configuration and claims, changed by committed commands only. No I/O."""
+"""The replicated state machine: configuration and claims. Only committed commands change it; no I/O."""
 
 from __future__ import annotations
 
@@ -13,14 +13,19 @@
 from minthitch.mesh.configuration.schema import ROUTE_DECODER, ROUTES
 from minthitch.mesh.idempotency.claims import Claim, ClaimCommand, ClaimTable
 
-CONFIG, CLAIM, ROTATE, TIME = 1, 2, 3, 4  # kinds of commands, as stored
-GRANTED, ALREADY_CLAIMED, FULL, NO_LEADER = "granted", "held", "full", "no leader"  # verdicts, as sent
+CONFIG, CLAIM, ROTATE, TIME = 1, 2, 3, 4  # command kinds, stored in the log
+GRANTED, ALREADY_CLAIMED, FULL, NO_LEADER = (
+    "granted",
+    "held",
+    "full",
+    "no leader",
+)  # verdicts, sent to sidecars
 OK, REJECTED, CONFLICT = 200, 400, 409
-STEP_ROWS = 500  # claims encoded in one step: a quarter of a millisecond
+STEP_ROWS = 500  # claims encoded in one step, which takes a quarter of a millisecond
 
 
 class ConfigurationResult(NamedTuple):
-    """The outcome of a configuration change. Results travel between control nodes as arrays."""
+    """The outcome of a configuration change. Control nodes send results to each other as arrays."""
 
     status: int
     reason: str = ""
@@ -28,7 +33,7 @@
 
 
 class ClaimResult(NamedTuple):
-    """Who owns a key now; the owner is empty where there was no space for the claim."""
+    """The owner of a key; empty if there was no space for the claim."""
 
     verdict: str
     owner: str = ""
@@ -37,7 +42,7 @@
 
 
 class FetchResult(NamedTuple):
-    """The configuration, and the index of the log as of which it is valid."""
+    """The configuration, and the log index that it reflects."""
 
     body: bytes
     as_of_index: int
@@ -47,21 +52,21 @@
 
 
 def pack_command(kind: int, data: bytes) -> bytes:
-    """The data of a log entry with a command."""
+    """Encode a command as the data of a log entry."""
     return bytes(msgpack.packb((kind, data)))
 
 
 class StateMachine:
-    """The same on every control node that has applied the same entries."""
+    """State that is equal on all control nodes that have applied the same entries."""
 
     def __init__(self) -> None:
         self.items = Items()
         self.claims = ClaimTable()
-        self.rotation_index = 0  # of the last rotation of claims
-        self.elapsed_ms = 0  # since then, as leaders recorded (minthitch.mesh.idempotency.rotation)
+        self.rotation_index = 0  # log index of the last rotation of claims
+        self.elapsed_ms = 0  # since then, as recorded by leaders (minthitch.mesh.idempotency.rotation)
 
     def apply(self, index: int, data: bytes) -> CommandResult:
-        """Apply the command of the committed entry at `index`."""
+        """Apply the command in the committed entry at `index`."""
         kind, body = msgpack.unpackb(data, use_list=False)
         if kind == CONFIG:
             return self._change_configuration(index, body)
@@ -89,17 +94,17 @@
         return ClaimResult(GRANTED if valid.claim_id == command.claim_id else ALREADY_CLAIMED, *valid)
 
     def longest_route_timeout(self) -> float:
-        """Seconds that a request may take at most by the present routes: so late its claim may come."""
+        """The longest timeout of the present routes: a request's claim may arrive this late."""
         return max(
             (ROUTE_DECODER.decode(body).tmo_s for _, body in self.items.live_items(ROUTES)), default=0.0
         )
 
     def snapshot(self) -> bytes:
-        """Everything, in msgpack."""
+        """The whole state in msgpack."""
         return bytes(msgpack.packb((self.items.snapshot(), self.claims.to_rows(), self._rotation())))
 
     def snapshot_steps(self) -> Iterator[bytes]:
-        """The same as `snapshot` in pieces, as of this call: what is applied later is not in them."""
+        """The bytes of `snapshot` in pieces, as of this call: later changes are not included."""
         if self.claims.count() <= STEP_ROWS:
             return iter((self.snapshot(),))
         return self._encode_in_steps(self.items.snapshot(), self.claims.copy_generations(), self._rotation())
@@ -121,11 +126,11 @@
         yield bytes(packer.pack(rotation))
 
     def restore(self, snapshot: bytes) -> None:
-        """Become what `snapshot` has; an empty one changes nothing."""
+        """Replace the state by `snapshot`; an empty one changes nothing."""
         if not snapshot:
             return
         items, claims, rotation = msgpack.unpackb(snapshot, use_list=False)
-        # A version that recorded no time stored the rotation's index alone: the time since is not known.
+        # Earlier versions recorded no time and stored only the rotation's index: the time since is unknown.
         self.rotation_index, self.elapsed_ms = (rotation, 0) if isinstance(rotation, int) else rotation
         self.items.restore(items)
         self.claims.load_rows(claims)
--- a/minthitch/mesh/control/status.py
+++ b/minthitch/mesh/control/status.py
@@ -1,4 +1,4 @@
-"""What a control node knows now, for its operators (`GET /Mesh.Status`)."""
+"""The status report of a control node for operators (`GET /Mesh.Status`)."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def status(server: ControlServer) -> dict[str, Any]:
-    """The body of the answer."""
+    """The fields of the report."""
     raft, now = server.raft, server.time()
     return {
         "control": raft.name,
