--- a/minthitch/mesh/configuration/items.py
+++ b/minthitch/mesh/configuration/items.py
@@ -150,7 +150,7 @@
         except InvalidCallError as error:
             return Verdict(False, str(error), kind=ErrorKind.BAD_CONFIG), []
         if conflict is not None:
-            reason = f"{label(*conflict.key)}: Ver: {conflict.version:08x} exists with other content"
+            reason = f"{label(*conflict.key)}: Ver: {conflict.version:08x} is taken by other content"
             return Verdict(False, reason, kind=ErrorKind.CONFIG_CONFLICT), []
         return Verdict(True, changed=bool(rows)), rows
 
--- a/minthitch/mesh/configuration/validation.py
+++ b/minthitch/mesh/configuration/validation.py
@@ -82,11 +82,11 @@
 
 def _services_problem(item: RouteItem) -> str:
     if item.svc is not UNSET and item.split is not UNSET:
-        return "Split: not allowed together with Svc"
+        return "Split: beside Svc"
     if item.svc is not UNSET:
         return "" if item.svc else "Svc: is empty"
     if item.split is UNSET:
-        return "Svc: missing, and there is no Split"
+        return "Svc: missing, and Split too"
     if any(weighted.wt < 0 for weighted in item.split):
         return "Split: a weight is negative"
     if not 0 < sum(weighted.wt for weighted in item.split) < float("inf"):
--- a/tests/mesh/test_configuration.py
+++ b/tests/mesh/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration: what is refused, which version prevails, copies that never go back, settings, routes."""
+"""The configuration: rejected calls, version conflicts, replicas that never go back, settings, routes."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def route(name: str = "r-1", ver: int = 7, **fields: Any) -> Item:
-    """A proper route; a field given as None is left out."""
+    """A valid route; a field given as None is left out."""
     complete = {
         "Name": name,
         "Host": "a.example",
@@ -78,8 +78,8 @@
     return machine, [machine.apply(body, index) for index, body in enumerate(bodies, 1)]
 
 
-class Refusals(unittest.TestCase):
-    def refused(self, body: bytes, *verdict_texts: str) -> None:
+class Rejections(unittest.TestCase):
+    def assert_rejected(self, body: bytes, *verdict_texts: str) -> None:
         machine, _ = state(first(route()))
         before = machine.fetch()
         verdict = machine.apply(body, 2)
@@ -89,7 +89,7 @@
             self.assertIn(text, verdict.reason)
         self.assertEqual(machine.fetch(), before)
 
-    def test_a_route_that_is_not_proper_names_item_and_key(self) -> None:
+    def test_an_invalid_route_is_rejected_with_item_and_key(self) -> None:
         for key, value in [
             ("Host", ""),
             ("Host", " "),
@@ -116,10 +116,10 @@
             ("Split", [{"Svc": "s-1", "Wt": 1}]),
         ]:
             with self.subTest(key=key, value=value):
-                new_copy = call({"Routes": [route("r-9", 9, **{key: value}), route("r-8", 9)]})
-                self.refused(new_copy, "r-9", key)
+                body = call({"Routes": [route("r-9", 9, **{key: value}), route("r-8", 9)]})
+                self.assert_rejected(body, "r-9", key)
 
-    def test_a_split_that_is_not_proper(self) -> None:
+    def test_an_invalid_split_is_rejected(self) -> None:
         weight = {"Svc": "s-1", "Wt": 1}
         unknown = {"Svc": "none-such", "Wt": 0}
         for split in (
@@ -131,25 +131,27 @@
             "s-1",
         ):
             with self.subTest(split=split):
-                self.refused(call({"Routes": [route("r-9", 9, Svc=None, Split=split)]}), "r-9")
-
-    def test_other_items_that_are_not_proper(self) -> None:
-        self.refused(call({"Svcs": [service("s-9", Maxconn=0)]}), "s-9", "Maxconn")
-        self.refused(call({"Svcs": [service("s-9", Hc="x")]}), "s-9", "Hc")
-        self.refused(call({"Svcs": service("s-9")}), "Svcs")
-        self.refused(call({"Limits": {"HdrS": 0, "Ver": "00000001"}}), "Limits", "HdrS")
-        self.refused(call({"Limits": [{"Ver": "00000001"}]}), "Limits")
-        self.refused(call({"Routes": [{"Ver": "00000001"}]}), "Routes item 0", "Name")
-        self.refused(call({"Tenants": [{"Name": "t"}]}), "Tenants 't'", "Ver")
-        self.refused(call({"Tenants": [{"Name": "", "Ver": "00000001"}]}), "Tenants item 0", "Name")
-        self.refused(call(drop={"Routes": [{"Name": "r-1"}]}), "r-1", "Ver")
+                self.assert_rejected(call({"Routes": [route("r-9", 9, Svc=None, Split=split)]}), "r-9")
+
+    def test_other_invalid_items_are_rejected(self) -> None:
+        self.assert_rejected(call({"Svcs": [service("s-9", Maxconn=0)]}), "s-9", "Maxconn")
+        self.assert_rejected(call({"Svcs": [service("s-9", Hc="x")]}), "s-9", "Hc")
+        self.assert_rejected(call({"Svcs": service("s-9")}), "Svcs")
+        self.assert_rejected(call({"Limits": {"HdrS": 0, "Ver": "00000001"}}), "Limits", "HdrS")
+        self.assert_rejected(call({"Limits": [{"Ver": "00000001"}]}), "Limits")
+        self.assert_rejected(call({"Routes": [{"Ver": "00000001"}]}), "Routes item 0", "Name")
+        self.assert_rejected(call({"Tenants": [{"Name": "t"}]}), "Tenants 't'", "Ver")
+        self.assert_rejected(call({"Tenants": [{"Name": "", "Ver": "00000001"}]}), "Tenants item 0", "Name")
+        self.assert_rejected(call(drop={"Routes": [{"Name": "r-1"}]}), "r-1", "Ver")
         machine, _ = state(call({"Tenants": [deleted("t", 1)]}))
-        self.assertFalse(machine.apply(call({"Tenants": {"Ver": "00000002"}}), 2).ok, "a list and one item")
+        self.assertFalse(
+            machine.apply(call({"Tenants": {"Ver": "00000002"}}), 2).ok, "both a list and a single item"
+        )
 
-    def test_a_call_that_can_not_be_read_in_full(self) -> None:
+    def test_a_call_that_can_not_be_parsed_completely(self) -> None:
         complete = call({"Routes": [route("r-9", 9)]})
         for truncated in range(len(complete)):
-            self.refused(complete[:truncated], "call")
+            self.assert_rejected(complete[:truncated], "call")
         for body in (
             b"[]",
             b"{}",
@@ -161,39 +163,41 @@
             b'{"Upsert":{"T":[{"Name":"\xff","Ver":"00000001"}]}}',
             b"[" * 100_000,
         ):
-            self.refused(body)
+            self.assert_rejected(body)
 
     def test_the_resulting_configuration_is_checked_completely(self) -> None:
         same = route("r-9", 9, Host="A.Example", Pfx="/r-1/")
-        self.refused(call({"Routes": [same]}), "r-1", "r-9", "Pfx")
-        self.refused(call(drop={"Svcs": [deleted("s-1", 9)]}), "r-1", "s-1")
+        self.assert_rejected(call({"Routes": [same]}), "r-1", "r-9", "Pfx")
+        self.assert_rejected(call(drop={"Svcs": [deleted("s-1", 9)]}), "r-1", "s-1")
         again = Items()
         again.restore(state(first(route()))[0].snapshot())
         self.assertFalse(again.apply(call(drop={"Svcs": [deleted("s-1", 9)]}), 2).ok)
-        self.refused(call({"Routes": [route("r-9", 9), route("r-9", 9, Prio=1)]}), "r-9", "twice")
-        self.refused(call({"Routes": [route("r-9", 9)]}, {"Routes": [deleted("r-9", 8)]}), "r-9", "twice")
-        # With the other route dropped, or the service no longer used, in the same call, both are proper.
+        self.assert_rejected(call({"Routes": [route("r-9", 9), route("r-9", 9, Prio=1)]}), "r-9", "twice")
+        self.assert_rejected(
+            call({"Routes": [route("r-9", 9)]}, {"Routes": [deleted("r-9", 8)]}), "r-9", "twice"
+        )
+        # Both are valid if the same call deletes the other route, or the routes that use the service.
         machine, _ = state(first(route()))
         self.assertTrue(machine.apply(call({"Routes": [same]}, {"Routes": [deleted("r-1", 8)]}), 2).changed)
         drop = {"Routes": [deleted("r-9", 10)], "Svcs": [deleted("s-1", 10)]}
         self.assertTrue(machine.apply(call(drop=drop), 3).changed)
         self.assertEqual(json.decode(machine.fetch()), {"Routes": [], "Svcs": []})
 
-    def test_a_stale_item_is_judged_for_its_form_only(self) -> None:
+    def test_a_stale_item_is_checked_by_itself_only(self) -> None:
         machine, _ = state(first(route()))
         self.assertEqual(machine.apply(call({"Routes": [route(ver=6, Svc="none-such")]}), 2), Verdict(True))
         self.assertFalse(machine.apply(call({"Routes": [route(ver=6, TmoS=0)]}), 3).ok)
 
 
 class Versions(unittest.TestCase):
-    def test_a_repeat_changes_nothing_in_whatever_order_its_keys_come(self) -> None:
-        turned = dict(reversed(route().items()))
-        machine, verdicts = state(first(route()), first(route()), first(turned))
+    def test_a_repeat_changes_nothing_whatever_its_key_order(self) -> None:
+        reordered = dict(reversed(route().items()))
+        machine, verdicts = state(first(route()), first(route()), first(reordered))
         self.assertEqual([verdict.changed for verdict in verdicts], [True, False, False])
         self.assertTrue(all(verdict.ok for verdict in verdicts))
         self.assertEqual(machine.index, 3)
 
-    def test_the_highest_version_prevails_and_a_dropped_name_stays_dropped(self) -> None:
+    def test_the_highest_version_wins_and_a_deleted_item_stays_deleted(self) -> None:
         drop = call(drop={"Routes": [deleted("r-1", 9)]})
         for order in ([first(route()), drop], [drop, first(route())]):
             machine, verdicts = state(*order)
@@ -202,7 +206,7 @@
         self.assertTrue(machine.apply(call({"Routes": [route(ver=0xA)]}), 3).changed)
         self.assertEqual(json.decode(machine.fetch())["Routes"], [route(ver=0xA)])
 
-    def test_of_opposite_changes_at_one_version_the_first_stands(self) -> None:
+    def test_of_conflicting_changes_with_one_version_the_first_wins(self) -> None:
         changed = call({"Routes": [route(ver=9, Prio=0)], "Svcs": [service("s-2")]})
         dropped = call({"Svcs": [service("s-3")]}, {"Routes": [deleted("r-1", 9)]})
         for one, other, left in ((changed, dropped, 1), (dropped, changed, 0)):
@@ -213,7 +217,7 @@
             stands = json.decode(machine.fetch())
             self.assertEqual((len(stands["Routes"]), len(stands["Svcs"])), (left, 2))
 
-    def test_what_is_not_known_here_is_given_back_as_it_was_sent(self) -> None:
+    def test_unknown_fields_and_sections_are_returned_as_sent(self) -> None:
         odd = b'{"Name":"t", "Ver":"0000000C","Quota":1.50,"Big":123456789012345678901234567890,"N":null}'
         body = b'{"Upsert":{"Tenants":[' + odd + b'],"Limits":{"Ver":"00000001","New":[1e2]}}}'
         machine, verdicts = state(first(route(New={"a": 1})), body)
@@ -224,29 +228,29 @@
         self.assertIn(b'"New":{"a":1}', back)
         self.assertTrue(machine.apply(call(drop={"Tenants": [deleted("t", 13)]}), 3).changed)
 
-    def test_tombstones_are_bounded_and_a_copy_behind_still_learns_of_the_drop(self) -> None:
+    def test_tombstones_are_bounded_and_a_lagging_replica_still_learns_of_the_deletion(self) -> None:
         machine, _ = state(first(route()))
-        copy, late = Replica(), Replica()
-        self.assertTrue(copy.merge(machine.since(0)) and late.merge(machine.since(0)))
+        copy, lagging = Replica(), Replica()
+        self.assertTrue(copy.merge(machine.since(0)) and lagging.merge(machine.since(0)))
         with mock.patch.object(items, "MAX_TOMBSTONES", 2):
             for index, name in enumerate(("r-1", "x", "y", "z"), 2):
                 machine.apply(call(drop={"Routes": [deleted(name, index + 10)]}), index)
                 self.assertTrue(copy.merge(machine.since(copy.index)))
-            self.assertTrue(late.merge(machine.since(late.index)))
-        self.assertEqual((late.fetch(), copy.fetch()), (machine.fetch(), machine.fetch()))
+            self.assertTrue(lagging.merge(machine.since(lagging.index)))
+        self.assertEqual((lagging.fetch(), copy.fetch()), (machine.fetch(), machine.fetch()))
         self.assertFalse(machine.apply(call(drop={"Routes": [deleted("z", 3)]}), 9).changed)
         self.assertTrue(machine.apply(call({"Routes": [route()]}), 10).changed, "forgotten")
 
 
-class Copies(unittest.TestCase):
-    def test_copies_fed_in_any_order_never_go_back_and_end_equal(self) -> None:
+class Replicas(unittest.TestCase):
+    def test_replicas_fed_in_any_order_never_go_back_and_become_equal(self) -> None:
         for seed in range(60):
             with self.subTest(seed=seed), mock.patch.object(items, "MAX_TOMBSTONES", 4):
                 self.history(random.Random(seed))
 
     def history(self, rng: random.Random) -> None:
         machine, copies, deltas = Items(), [Replica(), Replica(), Replica()], []
-        shown = [machine.fetch()]  # by index: a copy must show exactly what the state was at its index
+        shown = [machine.fetch()]  # by log index: a replica must equal the state at its index
         machine.apply(call({"Svcs": [service(f"s-{n}") for n in range(3)]}), 1)
         shown.append(machine.fetch())
         for index in range(2, 60):
@@ -271,7 +275,7 @@
     @staticmethod
     def change(rng: random.Random, index: int) -> bytes:
         names = rng.sample(range(12), 3)
-        # Newer on the whole, some late: a version older than a forgotten tombstone is not for this test.
+        # Mostly newer versions, some late. Versions older than a pruned tombstone are not tested here.
         vers = [max(1, 10 * index - rng.choice([0, 3, 10])) for _ in names]
         sets = [route(f"r-{n}", ver, Svc=f"s-{rng.randrange(3)}") for n, ver in zip(names, vers, strict=True)]
         split = rng.randrange(4)
@@ -280,7 +284,7 @@
             {"Routes": [deleted(one["Name"], int(one["Ver"], 16)) for one in sets[split:]]},
         )
 
-    def test_a_delta_with_a_gap_before_it_is_not_taken(self) -> None:
+    def test_a_delta_with_a_gap_before_it_is_not_merged(self) -> None:
         machine, _ = state(first(route()), call({"Routes": [route("r-2", 9)]}))
         copy = Replica()
         self.assertFalse(copy.merge(machine.since(1)))
@@ -288,7 +292,7 @@
 
 
 class Settings(unittest.TestCase):
-    def test_fields_lists_zones_and_what_is_left_out(self) -> None:
+    def test_fields_lists_zones_and_defaults(self) -> None:
         parsed = settings.parse_settings(SETTINGS)
         self.assertEqual(parsed.net.azs, {"lahore-hall": "punjab", "far.east": "sindh"})
         self.assertEqual((parsed.net.port_range, parsed.net.bind.inner), ((7620, 7635), "10.1.0.8:8300"))
@@ -304,12 +308,12 @@
             SETTINGS + "".join(f"Terms.Bnd.{line}\n" for line in lines)
         ).terms.bounds
         self.assertEqual((bounds.grace_s, bounds.lost_s, bounds.retry_ratio), (7.0, 0.25, 0.1))
-        plain = settings.Bounds()  # true or false says nothing of a figure: as if it were left out
+        plain = settings.Bounds()  # true or false counts as absent: the default applies
         self.assertEqual((bounds.skew_s, bounds.retry_slack), (plain.skew_s, plain.retry_slack))
         self.assertFalse(settings.parse_settings(SETTINGS + "Self.Quorum=False").own.quorum)
 
-    def test_what_can_not_be_used_is_named(self) -> None:
-        for key, value, connection in [
+    def test_an_error_names_the_invalid_key(self) -> None:
+        for key, value, line in [
             ("Self.Init", "perhaps", "Self.Init=perhaps"),
             ("Net.PortRange", "7620", "Net.PortRange=7620"),
             ("Net.PortRange", "9,8", "Net.PortRange=9,8"),
@@ -322,8 +326,8 @@
             ("Net.Bind.In", "10.1.0.8:0", "Net.Bind.In=10.1.0.8:0"),
             ("Self.Upst", "", "Self.Upst"),
         ]:
-            with self.subTest(connection=connection), self.assertRaises(settings.SettingsError) as caught:
-                settings.parse_settings(SETTINGS + connection)
+            with self.subTest(line=line), self.assertRaises(settings.SettingsError) as caught:
+                settings.parse_settings(SETTINGS + line)
             self.assertEqual((caught.exception.key, caught.exception.value), (key, value))
         with self.assertRaises(settings.SettingsError) as caught:
             settings.parse_settings(SETTINGS.replace("Self.Node", "Self.Nod"))
@@ -333,7 +337,7 @@
 
 
 class Routes(unittest.TestCase):
-    def test_the_longest_prefix_of_the_host_as_a_plain_search_finds_it(self) -> None:
+    def test_the_longest_matching_prefix_as_found_by_a_linear_search(self) -> None:
         rng = random.Random(5)
         parts = ["", "a", "b", "ab"]
         shapes = [rng.choices(parts, k=rng.randrange(4)) for _ in range(30)]
@@ -356,7 +360,7 @@
             self.assertEqual(found.name if found else None, best, (host, path))
         self.assertIsNone(table.match(b"x.example", b"*"))
 
-    def test_services_fall_out_by_weight(self) -> None:
+    def test_services_are_chosen_by_weight(self) -> None:
         split = (("z", 0.0), ("a", 90.0), ("y", 0.0), ("b", 10.0), ("x", 0.0))
         chosen = Route("r", "keyed", 1, 1, 0, 1, split)
         self.assertEqual(
@@ -385,7 +389,7 @@
             (calls.known_methods(b"/Config.Patch"), calls.known_methods(b"/x")), ((b"POST",), ())
         )
 
-    def test_every_error_has_an_answer_and_keeps_the_protocols_promises(self) -> None:
+    def test_every_error_has_an_answer_that_keeps_the_protocols_guarantees(self) -> None:
         self.assertEqual(set(REPLIES), set(ErrorKind))
         for reply in REPLIES.values():
             if reply.status in (408, 421, 429, 503):
--- a/tests/mesh/test_control_claim_expiry.py
+++ b/tests/mesh/test_control_claim_expiry.py
@@ -1,4 +1,4 @@
-"""Claims grow old by agreed time: also under a storm of leader changes, and never too soon."""
+"""Claims expire by committed time: also under frequent leader changes, and never too early."""
 
 from __future__ import annotations
 
@@ -19,41 +19,41 @@
 
 WINDOW_S, MARGIN_S = 60.0, 15.0
 NEEDED_MS = int((WINDOW_S + MARGIN_S) * 1000)
-TICK_S = 0.5  # between two looks, at each of which a claim is made
+TICK_S = 0.5  # between two ticks; a claim is made at each
 
 
 Entry = tuple[float, int, bytes]  # when it was appended, kind, body
 
 
 class Member:
-    """One control node's clock, which starts anywhere, and what it has told."""
+    """One control node's leadership clock, and the offset of its monotonic time."""
 
     def __init__(self, make: Callable[[], LeadershipClock], offset: float) -> None:
         self.clock, self.offset = make(), offset
 
 
-class Play:
-    """One log with leaders that change, freeze, wake and lose their last entries. Seconds are the world's."""
+class LogSimulation:
+    """Simulates one log whose leaders change, freeze, resume and lose their last entries."""
 
     def __init__(self, seed: int, make: Callable[[], LeadershipClock], leadership_s: float = 30.0) -> None:
         self.random, self.leadership_s = random.Random(seed), leadership_s
         self.members = [Member(make, self.random.uniform(0.0, 1e5)) for _ in range(3)]
         self.state, self.applied, self.term, self.now = StateMachine(), 0, 0, 0.0
-        self.in_flight: list[Entry] = []  # in the leader's log behind what is agreed
+        self.in_flight: list[Entry] = []  # in the leader's log, not yet committed
         self.claimed_at: dict[bytes, float] = {}  # keys, and when their claims were appended
-        self.forgotten: list[float] = []  # ages
+        self.expired_ages: list[float] = []  # ages of expired claims in seconds
         self.largest = self.rotations = 0
 
     def run(self, seconds: float) -> None:
         while self.now < seconds:
             self.term += 1
             self.lead(self.random.choice(self.members), self.random.uniform(0.8, 1.2) * self.leadership_s)
-            self.now += self.random.uniform(0.3, 2.0)  # nobody leads
+            self.now += self.random.uniform(0.3, 2.0)  # without a leader
 
     def lead(self, member: Member, seconds: float) -> None:
-        """Entries are agreed `lag` late; those under way at the end are lost, or agreed in the next term."""
+        """Commit entries `lag` seconds late; uncommitted ones are lost, or committed in the next term."""
         lag, end = self.random.choice((0.0, 0.2, 1.1)), self.now + seconds
-        frozen = self.random.random() < 0.2  # in its last seconds, after which it wakes up replaced
+        frozen = self.random.random() < 0.2  # for its last seconds; it resumes after it was replaced
         freezes = end - self.random.uniform(1.0, seconds / 2) if frozen else end
         while self.now < end:
             if self.now < freezes:
@@ -65,7 +65,7 @@
             self.commit(self.now)  # they were in the next leader's log
         self.in_flight.clear()
         if frozen:
-            self.tick(member)  # what it appends is of its old term
+            self.tick(member)  # what it appends is of its old term, and lost
             self.in_flight.clear()
 
     def append(self, kind: int, body: bytes) -> int:
@@ -86,11 +86,11 @@
             elif kind == ROTATE:
                 self.rotations += 1
                 for key in [key for key in self.claimed_at if self.state.claims.find(key) is None]:
-                    self.forgotten.append(self.now - self.claimed_at.pop(key))
+                    self.expired_ages.append(self.now - self.claimed_at.pop(key))
         self.largest = max(self.largest, self.state.claims.count())
 
     def tick(self, member: Member) -> None:
-        """As the server does."""
+        """Tick as the control server does."""
         now, clock, state = self.now + member.offset, member.clock, self.state
         clock.on_leadership(now, self.term)
         if clock.may_rotate(self.applied, state.elapsed_ms, NEEDED_MS):
@@ -100,8 +100,8 @@
             clock.on_recorded(now)
 
 
-class CountsBefore(LeadershipClock):
-    """Planted: goes on from where it last counted, through the reigns of others."""
+class CountsOtherTerms(LeadershipClock):
+    """Planted fault: keeps counting through the terms of other leaders."""
 
     def on_leadership(self, now: float, term: int) -> None:
         if self.term:
@@ -111,24 +111,24 @@
 
 
 class CountsTwice(LeadershipClock):
-    """Planted: each entry tells the whole reign."""
+    """Planted fault: each time record covers the whole leadership again."""
 
     def on_recorded(self, now: float) -> None:
         pass
 
 
 class RotatesTwice(LeadershipClock):
-    """Planted: doesn't wait for its own rotation under way."""
+    """Planted fault: does not wait for its own pending rotation."""
 
     def may_rotate(self, applied: int, agreed_ms: int, needed_ms: int) -> bool:
         return agreed_ms >= needed_ms
 
 
-class Storm(unittest.TestCase):
+class LeaderChanges(unittest.TestCase):
     def play(
         self, make: Callable[[], LeadershipClock], seeds: range, leadership_s: float = 30.0
-    ) -> list[Play]:
-        plays = [Play(seed, make, leadership_s) for seed in seeds]
+    ) -> list[LogSimulation]:
+        plays = [LogSimulation(seed, make, leadership_s) for seed in seeds]
         for play in plays:
             play.run(3600.0)
         return plays
@@ -137,23 +137,23 @@
         plays = self.play(LeadershipClock, range(12))
         for play in plays:
             self.assertGreater(play.rotations, 20)
-            self.assertGreaterEqual(min(play.forgotten), WINDOW_S + MARGIN_S - 0.01)
-            self.assertLess(play.largest, 450, "of some 6,500 claims made")
+            self.assertGreaterEqual(min(play.expired_ages), WINDOW_S + MARGIN_S - 0.01)
+            self.assertLess(play.largest, 450, "of about 6,500 claims made")
 
-    def test_reigns_of_a_few_seconds_and_of_minutes(self) -> None:
+    def test_terms_of_a_few_seconds_and_of_minutes(self) -> None:
         for leadership_s in (5.0, 12.0, 300.0):
             for play in self.play(LeadershipClock, range(3), leadership_s):
                 self.assertGreater(play.rotations, 10, leadership_s)
-                self.assertGreaterEqual(min(play.forgotten), WINDOW_S + MARGIN_S - 0.01)
+                self.assertGreaterEqual(min(play.expired_ages), WINDOW_S + MARGIN_S - 0.01)
 
-    def test_faults_that_are_planted_are_found(self) -> None:
-        for make in (CountsBefore, CountsTwice, RotatesTwice):
-            ages = [min(play.forgotten) for play in self.play(make, range(4))]
+    def test_planted_faults_are_found(self) -> None:
+        for make in (CountsOtherTerms, CountsTwice, RotatesTwice):
+            ages = [min(play.expired_ages) for play in self.play(make, range(4))]
             self.assertLess(min(ages), WINDOW_S, make.__name__)
 
 
 class Servers(unittest.TestCase):
-    """The real control nodes of the simulation, whose key window is 3 s."""
+    """The control nodes of the simulation, with a key window of 3 s."""
 
     def test_a_leader_frozen_every_four_seconds(self) -> None:
         window = KEY_WINDOW + ROTATE_SLACK
@@ -186,7 +186,7 @@
                 self.assertGreater(len(leaders), 10)
                 self.assertGreater(len(list(site.history.of("rotated"))), 3)
                 self.assertGreater(len(ages), 20)
-                self.assertGreaterEqual(min(ages), window - 0.2)  # a look of the test's own
+                self.assertGreaterEqual(min(ages), window - 0.2)  # the test looks every 0.2 s
 
     def claim(self, site: Site, leader: ControlNode, granted: dict[bytes, float]) -> None:
         key = site.loop.random.randbytes(8)
@@ -201,13 +201,15 @@
         site.loop.after(0.0, leader.machine, leader.server.propose, CLAIM, body, on_result)
 
 
-class Agreed(unittest.TestCase):
+class RecordedTime(unittest.TestCase):
     def test_time_is_recorded_when_due(self) -> None:
         clock = LeadershipClock()
         clock.on_leadership(100.0, 3)
         self.assertFalse(clock.is_due(100.0 + RECORD_INTERVAL_S - 0.01, 0, NEEDED_MS))
         self.assertTrue(clock.is_due(100.0 + RECORD_INTERVAL_S, 0, NEEDED_MS))
-        self.assertTrue(clock.is_due(100.5, NEEDED_MS - 500, NEEDED_MS), "the last part needs no whole tick")
+        self.assertTrue(
+            clock.is_due(100.5, NEEDED_MS - 500, NEEDED_MS), "the last part needs no full interval"
+        )
         clock.on_leadership(101.0, 3)
         self.assertEqual(clock.unrecorded_ms(102.0), 2000)
         clock.on_leadership(103.0, 4)
--- a/tests/mesh/test_control_heartbeats.py
+++ b/tests/mesh/test_control_heartbeats.py
@@ -1,4 +1,4 @@
-"""Beats of servers at a control node: acknowledged only where their sidecar acts on them already."""
+"""Heartbeats of servers at a control node: acknowledged only if their sidecar already acts on them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Client:
-    """Keeps the one answer."""
+    """A client connection that records the answer."""
 
     def __init__(self) -> None:
         self.token = 1
@@ -44,7 +44,7 @@
         self.seq = 0
 
     def report(self, server_id: str, state: str, ip: str = IP) -> None:
-        """A sidecar reports."""
+        """A sidecar reports its server's state."""
         self.seq += 1
         self.registry.update(
             0.0, SidecarRecord(ip, 9000, 1, self.seq, "a", "shop", server_id, 9, state, 0.0, True)
@@ -69,7 +69,7 @@
         _, fields = self.asked(f"/Instances.Heartbeat/{SERVER_ID}", heartbeat("draining"))
         self.assertGreater(float(fields[b"Retry-After"]), 0.0)
 
-    def test_what_its_sidecar_says_itself_is_acknowledged(self) -> None:
+    def test_the_state_that_its_sidecar_reports_is_acknowledged(self) -> None:
         self.report(SERVER_ID, "up")
         self.assertEqual((self.heartbeat("up"), self.heartbeat("draining"), self.leave()), (200, 503, 503))
         self.report(SERVER_ID, "draining")
@@ -77,17 +77,17 @@
         self.report(SERVER_ID, "none")
         self.assertEqual((self.heartbeat("up"), self.heartbeat("draining"), self.leave()), (503, 503, 200))
 
-    def test_another_run_or_address_proves_nothing(self) -> None:
+    def test_reports_of_another_run_or_address_do_not_count(self) -> None:
         self.report("i-other", "draining")
         self.assertEqual((self.heartbeat("draining"), self.leave()), (503, 503))
         self.report(SERVER_ID, "draining", "10.128.0.10")
         self.assertEqual(self.heartbeat("draining"), 503)
 
-    def test_a_sidecar_that_went_silent_vouches_for_nothing(self) -> None:
+    def test_the_report_of_an_expired_sidecar_does_not_count(self) -> None:
         self.report(SERVER_ID, "draining")
         self.registry.expire(EXPIRY_S + 0.1)
         self.assertEqual(self.heartbeat("draining"), 503)
 
-    def test_what_is_no_heartbeat_is_rejected(self) -> None:
+    def test_an_invalid_heartbeat_is_rejected(self) -> None:
         with self.assertLogs(LOG, "WARNING"):
             self.assertEqual(self.asked(f"/Instances.Heartbeat/{SERVER_ID}", b"{}")[0], 400)
--- a/tests/mesh/test_control_shutdown.py
+++ b/tests/mesh/test_control_shutdown.py
@@ -1,4 +1,4 @@
-"""A control node that is told to end: leadership goes first, what was taken is answered, nothing begins."""
+"""Shutdown of a control node: it hands over leadership, answers accepted calls, and accepts no new ones."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     def __init__(self, role: str, leader: str | None) -> None:
         self.role, self.name, self.leader = role, "a#0", leader
         self.asked: list[float] = []
-        self.dispensable = True  # whether the others can do without what it holds
+        self.dispensable = True  # whether the other members have its entries
 
     @property
     def is_leader(self) -> bool:
@@ -35,7 +35,7 @@
         return self.dispensable
 
 
-class Steps(unittest.TestCase):
+class Conditions(unittest.TestCase):
     def test_a_leader_waits_for_its_successor(self) -> None:
         core = StubCore("leader", "a#0")
         shutdown = GracefulShutdown(core)
@@ -45,15 +45,15 @@
         self.assertEqual(core.asked, [1.0])
         self.assertFalse(shutdown.is_finished(1.1, 0))
         core.role, core.leader = "follower", None
-        self.assertFalse(shutdown.is_finished(1.2, 0), "nobody leads yet")
+        self.assertFalse(shutdown.is_finished(1.2, 0), "there is no leader yet")
         core.leader = "b#0"
         self.assertFalse(shutdown.is_finished(1.3, 1), "a call is open")
         core.dispensable = False
-        self.assertFalse(shutdown.is_finished(1.3, 0), "it holds what a majority lacks")
+        self.assertFalse(shutdown.is_finished(1.3, 0), "it has entries that a majority lacks")
         core.dispensable = True
         self.assertTrue(shutdown.is_finished(1.3, 0))
 
-    def test_it_does_not_wait_for_ever(self) -> None:
+    def test_it_does_not_wait_forever(self) -> None:
         shutdown = GracefulShutdown(StubCore("leader", "a#0"))
         shutdown.begin(1.0)
         self.assertFalse(shutdown.is_finished(1.0 + SHUTDOWN_TIMEOUT_S - 0.01, 3))
@@ -65,12 +65,12 @@
         self.assertTrue(shutdown.is_finished(1.0, 0))
 
 
-class Refused(unittest.TestCase):
+class NewWork(unittest.TestCase):
     def test_new_work_is_refused_and_it_is_not_ready(self) -> None:
         server = SimpleNamespace(raft=SimpleNamespace(in_contact_with_quorum=lambda now: True))
         handlers = ControlHandlers(cast(ControlServer, server))
         handlers.shutting_down = True
-        self.assertFalse(handlers.accepts_requests(), "which says Connection: close")
+        self.assertFalse(handlers.accepts_requests(), "so answers have Connection: close")
         for method, path in ((b"POST", b"/Config.Patch"), (b"GET", b"/Config.Fetch"), (b"GET", b"/ready")):
             answers: list[int] = []
             client = SimpleNamespace(
@@ -82,9 +82,9 @@
             self.assertEqual(answers, [503], path)
 
 
-class HandsOver(FoundedSite):
-    def until_led(self, site: Site, old: ControlNode) -> float:
-        """Seconds until another surely leads."""
+class Handover(FoundedSite):
+    def seconds_until_leader(self, site: Site, old: ControlNode) -> float:
+        """Seconds until another member has the leader's lease."""
         began = site.loop.now
         while site.loop.now < began + 5.0:
             site.loop.run_until(site.loop.now + 0.005)
@@ -92,26 +92,26 @@
                 now = site.loop.now + control.machine.offset
                 if control is not old and control.server is not None and control.server.raft.has_lease(now):
                     return site.loop.now - began
-        raise AssertionError("nobody leads")
+        raise AssertionError("no leader")
 
-    def test_sooner_than_an_election(self) -> None:
+    def test_a_handover_is_faster_than_an_election(self) -> None:
         handed, elected = list[float](), list[float]()
         for seed in range(12):
             site = self.site(seed)
             leader = site.leader()
             assert leader.server is not None
             site.loop.on(leader.machine, leader.server.begin_shutdown)
-            handed.append(self.until_led(site, leader))
+            handed.append(self.seconds_until_leader(site, leader))
             site.loop.run_until(site.loop.now + SHUTDOWN_TIMEOUT_S)
             self.assertTrue(leader.server.may_end.is_set())
             self.assertFalse(leader.leads)
             site = self.site(seed)
             leader = site.leader()
             leader.stop()
-            elected.append(self.until_led(site, leader))
+            elected.append(self.seconds_until_leader(site, leader))
         self.assertLess(max(handed), 0.5 * sum(elected) / len(elected))
 
-    def test_what_was_taken_is_answered_before_it_may_end(self) -> None:
+    def test_accepted_calls_are_answered_before_it_may_end(self) -> None:
         for seed in range(12):
             for to_leader in (True, False):
                 site = self.site(seed)
@@ -134,7 +134,7 @@
                 self.assertEqual(answers, [((200, "", True), False)], (seed, to_leader))
                 self.assertTrue(server.may_end.is_set())
 
-    def test_no_new_order_is_taken_by_the_retiring_leader(self) -> None:
+    def test_a_leader_that_shuts_down_accepts_no_new_call(self) -> None:
         site = self.site(1)
         leader, answers = site.leader(), list[Any]()
         assert leader.server is not None
--- a/tests/mesh/test_control_snapshots.py
+++ b/tests/mesh/test_control_snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots: the log stays bounded on disk and in memory, they come staggered and in short steps."""
+"""Snapshots bound the log on disk and in memory, are staggered over members, and run in short steps."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
 from rigs.simulation.mesh import Site
 
 MB = 1024 * 1024
-FILE = int(256 * 0.7) * MB  # of a site's usual disk
-EVERY = 4_000
+FILE = int(256 * 0.7) * MB  # data file limit of a simulated site's disk
+MAX_ENTRIES = 4_000
 
 
-class Turns:
-    """The turns of a loop, taken when asked for."""
+class ManualLoop:
+    """An event loop whose callbacks run on request."""
 
     def __init__(self) -> None:
         self.due: deque[tuple[Any, tuple[Any, ...]]] = deque()
@@ -53,44 +53,44 @@
             callback(*args)
 
 
-class Lone:
-    """One member with all that a server puts around it, each write done at once."""
+class SingleMember:
+    """A single-member group with its state machine and snapshots; each write completes at once."""
 
     def __init__(self, store: Store) -> None:
-        self.store, self.state, self.turns = store, StateMachine(), Turns()
+        self.store, self.state, self.manual_loop = store, StateMachine(), ManualLoop()
         store.initialize("0")
         self.core = RaftNode("10.0.0.1#0", None, ("10.0.0.1#0",), Timing(), 1, 0.0)
         schedule = SnapshotSchedule("10.0.0.1", FILE, 0, 0)
-        loop = cast(asyncio.AbstractEventLoop, self.turns)
+        loop = cast(asyncio.AbstractEventLoop, self.manual_loop)
         self.snapshots = SnapshotTaker(loop, self.state, schedule, self._take)
         self.taken: list[int] = []
         self.in_memory = 0
-        self.act(self.core.drain())
+        self.carry_out(self.core.drain())
         now = 0.0
         while not self.core.is_leader:
             now += 0.05
-            self.act(self.core.tick(now))
+            self.carry_out(self.core.tick(now))
 
-    def act(self, actions: list[Action]) -> None:
+    def carry_out(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Persist):
                 self.store.write(action)
-                self.act(self.core.persisted(0.0, action.write_id))
+                self.carry_out(self.core.persisted(0.0, action.write_id))
             elif isinstance(action, Apply):
                 entry = action.entry
                 if entry.kind == DATA:
                     self.state.apply(entry.index, entry.data)
-                self.snapshots.on_applied(entry.index, len(entry.data), EVERY)
+                self.snapshots.on_applied(entry.index, len(entry.data), MAX_ENTRIES)
 
     def _take(self, index: int, data: bytes) -> None:
         self.taken.append(index)
-        self.act(self.core.compact(index, data))
+        self.carry_out(self.core.compact(index, data))
 
     def change(self, body: bytes) -> None:
         assert self.core.propose(0.0, pack_command(CONFIG, body)) is not None
-        self.act(self.core.drain())
+        self.carry_out(self.core.drain())
         self.in_memory = max(self.in_memory, sum(len(e.data) for e in self.core.log.entries))
-        self.turns.run()
+        self.manual_loop.run()
 
 
 def long_item(version: int, size: int) -> bytes:
@@ -106,65 +106,66 @@
 
 
 class Bounded(Quiet):
-    def run_changes(self, count: int, size: int) -> tuple[Lone, int]:
-        """The member, and the most bytes that its file had."""
+    def run_changes(self, count: int, size: int) -> tuple[SingleMember, int]:
+        """The member after `count` changes, and the size of its data file, which never shrinks."""
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         store = Store(folder.name, FILE)
         self.addCleanup(store.close)
         with mock.patch.object(os, "fsync"):
-            lone = Lone(store)
+            member = SingleMember(store)
             for version in range(1, count + 1):
-                lone.change(long_item(version, size))
-        return lone, Path(folder.name, "data.mdb").stat().st_size
+                member.change(long_item(version, size))
+        return member, Path(folder.name, "data.mdb").stat().st_size
 
     def test_a_thousand_changes_of_a_long_list(self) -> None:
-        lone, file = self.run_changes(1_000, 196_000)
-        self.assertLess(lone.in_memory, LOG_BYTES * (1 + STAGGER) + MB)
+        member, file = self.run_changes(1_000, 196_000)
+        self.assertLess(member.in_memory, LOG_BYTES * (1 + STAGGER) + MB)
         self.assertLess(file, 3 * LOG_BYTES)
-        self.assertGreater(len(lone.taken), 10)
+        self.assertGreater(len(member.taken), 10)
 
     def test_sixty_calls_of_four_megabytes(self) -> None:
-        lone, file = self.run_changes(60, 4 * MB - 200)
-        self.assertLess(lone.in_memory, LOG_BYTES * (1 + STAGGER) + 5 * MB)
+        member, file = self.run_changes(60, 4 * MB - 200)
+        self.assertLess(member.in_memory, LOG_BYTES * (1 + STAGGER) + 5 * MB)
         self.assertLess(file, 6 * LOG_BYTES)
 
-    def test_by_entries_alone_is_found(self) -> None:
-        """Planted: bytes don't count."""
+    def test_a_schedule_by_entries_alone_is_found(self) -> None:
+        """Planted fault: only entries are counted, not bytes."""
         with mock.patch.object(SnapshotSchedule, "on_applied", lambda *_: None):
-            lone, _ = self.run_changes(100, 196_000)
-        self.assertGreater(lone.in_memory, LOG_BYTES * (1 + STAGGER) + MB)
+            member, _ = self.run_changes(100, 196_000)
+        self.assertGreater(member.in_memory, LOG_BYTES * (1 + STAGGER) + MB)
 
 
-class When(unittest.TestCase):
+class Schedule(unittest.TestCase):
     def test_a_large_state_is_written_less_often(self) -> None:
         schedule = SnapshotSchedule("a", FILE, 0, 20 * MB)
         schedule.on_applied(19 * MB)
-        self.assertFalse(schedule.is_due(1, EVERY))
+        self.assertFalse(schedule.is_due(1, MAX_ENTRIES))
         schedule.on_applied(12 * MB)
-        self.assertTrue(schedule.is_due(1, EVERY))
+        self.assertTrue(schedule.is_due(1, MAX_ENTRIES))
 
     def test_a_small_file_is_not_filled_by_the_log(self) -> None:
         for size in (0, 2 * MB, 60 * MB):
             schedule = SnapshotSchedule("a", 11 * MB, 0, size)
             schedule.on_applied(int(11 * MB / FILE_DIVISOR * (1 + STAGGER)) + 1)
-            self.assertTrue(schedule.is_due(1, EVERY))
+            self.assertTrue(schedule.is_due(1, MAX_ENTRIES))
 
-    def test_members_take_turns(self) -> None:
+    def test_members_are_staggered(self) -> None:
         names = [f"10.0.{zone}.1" for zone in range(5)]
         self.assertEqual(len({round(stagger_fraction(name), 3) for name in names}), 5)
         at = []
         for name in names:
             schedule = SnapshotSchedule(name, FILE, 0, 0)
-            at.append(next(n for n in range(EVERY, 3 * EVERY) if schedule.is_due(n, EVERY)))
+            at.append(next(n for n in range(MAX_ENTRIES, 3 * MAX_ENTRIES) if schedule.is_due(n, MAX_ENTRIES)))
         self.assertEqual(len(set(at)), 5)
-        self.assertTrue(EVERY <= min(at) <= max(at) <= EVERY * (1 + STAGGER) + 1)
+        self.assertTrue(MAX_ENTRIES <= min(at) <= max(at) <= MAX_ENTRIES * (1 + STAGGER) + 1)
 
 
-class Full(Quiet):
+class FullDisk(Quiet):
     def test_a_member_whose_disk_refuses_offers_a_snapshot_of_what_is_on_it(self) -> None:
         for seed in range(6):
-            # Seeded, so that elections repeat: who has applied more than its disk holds offers none.
+            # Seeded, so that elections are reproducible: a member that has applied more than its disk
+            # holds offers no snapshot.
             chance = random.Random(seed)
             self.enterContext(mock.patch.object(os, "urandom", chance.randbytes))
             site = Site(seed)
@@ -194,15 +195,15 @@
             self.assertGreater(again.items.index, 0)
 
     def test_a_short_log_needs_no_snapshot(self) -> None:
-        turns = Turns()
-        loop = cast(asyncio.AbstractEventLoop, turns)
-        taking = SnapshotTaker(loop, StateMachine(), SnapshotSchedule("a", FILE, 0, 3 * MB), lambda *_: None)
-        taking.on_applied(1, 2 * MB, EVERY)
-        taking.take_early(1)
-        self.assertIsNone(taking.next_step)
-        taking.on_applied(2, 2 * MB, EVERY)
-        taking.take_early(2)
-        self.assertIsNotNone(taking.next_step)
+        manual_loop = ManualLoop()
+        loop = cast(asyncio.AbstractEventLoop, manual_loop)
+        taker = SnapshotTaker(loop, StateMachine(), SnapshotSchedule("a", FILE, 0, 3 * MB), lambda *_: None)
+        taker.on_applied(1, 2 * MB, MAX_ENTRIES)
+        taker.take_early(1)
+        self.assertIsNone(taker.next_step)
+        taker.on_applied(2, 2 * MB, MAX_ENTRIES)
+        taker.take_early(2)
+        self.assertIsNotNone(taker.next_step)
 
 
 class Steps(Quiet):
@@ -214,7 +215,7 @@
         full.rotation_index = 7
         return full
 
-    def test_the_same_bytes_as_at_once(self) -> None:
+    def test_the_steps_give_the_same_bytes_as_a_whole_snapshot(self) -> None:
         for claims in (0, 3, state_machine.STEP_ROWS, state_machine.STEP_ROWS + 1, 5_000):
             full = self.state(claims)
             self.assertEqual(b"".join(full.snapshot_steps()), full.snapshot())
@@ -240,19 +241,19 @@
         self.assertLess(sorted(durations)[len(durations) * 9 // 10], 0.005)
 
     def test_one_at_a_time_and_none_after_a_leaders_snapshot(self) -> None:
-        turns, done = Turns(), list[int]()
+        manual_loop, done = ManualLoop(), list[int]()
         schedule = SnapshotSchedule("a", FILE, 0, 0)
-        loop = cast(asyncio.AbstractEventLoop, turns)
-        taking = SnapshotTaker(loop, self.state(2_000), schedule, lambda index, data: done.append(index))
+        loop = cast(asyncio.AbstractEventLoop, manual_loop)
+        taker = SnapshotTaker(loop, self.state(2_000), schedule, lambda index, data: done.append(index))
         with mock.patch.object(snapshots, "LOG_BYTES", 100):
-            taking.on_applied(1, 200, EVERY)
-            taking.on_applied(2, 200, EVERY)
-            self.assertEqual(len(turns.due), 1)
-            step = taking.next_step
-            taking.on_restored(5, 10)
+            taker.on_applied(1, 200, MAX_ENTRIES)
+            taker.on_applied(2, 200, MAX_ENTRIES)
+            self.assertEqual(len(manual_loop.due), 1)
+            step = taker.next_step
+            taker.on_restored(5, 10)
             cast(mock.Mock, step).cancel.assert_called_once()
-            self.assertEqual((schedule.index, schedule.applied_bytes, taking.next_step), (5, 0, None))
-            turns.due.clear()
-            taking.on_applied(6, 200, EVERY)
-            turns.run()
+            self.assertEqual((schedule.index, schedule.applied_bytes, taker.next_step), (5, 0, None))
+            manual_loop.due.clear()
+            taker.on_applied(6, 200, MAX_ENTRIES)
+            manual_loop.run()
         self.assertEqual(done, [6])
--- a/tests/mesh/test_events.py
+++ b/tests/mesh/test_events.py
@@ -1,4 +1,4 @@
-"""The catalogue of events: each has its entry, each entry its event, and both say the same."""
+"""The event catalogue has exactly one entry per event, with the same number, level and text."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
         self.assertTrue(all(entry.when and entry.what_to_do for entry in entries))
 
     def test_events_are_not_aliases_of_each_other(self) -> None:
-        # An Enum takes a second member of equal value for another name of the first, and hides it.
+        # An Enum makes a second member of equal value an alias of the first, which hides it.
         self.assertEqual(len(Event.__members__), len(list(Event)))
 
 
--- a/tests/mesh/test_golden.py
+++ b/tests/mesh/test_golden.py
@@ -1,4 +1,4 @@
-"""Stored data and frames of commit a6e14cd are read, and sent, as they were (see tests/golden)."""
+"""Compatibility with stored data and frames of commit a6e14cd (see tests/golden)."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 
 
 def frames() -> dict[str, bytes]:
-    """The bytes of each frame, by its name."""
+    """The bytes of each frame, by name."""
     lines = (GOLDEN / "frames.txt").read_text().splitlines()
     return {name: bytes.fromhex(data) for name, data in (line.split() for line in lines)}
 
 
 def message_in(frame: bytes) -> tuple[Any, ...]:
-    """The one message that a frame holds."""
+    """Decode the single message in a frame."""
     (packed,) = Inbox().feed(frame)
     message: tuple[Any, ...] = msgpack.unpackb(packed, use_list=False)
     return message
--- a/tests/mesh/test_names.py
+++ b/tests/mesh/test_names.py
@@ -1,4 +1,4 @@
-"""The mesh speaks the field's words: no module, class or function bears a withdrawn name."""
+"""The mesh uses the terms of the field: no module, class or function has a withdrawn name."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     "(vise|forge|anvil|chest|press|rack|stamp|clamp|gauge|pulley|spool|scribe|hall|rope|porch|visitor|purse"
     "|gatehouse|knock|begg?)(s|es|d|ed|r|er|ing)?"
 )
-# Still to be renamed. Take a name out once that is done, and put none in.
+# Still to be renamed. Remove a name once it is renamed; never add one.
 REMAINING = frozenset(
     {
         "minthitch/mesh/sidecar/asks.py: beg",
@@ -27,7 +27,7 @@
 
 
 def parts(name: str) -> list[str]:
-    """The words of an identifier: `sendAll`, `SendAll` and `send_all` have the same two."""
+    """The words of an identifier: `sendAll`, `SendAll` and `send_all` have the same two words."""
     return [part.lower() for part in PART.findall(name)]
 
 
@@ -36,7 +36,7 @@
 
 
 def names() -> Iterator[tuple[str, str]]:
-    """Each module or package, class and function of the mesh, with the file it stands in."""
+    """Each module, package, class and function of the mesh, with its file."""
     for file in sorted(MESH.rglob("*.py")):
         where = str(file.relative_to(ROOT))
         yield where, file.parent.name if file.stem == "__init__" else file.stem
@@ -46,7 +46,7 @@
 
 
 class Names(unittest.TestCase):
-    def test_no_module_class_or_function_bears_a_withdrawn_word(self) -> None:
+    def test_no_module_class_or_function_has_a_withdrawn_name(self) -> None:
         found = {f"{where}: {name}" for where, name in names() if is_withdrawn(name)}
         self.assertEqual(sorted(found - REMAINING), [])
 
--- a/tests/mesh/test_pages_configuration.py
+++ b/tests/mesh/test_pages_configuration.py
@@ -1,7 +1,7 @@
-"""What the operators' pages say of orders, read as properties of the state machine that judges them.
+"""What the operators' documentation says of configuration calls, tested on the state machine.
 
-An order that was acknowledged and is sent again is acknowledged again and changes nothing, whatever came
-between: other orders, snapshots, two operators, eight orders under way at once.
+An acknowledged call that is sent again is acknowledged again and changes nothing, whatever came in between:
+other calls, snapshots, two operators, eight pending calls at once.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from minthitch.mesh.configuration.items import Items, Verdict
 
 Item = dict[str, Any]
-UNDER_WAY = 8  # orders that may be under way at once
+MAX_PENDING = 8  # calls that may be pending at once
 SERVICES = ("s-0", "s-1", "s-2")
 
 
@@ -38,59 +38,59 @@
     }
 
 
-def dropped(name: str, ver: int) -> Item:
+def deletion(name: str, ver: int) -> Item:
     return {"Name": name, "Ver": f"{ver:08x}"}
 
 
-def first_order() -> bytes:
+def first_call() -> bytes:
     services = [{"Name": name, "Ver": "00000001"} for name in SERVICES]
     return json.encode({"Upsert": {"Routes": [], "Svcs": services}, "Del": {}})
 
 
-def contents(order: bytes) -> dict[str, str]:
-    """What an order says of each name."""
-    sent = json.decode(order)
+def contents(body: bytes) -> dict[str, str]:
+    """The content that a call has for each name."""
+    sent = json.decode(body)
     sets = {one["Name"]: repr(one) for one in sent["Upsert"]["Routes"]}
     return sets | {one["Name"]: "dropped" for one in sent["Del"]["Routes"]}
 
 
 class Day:
-    """A drawn day: two operators who number their orders alike, orders that are sent again, restarts."""
+    """A random day: two operators who use the same version numbers, repeated calls, restarts."""
 
     def __init__(self, seed: int, names: int = 10) -> None:
         self.random, self.names = random.Random(seed), [f"r-{n}" for n in range(names)]
         self.state, self.index = Items(), 0
         self.acknowledged: list[bytes] = []
         self.broken: list[str] = []
-        self.send(first_order())
+        self.send(first_call())
 
-    def send(self, order: bytes) -> Verdict:
+    def send(self, body: bytes) -> Verdict:
         self.index += 1
-        return self.state.apply(order, self.index)
+        return self.state.apply(body, self.index)
 
-    def order(self, number: int) -> bytes:
+    def call(self, number: int) -> bytes:
         chosen = self.random.sample(self.names, 3)
         split = self.random.randrange(4)
         sets = [route(name, number, self.random.choice(SERVICES)) for name in chosen[:split]]
-        drops = [dropped(name, number) for name in chosen[split:]]
+        drops = [deletion(name, number) for name in chosen[split:]]
         return json.encode({"Upsert": {"Routes": sets}, "Del": {"Routes": drops}})
 
-    def play(self, rounds: int) -> list[str]:
+    def run(self, rounds: int) -> list[str]:
         for number in range(2, rounds + 2):
-            under_way = [self.order(number) for _ in range(self.random.randint(1, UNDER_WAY))]
-            for order in under_way:
-                if self.send(order).ok:
-                    self.acknowledged.append(order)
-                    self.repeat(order)
-            for order in self.random.sample(self.acknowledged, min(3, len(self.acknowledged))):
-                self.repeat(order)
+            pending = [self.call(number) for _ in range(self.random.randint(1, MAX_PENDING))]
+            for body in pending:
+                if self.send(body).ok:
+                    self.acknowledged.append(body)
+                    self.repeat(body)
+            for body in self.random.sample(self.acknowledged, min(3, len(self.acknowledged))):
+                self.repeat(body)
             if self.random.random() < 0.2:
                 self.restart()
         return self.broken
 
-    def repeat(self, order: bytes) -> None:
+    def repeat(self, body: bytes) -> None:
         before = self.state.fetch()
-        verdict = self.send(order)
+        verdict = self.send(body)
         if not verdict.ok:
             self.broken.append(f"refused: {verdict.reason}")
         elif verdict.changed or self.state.fetch() != before:
@@ -103,63 +103,63 @@
 
 
 class Repeats(unittest.TestCase):
-    def test_an_order_that_was_acknowledged_is_never_refused_and_changes_nothing(self) -> None:
+    def test_a_repeat_of_an_acknowledged_call_is_accepted_and_changes_nothing(self) -> None:
         acknowledged = 0
         for seed in range(60):
             with self.subTest(seed=seed):
                 day = Day(seed)
-                self.assertEqual(day.play(40), [])
+                self.assertEqual(day.run(40), [])
                 acknowledged += len(day.acknowledged)
-        self.assertGreater(acknowledged, 60 * 40, "one of those with the same number stands, at least")
+        self.assertGreater(acknowledged, 60 * 40, "at least one call per version number wins")
 
-    def test_of_two_orders_with_one_number_and_name_one_is_acknowledged(self) -> None:
+    def test_of_two_calls_with_one_version_and_name_one_is_acknowledged(self) -> None:
         for seed in range(20):
-            day = Day(seed, names=3)  # each order is about the same three names
-            one, other = day.order(2), day.order(2)
+            day = Day(seed, names=3)  # each call changes the same three names
+            one, other = day.call(2), day.call(2)
             verdicts = day.send(one), day.send(other)
-            alike = contents(one) == contents(other)
+            same = contents(one) == contents(other)
             self.assertTrue(verdicts[0].ok)
-            self.assertEqual(verdicts[1].ok, alike)
-            if not alike:
+            self.assertEqual(verdicts[1].ok, same)
+            if not same:
                 self.assertEqual(verdicts[1].kind, ErrorKind.CONFIG_CONFLICT)
 
-    def test_planted_an_equal_version_taken_anew_is_found(self) -> None:
-        def prevails(state: Items, row: Row) -> bool:
+    def test_planted_fault_an_equal_version_that_overwrites_is_found(self) -> None:
+        def wins(state: Items, row: Row) -> bool:
             before = state._rows.get((row.section, row.name))
             return before is None or row.version >= before.version
 
-        with mock.patch.object(Items, "_wins", prevails):
-            self.assertTrue(Day(1).play(5))
+        with mock.patch.object(Items, "_wins", wins):
+            self.assertTrue(Day(1).run(5))
 
-    def test_planted_a_repeat_taken_for_other_content_is_found(self) -> None:
+    def test_planted_fault_a_repeat_taken_for_other_content_is_found(self) -> None:
         with mock.patch.object(items, "same_content", lambda one, other: one is other):
-            self.assertTrue(Day(1).play(5))
+            self.assertTrue(Day(1).run(5))
 
-    def test_planted_tombstones_forgotten_at_once_are_found(self) -> None:
+    def test_planted_fault_tombstones_pruned_too_early_is_found(self) -> None:
         with mock.patch.object(items, "MAX_TOMBSTONES", 1):
-            self.assertTrue(Day(1).play(10))
+            self.assertTrue(Day(1).run(10))
 
 
 class LongDay(unittest.TestCase):
-    """850 changes in a day are what the operators aim at; each may take out many names."""
+    """A day with the operators' target of 850 changes, each of which deletes many names."""
 
     CHANGES, NAMES = 850, 19
 
-    def test_at_its_end_every_order_of_the_day_may_come_again(self) -> None:
+    def test_at_its_end_every_call_of_the_day_may_be_repeated(self) -> None:
         state = Items()
-        state.apply(first_order(), 1)
-        orders = []
+        state.apply(first_call(), 1)
+        bodies = []
         for number in range(2, self.CHANGES + 2):
             names = [f"r-{number}-{n}" for n in range(self.NAMES)]
-            order = json.encode({"Del": {"Routes": [dropped(name, number) for name in names]}})
-            orders += [json.encode({"Upsert": {"Routes": [route(names[0], number - 1, "s-0")]}}), order]
-        for index, order in enumerate(orders, 2):
-            self.assertTrue(state.apply(order, index).ok)
-        last = json.encode({"Del": {"Svcs": [dropped("s-0", self.CHANGES + 2)]}})
-        self.assertTrue(state.apply(last, len(orders) + 2).changed)
+            body = json.encode({"Del": {"Routes": [deletion(name, number) for name in names]}})
+            bodies += [json.encode({"Upsert": {"Routes": [route(names[0], number - 1, "s-0")]}}), body]
+        for index, body in enumerate(bodies, 2):
+            self.assertTrue(state.apply(body, index).ok)
+        last = json.encode({"Del": {"Svcs": [deletion("s-0", self.CHANGES + 2)]}})
+        self.assertTrue(state.apply(last, len(bodies) + 2).changed)
         before = state.fetch()
-        for index, order in enumerate(orders, len(orders) + 3):
-            self.assertEqual(state.apply(order, index), Verdict(True))
+        for index, body in enumerate(bodies, len(bodies) + 3):
+            self.assertEqual(state.apply(body, index), Verdict(True))
         self.assertEqual(state.fetch(), before)
 
 
--- a/tests/mesh/test_size.py
+++ b/tests/mesh/test_size.py
@@ -1,4 +1,4 @@
-"""The control plane with many nodes: what is gathered, packed once, said only when new, and still safe."""
+"""The control plane with many nodes: batched updates, packed once and sent only on change, and still safe."""
 
 from __future__ import annotations
 
@@ -23,23 +23,23 @@
 from rigs.simulation.size import SPREAD, Crowd
 
 COUNT = 40
-WAYS = 0.03  # seconds of the model's two ways and a turn of the loops
+ROUND_TRIP_S = 0.03  # seconds for the simulated round trip and an iteration of both loops
 
 
 def record(ip: str, epoch: int, seq: int, state: str = "up", cold: float = 0.0) -> SidecarRecord:
     return SidecarRecord(ip, 1, epoch, seq, "a", "svc", f"{ip}-{epoch}", 4, state, cold, True)
 
 
-class Lists(unittest.TestCase):
-    def test_merging_what_a_word_touches_is_merging_all(self) -> None:
+class RegistryViews(unittest.TestCase):
+    def test_an_incremental_merge_equals_a_full_merge(self) -> None:
         for seed in range(30):
             rng = random.Random(seed)
-            views, news = MergedViews(), Counter[bool]()
+            views, changes = MergedViews(), Counter[bool]()
             for step in range(200):
                 before = {ip: published_fields(r) for ip, r in views.merged.items()}
                 control = rng.choice("abc")
                 if rng.random() < 0.1:
-                    said = views.disconnect(control)
+                    reported = views.disconnect(control)
                 else:
                     state = rng.choice(("up", "draining"))
                     rows = [
@@ -47,7 +47,9 @@
                         for _ in range(rng.randrange(3))
                     ]
                     gone = [ip for ip in "123456" if rng.random() < 0.1 and all(r.ip != ip for r in rows)]
-                    said = views.update(float(step), control, RegistryDelta(rng.random() < 0.1, rows, gone))
+                    reported = views.update(
+                        float(step), control, RegistryDelta(rng.random() < 0.1, rows, gone)
+                    )
                 whole: dict[str, SidecarRecord] = {}
                 for view in views.views.values():
                     whole.update({ip: r for ip, r in view.items() if is_newer(r, whole.get(ip))})
@@ -55,26 +57,24 @@
                     {ip: (r.epoch, r.sequence) for ip, r in views.merged.items()},
                     {ip: (r.epoch, r.sequence) for ip, r in whole.items()},
                 )
-                self.assertEqual(said, before != {ip: published_fields(r) for ip, r in whole.items()})
-                news[said] += 1
-            self.assertGreater(min(news[True], news[False]), 10)
+                self.assertEqual(reported, before != {ip: published_fields(r) for ip, r in whole.items()})
+                changes[reported] += 1
+            self.assertGreater(min(changes[True], changes[False]), 10)
 
-    def test_a_live_connection_keeps_its_sidecar_and_no_other_run(self) -> None:
+    def test_a_live_connection_keeps_only_its_own_run_of_a_sidecar(self) -> None:
         registry, old, new = Registry(), record("a", 1, 9), record("a", 2, 1)
         registry.update(0.0, old)
         registry.refresh("a", 1, EXPIRY_S)
         self.assertFalse(registry.expire(EXPIRY_S + 1.0))
         registry.update(EXPIRY_S + 1.0, new)
-        registry.refresh(
-            "a", 1, 9.0
-        )  # danger: a line of a life before keeps the one that has died in the list
+        registry.refresh("a", 1, 9.0)  # a connection of the earlier run must not keep the new run in the list
         self.assertTrue(registry.expire(9.0))
 
     def test_a_server_is_reported_again_once_it_is_warm(self) -> None:
         self.assertNotEqual(_acted_on(record("a", 1, 1, cold=0.5)), _acted_on(record("a", 1, 2)))
         self.assertEqual(_acted_on(record("a", 1, 1, cold=0.5)), _acted_on(record("a", 1, 2, cold=0.4)))
 
-    def test_squeezed_bytes_come_back_and_no_more_than_may_be(self) -> None:
+    def test_compressed_bytes_are_restored_up_to_the_size_limit(self) -> None:
         data = b"\x94" + b"routes are alike " * 1_000
         self.assertLess(len(compression.squeezed(data)), len(data) / 10)
         self.assertEqual(compression.opened(compression.squeezed(data)), data)
@@ -85,7 +85,7 @@
             compression.opened(compression.squeezed(data)[:-9])
 
 
-class Crowded(unittest.TestCase):
+class ManySidecars(unittest.TestCase):
     def setUp(self) -> None:
         patch = mock.patch.object(LOG, "disabled", True)
         patch.start()
@@ -104,33 +104,33 @@
         }
 
 
-class Many(Crowded):
-    def test_a_start_of_all_is_no_word_for_each_of_each(self) -> None:
+class Updates(ManySidecars):
+    def test_a_start_of_all_sends_no_message_per_pair(self) -> None:
         crowd = self.crowd()
         self.assertEqual(self.listed(crowd), {COUNT})
-        gathered = crowd.spent().words_out
+        batched = crowd.spent().words_out
         with mock.patch.object(sidecar_updates, "BATCH_INTERVAL_S", 0.0):
-            self.assertGreater(self.crowd().spent().words_out, 1.25 * gathered)
+            self.assertGreater(self.crowd().spent().words_out, 1.25 * batched)
 
-    def test_one_state_is_one_word_each_packed_once_and_at_once(self) -> None:
+    def test_a_single_change_is_packed_once_and_sent_to_each_at_once(self) -> None:
         crowd = self.crowd()
         crowd.loop.run_until(crowd.loop.now + 1.0)
         with mock.patch.object(Registry, "since", autospec=True, side_effect=Registry.since) as since:
             crowd.over(0.2, crowd.drain)
         self.assertLessEqual(since.call_count, 2 * len(CONTROLS))
         self.assertEqual(len(crowd.heard), COUNT)
-        self.assertLess(crowd.delays()[-1], WAYS)
+        self.assertLess(crowd.delays()[-1], ROUND_TRIP_S)
 
-    def test_a_drain_among_much_other_news_waits_for_no_more_than_is_gathered(self) -> None:
+    def test_a_drain_among_many_changes_waits_for_one_batch_at_most(self) -> None:
         crowd = self.crowd()
         crowd.replace("svc-1", SPREAD)
         crowd.loop.run_until(crowd.loop.now + 0.5)
         crowd.drain()
         crowd.loop.run_until(crowd.loop.now + 1.0)
         self.assertEqual(len(crowd.heard), COUNT)
-        self.assertLess(crowd.delays()[-1], BATCH_INTERVAL_S + WAYS)
+        self.assertLess(crowd.delays()[-1], BATCH_INTERVAL_S + ROUND_TRIP_S)
 
-    def test_who_says_nothing_new_stays_and_who_is_gone_goes(self) -> None:
+    def test_a_quiet_sidecar_stays_listed_and_a_dead_one_is_removed(self) -> None:
         crowd = self.crowd()
         with mock.patch.object(links, "SURELY", 1e9):
             crowd.loop.run_until(crowd.loop.now + 2 * EXPIRY_S)
@@ -140,15 +140,15 @@
         self.assertEqual(self.listed(crowd), {COUNT - 1})
 
 
-class Quiet(Crowded):
+class SidecarLinks(ManySidecars):
     def test_connections_between_sidecars_are_quiet_and_a_dead_one_is_found_before_use(self) -> None:
         crowd = self.crowd()
         ips = crowd.meet(2)
         crowd.loop.run_until(crowd.loop.now + 1.0)
         caller = crowd.told[-1]
         self.assertEqual((len(ips), caller.answers), (2, COUNT - 1))
-        said = crowd.over(5.0, ips=ips)
-        self.assertLess(said.words_out + said.beats_out, 5.0 * 3 * len(CONTROLS))
+        reported = crowd.over(5.0, ips=ips)
+        self.assertLess(reported.words_out + reported.beats_out, 5.0 * 3 * len(CONTROLS))
         live, dead = caller.peers[0], caller.peers[1]
         crowd.network.cut(caller.ip, dead.ip)
         left: list[str] = []
@@ -157,14 +157,14 @@
         crowd.loop.run_until(crowd.loop.now + PROBE + 0.1)
         self.assertEqual((left, caller.answers, caller.losses), ([live.ip], COUNT, [dead.ip]))
 
-    def test_a_call_goes_elsewhere_while_a_line_is_doubted_and_what_is_open_on_it_is_not_cut(self) -> None:
+    def test_a_call_avoids_a_suspected_connection_whose_open_calls_are_not_cut(self) -> None:
         crowd = self.crowd()
         crowd.meet(1)
         crowd.loop.run_until(crowd.loop.now + 1.0)
         caller = crowd.told[-1]
         peer = caller.peers[0]
         left: list[str] = []
-        crowd.loop.after(0.0, caller.machine, self.call, peer, 7, left)  # nobody answers it
+        crowd.loop.after(0.0, caller.machine, self.call, peer, 7, left)  # gets no answer
         crowd.loop.run_until(crowd.loop.now + DOUBT_ONCE / 2)
         crowd.network.cut(caller.ip, peer.ip)
         crowd.loop.run_until(crowd.loop.now + DOUBT_ONCE)
@@ -176,7 +176,7 @@
         crowd.loop.run_until(crowd.loop.now + 2 * DEAD)
         self.assertEqual(caller.losses, [peer.ip])
 
-    def test_a_connection_that_met_a_dark_machine_does_not_hide_its_return(self) -> None:
+    def test_a_pending_connection_to_a_dead_machine_does_not_hide_its_return(self) -> None:
         crowd = self.crowd()
         sidecar = crowd.told[-1]
         assert sidecar.controls is not None
@@ -184,7 +184,7 @@
         way = (sidecar.ip, CONTROLS[0])
         crowd.network.cut(*way)
         crowd.loop.run_until(crowd.loop.now + 2 * DEAD)
-        for _ in range(200):  # until a connection has been under way for a while
+        for _ in range(200):  # until a connection attempt has been pending for a while
             if link.task is not None and crowd.loop.now - link.begun > STALE:
                 break
             crowd.loop.run_until(crowd.loop.now + 0.01)
@@ -198,7 +198,7 @@
         message = (ops.CALL, ident, "no life", 9.0, 9.0, 1, 1, b"POST", b"/", (), b"", b"id", b"a", "route")
         peer.send(message, 0, lambda parcel: left.append(peer.ip), once=True)
 
-    def test_a_long_message_on_a_slow_link_keeps_its_line(self) -> None:
+    def test_a_long_message_on_a_slow_link_keeps_its_connection(self) -> None:
         crowd = self.crowd()
         crowd.meet(1)
         crowd.loop.run_until(crowd.loop.now + 15.0)
@@ -208,7 +208,7 @@
         caller.answers = 0
         crowd.loop.after(0.0, caller.machine, far.ask, lambda: None)
         crowd.loop.run_until(crowd.loop.now + 0.1)
-        crowd.metered.slow_to, crowd.metered.slow_by = peer.ip, 0.6  # seconds for each piece
+        crowd.metered.slow_to, crowd.metered.slow_by = peer.ip, 0.6  # seconds per piece
         crowd.loop.after(0.0, caller.machine, self.upload, peer)
         crowd.loop.run_until(crowd.loop.now + 9.0)
         self.assertEqual((caller.answers, caller.losses), (1, []))
--- a/tests/mesh/test_storage.py
+++ b/tests/mesh/test_storage.py
@@ -1,4 +1,4 @@
-"""The file of a control node: what comes back after a start, and what is told apart."""
+"""The data folder of a control node: what is loaded after a restart, and which conditions are detected."""
 
 from __future__ import annotations
 
@@ -54,46 +54,46 @@
         self.addCleanup(store.close)
         return store
 
-    def begun(self, map_bytes: int = MAP) -> Store:
+    def initialized(self, map_bytes: int = MAP) -> Store:
         store = self.open(map_bytes)
         store.initialize("0")
         return store
 
-    def again(self, store: Store) -> Store:
+    def reopened(self, store: Store) -> Store:
         store.close()
         return self.open(store.map_bytes)
 
 
-class Keeps(Folder):
+class Loaded(Folder):
     def test_empty(self) -> None:
         store = self.open()
         self.assertEqual((store.condition, store.load(), store.incarnation), (Condition.EMPTY, None, ""))
         store.initialize("7f")
-        store = self.again(store)
+        store = self.reopened(store)
         self.assertEqual((store.condition, store.load(), store.incarnation), (Condition.INTACT, None, "7f"))
 
     def test_entries_term_and_vote(self) -> None:
-        store = self.begun()
+        store = self.initialized()
         store.write(persist(1, entry(1), entry(2)))
         store.write(persist(2, entry(3)))
-        saved = self.again(store).load()
+        saved = self.reopened(store).load()
         self.assertEqual(saved, PersistedState(3, VOTERS[0], EMPTY_SNAPSHOT, (entry(1), entry(2), entry(3))))
 
     def test_truncated(self) -> None:
-        store = self.begun()
+        store = self.initialized()
         store.write(persist(1, *map(entry, range(1, 9))))
         store.write(persist(2, entry(4, 7), truncate_from=4))
         store.write(persist(3, truncate_from=4))
-        saved = self.again(store).load()
+        saved = self.reopened(store).load()
         assert saved is not None
         self.assertEqual(saved.entries, tuple(map(entry, range(1, 4))))
 
     def test_snapshot_replaces_entries(self) -> None:
-        store = self.begun()
+        store = self.initialized()
         store.write(persist(1, *map(entry, range(1, 9))))
         for size in (70_000, 100_000, 3, 0, 40_000):
             store.write(persist(2, snapshot=Snapshot(5, 1, VOTERS, b"z" * size)))
-            store = self.again(store)
+            store = self.reopened(store)
             saved = store.load()
             self.assertEqual(
                 saved,
@@ -102,16 +102,16 @@
                 ),
             )
 
-    def test_snapshot_of_a_leader_beyond_all(self) -> None:
-        store = self.begun()
+    def test_snapshot_of_a_leader_beyond_the_log(self) -> None:
+        store = self.initialized()
         store.write(persist(1, *map(entry, range(1, 9))))
         store.write(persist(2, entry(41), truncate_from=41, snapshot=Snapshot(40, 1, VOTERS, b"image")))
-        saved = self.again(store).load()
+        saved = self.reopened(store).load()
         assert saved is not None
         self.assertEqual((saved.snapshot.index, saved.entries), (40, (entry(41),)))
 
     def test_file_stays_bounded(self) -> None:
-        store = self.begun()
+        store = self.initialized()
         largest = 0
         for n in range(600):
             snapshot = Snapshot(n - 5, 1, VOTERS, b"i" * 60_000) if n % 20 == 19 else None
@@ -122,9 +122,9 @@
         self.assertLess(largest, 1 << 20)
 
 
-class Refuses(Folder):
+class RefusedWrites(Folder):
     def fill(self, store: Store) -> int:
-        """Write until it is full; the last index that was kept."""
+        """Write until the file is full; returns the last index that was stored."""
         last = 0
         with self.assertRaises(StoreUnavailableError) as on_durable:
             while last < 10_000:
@@ -134,18 +134,18 @@
         return last
 
     def test_map_full(self) -> None:
-        store = self.begun(1 << 20)
+        store = self.initialized(1 << 20)
         last = self.fill(store)
         saved = store.load()
         assert saved is not None
         self.assertEqual(len(saved.entries), last)
         store.reopen()
-        saved = self.again(store).load()
+        saved = self.reopened(store).load()
         assert saved is not None
         self.assertEqual((len(saved.entries), saved.term), (last, last + 1))
 
-    def test_refused_write_is_done_again(self) -> None:
-        store = self.begun()
+    def test_refused_write_is_retried(self) -> None:
+        store = self.initialized()
         store.write(persist(1, entry(1)))
         old = resource.getrlimit(resource.RLIMIT_FSIZE)
         size = self.file.stat().st_size
@@ -157,7 +157,7 @@
             resource.setrlimit(resource.RLIMIT_FSIZE, old)
         store.reopen()
         store.write(persist(2, entry(2, 200_000)))
-        saved = self.again(store).load()
+        saved = self.reopened(store).load()
         assert saved is not None
         self.assertEqual(saved.entries, (entry(1), entry(2, 200_000)))
 
@@ -165,7 +165,7 @@
 class Conditions(Folder):
     def filled(self) -> None:
         """A store with two entries, closed; its last commit wrote entry 2."""
-        store = self.begun()
+        store = self.initialized()
         store.write(persist(1, entry(1)))
         store.write(persist(2, entry(2)))
         store.close()
@@ -196,13 +196,13 @@
             )
         self.assertEqual(self.open().condition, Condition.NEWER)
 
-    def test_nothing_but_zeros(self) -> None:
-        """The first commit's writes were lost with the power, its file's length was not."""
+    def test_file_of_zeros(self) -> None:
+        """A power loss lost the writes of the first commit, but not the file's length."""
         self.file.write_bytes(bytes(32768))
         self.assertEqual(self.open().condition, Condition.EMPTY)
 
     def test_torn_meta_keeps_what_was_acknowledged(self) -> None:
-        """The newest meta page has its new number and the rest of what stood there before."""
+        """The newest meta page has its new transaction id, but otherwise old content."""
         self.filled()
         before = self.file.read_bytes()
         store = self.open()
@@ -223,7 +223,7 @@
             store.write(persist(3, entry(3)))
             store.close()
 
-    def test_torn_meta_of_nonsense(self) -> None:
+    def test_torn_meta_with_an_invalid_root(self) -> None:
         self.filled()
         newest = lmdb_meta.read_meta_pages(str(self.file))[0]
         self.patch(newest.offset + lmdb_meta.PAGE_HEADER_BYTES + 24 + 40, (1 << 40).to_bytes(8, "little"))
@@ -232,7 +232,7 @@
         self.assertEqual(saved.entries, (entry(1),))
 
     def test_damaged_record_is_a_lost_disk(self) -> None:
-        """The commit was whole, so it may have been acknowledged: the one before would forget it."""
+        """The commit was complete and may have been acknowledged, so the previous state is not used."""
         self.filled()
         raw = self.file.read_bytes()
         at = raw.rfind(entry(2).data)
@@ -245,16 +245,16 @@
         self.assertEqual((store.condition, store.incarnation, store.load()), (Condition.INTACT, "9", None))
 
     def test_absent_entry_is_a_lost_disk(self) -> None:
-        store = self.begun()
+        store = self.initialized()
         store.write(persist(1, entry(1), entry(2)))
         with store._environment.begin(write=True) as txn:
             txn.delete(log_key(1))
             store.header.transaction_id = txn.id()
             txn.put(HEADER_KEY, checksummed(HEADER_KEY, store.header.pack()))
-        self.assertEqual(self.again(store).condition, Condition.TORN)
+        self.assertEqual(self.reopened(store).condition, Condition.TORN)
 
     def test_power_lost_at_any_write(self) -> None:
-        """Any mix of the last commit's pages that were not synced: all of before, or all of it."""
+        """Whichever pages of an unsynced commit were written, the previous state is loaded."""
         self.filled()
         before = self.file.read_bytes()
         store = self.open()
@@ -264,7 +264,7 @@
         before = before.ljust(len(after), b"\0")
         pages = [at for at in range(0, len(after), 4096) if before[at : at + 4096] != after[at : at + 4096]]
         data = [at for at in pages if at >= 8192]
-        for mask in range(1 << len(data)):  # before the first sync: no meta page yet
+        for mask in range(1 << len(data)):  # before the first sync, no meta page is written
             snapshot = bytearray(before)
             for n, at in enumerate(data):
                 if mask >> n & 1:
@@ -277,7 +277,7 @@
             self.assertEqual((saved.term, saved.entries), (3, (entry(1), entry(2))))
 
 
-class Writes(Folder):
+class Writer(Folder):
     def writer(
         self, store: Store
     ) -> tuple[StorageWriter, list[int], list[tuple[str, bool]], threading.Event]:
@@ -296,7 +296,7 @@
         return writer, done, failures, event
 
     def test_in_order(self) -> None:
-        writer, done, *_ = self.writer(self.begun())
+        writer, done, *_ = self.writer(self.initialized())
         for n in range(1, 4):
             writer.submit(persist(n, entry(n)))
         self.assertEqual(writer.pending_since, 5.0)
@@ -305,8 +305,8 @@
         writer.join(10)
         self.assertEqual((done, writer.pending_since), ([1, 2, 3], None))
 
-    def test_a_refusal_is_reported_and_the_write_repeated(self) -> None:
-        store = self.begun()
+    def test_a_refused_write_is_reported_and_retried(self) -> None:
+        store = self.initialized()
         refusals = [StoreUnavailableError("no"), StoreUnavailableError("no")]
         write = store.write
 
@@ -332,15 +332,15 @@
         reason: str,
         lost: bool,
     ) -> None:
-        """What the server does once the disk refuses."""
+        """Offer a snapshot after a refused write, as the server does."""
         failures.append((reason, lost))
         writer.emergency_snapshot = snapshot
 
     def test_a_snapshot_frees_a_full_file(self) -> None:
-        """The entry that fills it is refused until a snapshot drops the log in front of it."""
+        """A write to a full file is refused until a snapshot drops the log before it."""
         for size in (100, 60_000):
             shutil.rmtree(self.path)
-            store = self.begun(2 << 20)
+            store = self.initialized(2 << 20)
             last = 0
             with self.assertRaises(StoreUnavailableError):
                 while last < 1_000:
@@ -355,7 +355,7 @@
             self.assertTrue(on_durable.wait(10), failures)
             writer.stop()
             writer.join(10)
-            saved = self.again(store).load()
+            saved = self.reopened(store).load()
             assert saved is not None
             self.assertEqual(
                 (saved.term, saved.snapshot.index, saved.snapshot.voters, saved.entries),
@@ -363,8 +363,8 @@
             )
             self.assertEqual({lost for _, lost in failures}, {False})
 
-    def test_no_snapshot_beyond_what_the_disk_holds_is_put_in_front(self) -> None:
-        store = self.begun()
+    def test_an_emergency_snapshot_beyond_the_disks_log_is_not_written(self) -> None:
+        store = self.initialized()
         store.write(persist(1, entry(1), entry(2)))
         writer, *_ = self.writer(store)
         for index in (0, 3):
@@ -373,14 +373,14 @@
             self.assertEqual((store.header.snapshot_index, writer.emergency_snapshot), (0, None))
         writer.emergency_snapshot = Snapshot(2, 1, VOTERS, b"s")
         self.assertTrue(writer._make_space())
-        saved = self.again(store).load()
+        saved = self.reopened(store).load()
         assert saved is not None
         self.assertEqual(
             (saved.term, saved.voted_for, saved.snapshot.index, saved.entries), (2, VOTERS[0], 2, ())
         )
 
     def test_corruption_is_reported_once(self) -> None:
-        store = self.begun()
+        store = self.initialized()
 
         def broken(what: Persist) -> None:
             raise StoreCorruptedError("gone")
