--- a/minthitch/mesh/configuration/call_parser.py
+++ b/minthitch/mesh/configuration/call_parser.py
@@ -86,24 +86,26 @@
         yield _parse_item(section, text, section, deletes=deletes, is_list=False, index=index)
         return
     for number, raw in enumerate(LIST_DECODER.decode(text)):
-        shown = f"{section} item {number}"
-        yield _parse_item(section, bytes(raw), shown, deletes=deletes, is_list=True, index=index)
+        item_label = f"{section} item {number}"
+        yield _parse_item(section, bytes(raw), item_label, deletes=deletes, is_list=True, index=index)
 
 
-def _parse_item(section: str, text: bytes, shown: str, *, deletes: bool, is_list: bool, index: int) -> Row:
+def _parse_item(
+    section: str, text: bytes, item_label: str, *, deletes: bool, is_list: bool, index: int
+) -> Row:
     try:
         item = decoder_of(section, deletes=deletes, is_list=is_list).decode(text)
     except DecodeError as error:
-        raise InvalidCallError(f"{label(section, _name_in(text), shown)}: {error}") from None
+        raise InvalidCallError(f"{label(section, _name_in(text), item_label)}: {error}") from None
     name = _name_of(item)
     if is_list and not name:
-        raise InvalidCallError(f"{shown}: Name: is empty")
-    shown = label(section, name)
+        raise InvalidCallError(f"{item_label}: Name: is empty")
+    item_label = label(section, name)
     if len(item.ver) != VERSION_DIGITS or not _HEX_DIGITS.issuperset(item.ver):
-        raise InvalidCallError(f"{shown}: Ver: not eight hexadecimal digits")
+        raise InvalidCallError(f"{item_label}: Ver: not eight hexadecimal digits")
     problem = problem_of(item)
     if problem:
-        raise InvalidCallError(f"{shown}: {problem}")
+        raise InvalidCallError(f"{item_label}: {problem}")
     return Row(section, name, int(item.ver, 16), index, None if deletes else text)
 
 
--- a/minthitch/mesh/configuration/calls.py
+++ b/minthitch/mesh/configuration/calls.py
@@ -25,12 +25,11 @@
     Call("leave", b"POST", b"/Instances.Deregister/{}", "leave"),
     Call("patch", b"POST", b"/Config.Patch", "patch"),
     Call("fetch", b"GET", b"/Config.Fetch", "fetch"),
-    Call("status", b"GET", b"/Mesh.Status", "status"),  # this project's: process state for operators
-    Call("trace", b"POST", b"/Mesh.Trace/{}", "trace"),  # this project's, sidecars only: seconds to trace
-    Call(
-        "explain", b"GET", b"/Mesh.Explain/{}", "explain"
-    ),  # this project's, sidecars only: a request by its X-Request-Id
-    Call("whole", b"GET", b"/Mesh.Config", "whole"),  # this project's, control nodes: items, log index
+    # The calls below are specific to this project.
+    Call("status", b"GET", b"/Mesh.Status", "status"),  # the state of this process, for operators
+    Call("trace", b"POST", b"/Mesh.Trace/{}", "trace"),  # sidecars only: trace for {} seconds
+    Call("explain", b"GET", b"/Mesh.Explain/{}", "explain"),  # sidecars only: by X-Request-Id
+    Call("whole", b"GET", b"/Mesh.Config", "whole"),  # control nodes only: all items and their log index
 )
 
 
--- a/minthitch/mesh/configuration/errors.py
+++ b/minthitch/mesh/configuration/errors.py
@@ -11,7 +11,7 @@
     """The ways in which the mesh itself, instead of a server, ends a call."""
 
     # The request itself is at fault.
-    BAD_REQUEST = "bad request"  # malformed head or body; clients must not retry
+    BAD_REQUEST = "bad request"  # malformed head or body; clients do not retry it
     HEADER_TOO_LARGE = "header too large"  # over Limits.HdrBytes
     BODY_TOO_LARGE = "body too large"  # over Limits.BodyBytes
     HEADER_SLOW = "header slow"  # head incomplete after Limits.HdrS
--- a/minthitch/mesh/configuration/items.py
+++ b/minthitch/mesh/configuration/items.py
@@ -107,9 +107,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self._route_facts: dict[
-            str, RouteFacts
-        ] = {}  # by route name, so that a check decodes only the items of the call
+        self._route_facts: dict[str, RouteFacts] = {}  # by name; a check decodes only the call's items
 
     def apply(self, body: bytes, index: int) -> Verdict:
         """Apply the call at log index `index`, completely or not at all."""
--- a/minthitch/mesh/control/handlers.py
+++ b/minthitch/mesh/control/handlers.py
@@ -126,9 +126,7 @@
         self, client: ClientConnection, token: int, result: tuple[Any, ...] | None
     ) -> None:
         """Answer with a call that would restore this configuration, and its log index."""
-        if result is None or len(result) < len(
-            FetchResult._fields
-        ):  # a leader of an older version sends no index
+        if result is None or len(result) < len(FetchResult._fields):  # an older leader sends no index
             self._respond_error(client, token, ErrorKind.NO_LEADER, UNCLEAR)
         else:
             fetched = FetchResult(*result)
--- a/minthitch/mesh/control/server.py
+++ b/minthitch/mesh/control/server.py
@@ -161,7 +161,7 @@
         self.updates.schedule()
 
     def on_leader_changed(self) -> None:
-        """Connect to the present voters, and end proposals forwarded to the previous leader."""
+        """Connect to the current voters, and end proposals forwarded to the previous leader."""
         self.peer_links.connect_to(self._voter_addresses())
         self.proposals.on_leader_change()
 
--- a/minthitch/mesh/control/state_machine.py
+++ b/minthitch/mesh/control/state_machine.py
@@ -14,12 +14,7 @@
 from minthitch.mesh.idempotency.claims import Claim, ClaimCommand, ClaimTable
 
 CONFIG, CLAIM, ROTATE, TIME = 1, 2, 3, 4  # command kinds, stored in the log
-GRANTED, ALREADY_CLAIMED, FULL, NO_LEADER = (
-    "granted",
-    "held",
-    "full",
-    "no leader",
-)  # verdicts, sent to sidecars
+GRANTED, ALREADY_CLAIMED, FULL, NO_LEADER = "granted", "held", "full", "no leader"  # verdicts, as sent
 OK, REJECTED, CONFLICT = 200, 400, 409
 STEP_ROWS = 500  # claims encoded in one step, which takes a quarter of a millisecond
 
@@ -94,7 +89,7 @@
         return ClaimResult(GRANTED if valid.claim_id == command.claim_id else ALREADY_CLAIMED, *valid)
 
     def longest_route_timeout(self) -> float:
-        """The longest timeout of the present routes: a request's claim may arrive this late."""
+        """The longest timeout of the current routes: a request's claim may arrive this late."""
         return max(
             (ROUTE_DECODER.decode(body).tmo_s for _, body in self.items.live_items(ROUTES)), default=0.0
         )
--- a/minthitch/mesh/storage/lmdb_meta.py
+++ b/minthitch/mesh/storage/lmdb_meta.py
@@ -113,7 +113,7 @@
 
 
 def invalidate(file: str, page: MetaPage) -> None:
-    """Make LMDB use the other, previous meta page, by setting this one's transaction id to 0."""
+    """Make LMDB use the previous meta page, whose pages are all complete, by setting this one's id to 0."""
     with open(file, "r+b") as opened:
         opened.seek(page.offset + PAGE_HEADER_BYTES + _META.size - 8)
         opened.write(bytes(8))
--- a/minthitch/mesh/storage/store.py
+++ b/minthitch/mesh/storage/store.py
@@ -40,7 +40,7 @@
 )
 
 FILE_NAME = "data.mdb"
-# An emergency snapshot may exceed the file's limit by this fraction, once the log has filled the file.
+# Once the log has filled the file, an emergency snapshot may exceed its limit by 1/RESERVE_DIVISOR.
 RESERVE_DIVISOR = 4
 REUSE_COMMITS = 2  # LMDB reuses the pages that a commit freed only after this many further commits
 FIRST_PAGES_BYTES = 4 * 4096
