--- a/minthitch/mesh/control/peer_links.py
+++ b/minthitch/mesh/control/peer_links.py
@@ -12,7 +12,7 @@
 from minthitch.mesh.raft.node import RaftNode
 from minthitch.mesh.raft.placement import Location
 from minthitch.mesh.transport import ops
-from minthitch.mesh.transport.connection import Host as MessageReceiver
+from minthitch.mesh.transport.connection import MessageReceiver
 from minthitch.mesh.transport.link import Link
 
 
@@ -68,7 +68,7 @@
             self._host.raft.locations[address] = Location(*location)
         self.connect_to((address,))
         if address in self.links:
-            self.links[address].nudge()
+            self.links[address].reconnect_now()
 
     def request_to_join(self) -> None:
         """As learner, ask every other control node to be added to the group."""
--- a/minthitch/mesh/control/program.py
+++ b/minthitch/mesh/control/program.py
@@ -10,7 +10,7 @@
 from minthitch.mesh.control.server import ControlServer
 from minthitch.mesh.events.events import Event, log_event
 from minthitch.mesh.http.listener import Listener
-from minthitch.mesh.http.runtime import run, seeds
+from minthitch.mesh.http.runtime import load_seeds, run
 from minthitch.mesh.storage.errors import StoreError
 from minthitch.mesh.transport.connection import Connection
 
@@ -61,7 +61,7 @@
 def _handle_signals(loop: asyncio.AbstractEventLoop, server: ControlServer) -> None:
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, server.finished.set)
-    loop.add_signal_handler(signal.SIGHUP, lambda: server.peer_links.connect_to(seeds()))
+    loop.add_signal_handler(signal.SIGHUP, lambda: server.peer_links.connect_to(load_seeds()))
 
 
 async def _shut_down(
--- a/minthitch/mesh/control/server.py
+++ b/minthitch/mesh/control/server.py
@@ -197,7 +197,7 @@
         def on_result(result: tuple[Any, ...] | None) -> None:
             if connection.up:
                 answer = result or ClaimResult(NO_LEADER)
-                connection.send((ops.CLAIMED, message.request_id, *answer), 0)
+                connection.send((ops.CLAIM_RESULT, message.request_id, *answer), 0)
 
         self.propose(CLAIM, message.command.pack(), on_result)
 
--- a/minthitch/mesh/control/sidecar_updates.py
+++ b/minthitch/mesh/control/sidecar_updates.py
@@ -13,7 +13,7 @@
 from minthitch.mesh.raft.node import RaftNode
 from minthitch.mesh.registry.registry import Registry
 from minthitch.mesh.transport import ops
-from minthitch.mesh.transport.compression import squeezed
+from minthitch.mesh.transport.compression import compress
 from minthitch.mesh.transport.connection import Connection
 from minthitch.mesh.transport.control_messages import SidecarReport
 
@@ -74,7 +74,7 @@
     def refresh_liveness(self) -> None:
         """A live connection shows that its sidecar is alive; sidecars without contact are dropped."""
         for connection, subscriber in self.subscribers.items():
-            self._registry.refresh(subscriber.ip, subscriber.epoch, connection.came)
+            self._registry.refresh(subscriber.ip, subscriber.epoch, connection.last_received)
         if self._registry.expire(self._host.loop.time()):
             self.schedule()
 
@@ -115,7 +115,7 @@
             packed = packed_messages.get((subscriber.registry_version, after))
             if packed is None:
                 if after not in deltas:
-                    deltas[after] = squeezed(items.since(after))
+                    deltas[after] = compress(items.since(after))
                 packed = self._pack(head, deltas[after], subscriber.registry_version)
                 packed_messages[subscriber.registry_version, after] = packed
             subscriber.registry_version = self._registry.version
@@ -126,7 +126,7 @@
     def _head(self, up_to_date: bool) -> ops.Message:
         raft = self._host.raft
         control_nodes = tuple(address_of(member) for member in raft.voters)
-        return (ops.STATE, up_to_date, raft.term, address_of(raft.leader or ""), control_nodes)
+        return (ops.CONTROL_STATE, up_to_date, raft.term, address_of(raft.leader or ""), control_nodes)
 
     def _pack(self, head: ops.Message, configuration: bytes | None, registry_version: int) -> bytes:
         delta = self._registry.since(registry_version)
--- a/minthitch/mesh/http/listener.py
+++ b/minthitch/mesh/http/listener.py
@@ -33,7 +33,7 @@
     504: "Gateway Timeout",
 }
 BACKLOG = 512  # connections that wait to be accepted: a full queue drops them for seconds
-LEAST_BODIES = 8 * 1024 * 1024  # bytes for long bodies that are always granted
+MIN_BODY_MEMORY = 8 * 1024 * 1024  # bytes for long bodies that are always granted
 Fields = Iterable[tuple[bytes, bytes]]
 
 
@@ -54,26 +54,26 @@
     def __init__(self, table: Callers, handler: RequestHandler) -> None:
         super().__init__(table)
         self.handler = handler
-        self.head_size = 0
+        self.header_bytes = 0
         self.token = 0  # counts what it asked: an answer to an earlier request must not meet a later one
 
     def on_message_begin(self) -> None:
         super().on_message_begin()
-        self.head_size = 0
+        self.header_bytes = 0
 
     def on_url(self, part: bytes) -> None:
         super().on_url(part)
-        self._count(len(part))
+        self._count_header_bytes(len(part))
 
-    def _count(self, size: int) -> None:
-        self.head_size += size
-        if self.head_size > self.handler.max_header_bytes():
+    def _count_header_bytes(self, size: int) -> None:
+        self.header_bytes += size
+        if self.header_bytes > self.handler.max_header_bytes():
             raise Rejected(431, "head too long")
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if self.headed:  # a trailer
             return
-        self._count(len(name) + len(value) + 4)
+        self._count_header_bytes(len(name) + len(value) + 4)
         lower = name.lower()
         # Danger: two Host fields let one end route by one and the other by the other (RFC 9112, 3.2).
         if lower == b"host" and lower in self.coming.fields:
@@ -134,7 +134,7 @@
         self._replied(close)
 
 
-class _Host:
+class _HandlerAdapter:
     """What the node's connections ask, answered for the mesh."""
 
     def __init__(self, handler: RequestHandler) -> None:
@@ -175,23 +175,23 @@
 
     def __init__(self, handler: RequestHandler, most: int, memory: int) -> None:
         self.handler = handler
-        room: Room[Caller] = Room(max(memory, LEAST_BODIES), max(2 * memory, LEAST_BODIES))
-        self.callers = Callers(_Host(handler), most, most + 24, room)
-        self.listener: asyncio.Server | None = None
+        room: Room[Caller] = Room(max(memory, MIN_BODY_MEMORY), max(2 * memory, MIN_BODY_MEMORY))
+        self.callers = Callers(_HandlerAdapter(handler), most, most + 24, room)
+        self.server: asyncio.Server | None = None
 
     async def open(self, address: str) -> None:
         """Raises OSError."""
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
-        self.listener = await loop.create_server(
+        self.server = await loop.create_server(
             lambda: ClientConnection(self.callers, self.handler), host, int(port), backlog=BACKLOG
         )
-        self.listener.sockets[0].setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self.server.sockets[0].setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
 
-    def taken(self) -> int:
+    def pending_requests(self) -> int:
         return self.callers.taken()
 
-    def unsent(self) -> int:
+    def unsent_bytes(self) -> int:
         """Bytes of answers that are written and not handed to the system yet: closing would lose them."""
         return sum(
             caller.transport.get_write_buffer_size()
@@ -200,6 +200,6 @@
         )
 
     def close(self) -> None:
-        if self.listener is not None:
-            self.listener.close()
+        if self.server is not None:
+            self.server.close()
         self.callers.close()
--- a/minthitch/mesh/http/runtime.py
+++ b/minthitch/mesh/http/runtime.py
@@ -12,7 +12,7 @@
 from minthitch.mesh.events.events import Event, log_event, open_log
 
 
-def seeds() -> tuple[str, ...]:
+def load_seeds() -> tuple[str, ...]:
     """The seeds' IP numbers as the settings file has them now; none where it can't be used."""
     try:
         return tuple(seed.rpartition(":")[0] for seed in load_settings().net.seeds)
--- a/minthitch/mesh/http/upstream.py
+++ b/minthitch/mesh/http/upstream.py
@@ -16,11 +16,13 @@
 from minthitch.engine.fleet import Server
 from minthitch.net.servers import COPIED, IDLE_PART, Connection, Pool
 
-IDLE = 8 * api.SECOND  # servers say Keep-Alive; half of this is used, well below what they state
-CONNECT = api.SECOND // 2  # for one on the same machine: less than callers wait, so a silent server is known
-LEAST_IDLE = 0.25  # seconds for which a connection is kept at least
+IDLE_CLOSE = 8 * api.SECOND  # servers say Keep-Alive; half of this is used, well below what they state
+CONNECT_TIMEOUT = (
+    api.SECOND // 2
+)  # for one on the same machine: less than callers wait, so a silent server is known
+MIN_IDLE_S = 0.25  # seconds for which a connection is kept at least
 REQUEST_ID = b"x-request-id"
-MOST_STRAYS = 8  # answers to other requests that one connection may bring before it is given up
+MAX_STRAY_RESPONSES = 8  # answers to other requests that one connection may bring before it is given up
 RAN, NOT_RUN, UNKNOWN = "ran", "not run", "unknown"
 
 
@@ -36,9 +38,9 @@
 
 
 class Outcome:
-    """What became of an errand."""
+    """What became of an call."""
 
-    __slots__ = ("kind", "status", "fields", "body", "why", "arrived")
+    __slots__ = ("kind", "status", "fields", "body", "reason", "arrived")
 
     def __init__(
         self,
@@ -46,10 +48,10 @@
         status: int = 0,
         fields: tuple[tuple[bytes, bytes], ...] = (),
         body: bytes = b"",
-        why: str = "",
+        reason: str = "",
         arrived: bool = True,
     ) -> None:
-        self.kind, self.status, self.fields, self.body, self.why = kind, status, fields, body, why
+        self.kind, self.status, self.fields, self.body, self.reason = kind, status, fields, body, reason
         self.arrived = arrived  # whether the server saw it: then it counts as an arrival
 
 
@@ -59,15 +61,15 @@
     __slots__ = (
         "server",
         "message",
-        "identity",
-        "life",
-        "caller",
+        "request_id",
+        "server_id",
+        "caller_service",
         "deadline",
         "once",
         "started",
         "status",
         "carried",
-        "done",
+        "on_done",
         "written",
         "may_stream",
     )
@@ -76,15 +78,15 @@
         self,
         server: Upstream,
         message: Message,
-        identity: bytes,
-        life: bytes,
-        caller: bytes,
+        request_id: bytes,
+        server_id: bytes,
+        caller_service: bytes,
         deadline: int,
         once: bool,
-        done: Callable[[Outcome], None],
+        on_done: Callable[[Outcome], None],
     ) -> None:
-        self.server, self.message, self.identity, self.life = server, message, identity, life
-        self.caller, self.deadline, self.once, self.done = caller, deadline, once, done
+        self.server, self.message, self.request_id, self.server_id = server, message, request_id, server_id
+        self.caller_service, self.deadline, self.once, self.on_done = caller_service, deadline, once, on_done
         self.started = time.monotonic_ns()
         self.status: api.Status | None = None
         self.carried: Connection | None = None
@@ -105,7 +107,7 @@
     def end(self, status: api.Status, answer: Served | None = None) -> None:
         """As the pool tells it, where no answer came."""
         never = status.never_ran and not self.written
-        self.finish(status, Outcome(NOT_RUN if never else UNKNOWN, why=status.value, arrived=not never))
+        self.finish(status, Outcome(NOT_RUN if never else UNKNOWN, reason=status.value, arrived=not never))
 
     def finish(self, status: api.Status, outcome: Outcome) -> None:
         if self.status is not None:
@@ -114,7 +116,7 @@
         carried, self.carried = self.carried, None
         if carried is not None:
             carried.drop()
-        self.done(outcome)
+        self.on_done(outcome)
 
     def cancel(self) -> None:
         """Its asker needs it no more: the connection is closed, which most servers hear."""
@@ -124,7 +126,7 @@
 class ServerConnection(Connection):
     """One connection to the server; it carries one request at a time."""
 
-    strays = 0  # answers that belonged to others
+    stray_responses = 0  # answers that belonged to others
     not_executed = False  # whether the answer that comes says that its request did not run
 
     def _begin(self) -> None:
@@ -141,8 +143,8 @@
         attempt.wrote()
         self.attempt, attempt.carried = attempt, self
         self.written = False
-        errand = cast(UpstreamCall, attempt)
-        head, body = _head(errand), errand.message.body
+        call = cast(UpstreamCall, attempt)
+        head, body = _request_head(call), call.message.body
         if len(body) > COPIED:
             self.transport.write(head)
             self.transport.write(body)
@@ -159,46 +161,46 @@
         if lower == b"x-not-executed":
             self.not_executed = True
         elif lower == b"keep-alive":
-            self._keeps(value)
+            self._apply_keep_alive(value)
 
-    def _is_anothers(self, errand: UpstreamCall) -> bool:
+    def _is_stray(self, call: UpstreamCall) -> bool:
         """A surplus answer to an earlier request came first. Not so where it tells no id at all."""
         told = request_ids(self.fields)
-        return bool(told) and errand.identity not in told and self.strays < MOST_STRAYS
+        return bool(told) and call.request_id not in told and self.stray_responses < MAX_STRAY_RESPONSES
 
-    def _keeps(self, value: bytes) -> None:
+    def _apply_keep_alive(self, value: bytes) -> None:
         """The server says for how long it keeps an idle connection: none is used that is older than half."""
         _, _, seconds = value.lower().partition(b"timeout=")
         digits = seconds.split(b",")[0].strip()
         if digits.isdigit() and len(digits) < 6:
-            self.pool.idle_for = max(min(self.pool.idle_for, IDLE_PART * int(digits)), LEAST_IDLE)
+            self.pool.idle_for = max(min(self.pool.idle_for, IDLE_PART * int(digits)), MIN_IDLE_S)
 
     def _answered(self) -> None:
         attempt = self.attempt
         if attempt is None:
             self._passed_on()
             return
-        errand = cast(UpstreamCall, attempt)
-        if self._is_anothers(errand) and self.lasts and not self.surplus:
-            self.strays += 1
+        call = cast(UpstreamCall, attempt)
+        if self._is_stray(call) and self.lasts and not self.surplus:
+            self.stray_responses += 1
             self._reset()  # the one that is due is still to come
             return
-        outcome = judge(errand, self.status, self.not_executed, tuple(self.fields), self.body)
+        outcome = classify_response(call, self.status, self.not_executed, tuple(self.fields), self.body)
         keep = self.lasts and self.written and not self.surplus and outcome.kind is not UNKNOWN
         self._reset()
         if keep:
             self.attempt, attempt.carried = None, None
             self.pool.keep(self)
-        errand.finish(api.Status.OK, outcome)
+        call.finish(api.Status.OK, outcome)
 
 
-def _head(errand: UpstreamCall) -> bytes:
-    message = errand.message
+def _request_head(call: UpstreamCall) -> bytes:
+    message = call.message
     head = [b"%s %s HTTP/1.1\r\n" % (message.method, message.target)]
     head += [b"%s: %s\r\n" % field for field in message.fields]
     head.append(
         b"X-Deadline-Ms: %d\r\nX-Caller-Service: %s\r\nX-Target-Instance: %s\r\n"
-        % (errand.left // 1_000_000, errand.caller, errand.life)
+        % (call.left // 1_000_000, call.caller_service, call.server_id)
     )
     if message.body or message.method not in (b"GET", b"HEAD"):
         head.append(b"Content-Length: %d\r\n" % len(message.body))
@@ -210,10 +212,10 @@
     return {value for name, value in fields if name.lower() == REQUEST_ID}
 
 
-def judge(
-    errand: UpstreamCall,
+def classify_response(
+    call: UpstreamCall,
     status: int,
-    said_not_run: bool,
+    not_executed: bool,
     fields: tuple[tuple[bytes, bytes], ...],
     body: bytes,
 ) -> Outcome:
@@ -223,16 +225,16 @@
     to an earlier request may come in the place of the one that is due, and may say that it did not run.
     """
     table = {name.lower(): value for name, value in fields}
-    if request_ids(fields) != {errand.identity}:
-        return Outcome(UNKNOWN, status, why="an answer to another request")
+    if request_ids(fields) != {call.request_id}:
+        return Outcome(UNKNOWN, status, reason="an answer to another request")
     if status < 200:  # a change of protocol that nobody asked for
-        return Outcome(UNKNOWN, status, why="no final answer")
-    if status == 421 or (said_not_run and status in (400, 429, 503)):
-        return Outcome(NOT_RUN, status, why="turned away")
+        return Outcome(UNKNOWN, status, reason="no final answer")
+    if status == 421 or (not_executed and status in (400, 429, 503)):
+        return Outcome(NOT_RUN, status, reason="turned away")
     if 200 <= status < 300 and b"x-server-seal" not in table:
-        return Outcome(UNKNOWN, status, why="a success without its seal")
+        return Outcome(UNKNOWN, status, reason="a success without its seal")
     if b"content-encoding" in table:  # danger: these are not the server's own bytes
-        return Outcome(UNKNOWN, status, why="an encoded body")
+        return Outcome(UNKNOWN, status, reason="an encoded body")
     return Outcome(RAN, status, fields, body)
 
 
@@ -241,10 +243,10 @@
 
     def __init__(self, most: int) -> None:
         spec = api.RequestClass("any", aim=api.SECOND, deadline=api.SECOND)
-        super().__init__(api.Settings((spec,), connect_timeout=CONNECT, idle_close=IDLE), most)
+        super().__init__(api.Settings((spec,), connect_timeout=CONNECT_TIMEOUT, idle_close=IDLE_CLOSE), most)
 
-    def run(self, errand: UpstreamCall) -> None:
-        self.start(cast(Attempt, errand))
+    def run(self, call: UpstreamCall) -> None:
+        self.start(cast(Attempt, call))
 
     async def _open(self, server: Server) -> Connection:
         self.opening += 1
--- a/minthitch/mesh/limits/budget.py
+++ b/minthitch/mesh/limits/budget.py
@@ -119,7 +119,7 @@
     def _span_of(self, now: float) -> int:
         return int(now / self.span)
 
-    def request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """A request for the service was accepted."""
         self.requests_sent.add(self._span_of(now))
 
--- a/minthitch/mesh/limits/bulk.py
+++ b/minthitch/mesh/limits/bulk.py
@@ -11,22 +11,22 @@
 
 from collections.abc import Hashable
 
-OFFERED_FROM = (
+MIN_OFFERED_BYTES = (
     16 * 1024
 )  # bytes of a body from which on it is offered first: asking costs more than a smaller one
 WINDOW = 96 * 1024  # bytes granted and not received, unless a single body is larger
 MAX_WAITING = 256  # offers that wait for a grant
-FADE = 0.9  # weight that the earlier measurements of the link keep with each body that arrives
+DECAY = 0.9  # weight that the earlier measurements of the link keep with each body that arrives
 
 
 class Offer:
     """A body that a sender would like to send."""
 
-    __slots__ = ("key", "size", "rank", "due", "deadline")
+    __slots__ = ("key", "size", "priority", "due", "deadline")
 
-    def __init__(self, key: Hashable, size: int, rank: int, due: float, deadline: float) -> None:
+    def __init__(self, key: Hashable, size: int, priority: int, due: float, deadline: float) -> None:
         """`due`: when the body has to have arrived to be on time; `deadline`: of its request."""
-        self.key, self.size, self.rank, self.due, self.deadline = key, size, rank, due, deadline
+        self.key, self.size, self.priority, self.due, self.deadline = key, size, priority, due, deadline
 
 
 class BulkAdmission:
@@ -44,9 +44,9 @@
         """Bytes a second that arrive while bodies are under way; infinite while none has arrived."""
         return self._bytes / self._seconds if self._seconds > 0.0 else float("inf")
 
-    def wait(self, rank: int) -> float:
-        """Seconds until a body offered now with this rank would be granted, about."""
-        return max(self._ahead(rank) - WINDOW, 0) / self.rate
+    def expected_wait(self, priority: int) -> float:
+        """Seconds until a body offered now with this priority would be granted, about."""
+        return max(self._bytes_ahead(priority) - WINDOW, 0) / self.rate
 
     def offer(self, now: float, offer: Offer) -> bool | None:
         """A body is offered.
@@ -57,7 +57,7 @@
         if not self.waiting and self._fits(offer):
             self._grant(now, offer)
             return True
-        here_at = now + (self._ahead(offer.rank) + offer.size) / self.rate
+        here_at = now + (self._bytes_ahead(offer.priority) + offer.size) / self.rate
         if len(self.waiting) >= MAX_WAITING or here_at > offer.due:
             return None
         self.waiting.append(offer)
@@ -69,8 +69,8 @@
         if offer is None:
             return
         self.outstanding -= offer.size
-        self._bytes = self._bytes * FADE + offer.size
-        self._seconds = self._seconds * FADE + max(now - self._since, 1e-6)
+        self._bytes = self._bytes * DECAY + offer.size
+        self._seconds = self._seconds * DECAY + max(now - self._since, 1e-6)
         self._since = now
 
     def withdrawn(self, _now: float, key: Hashable) -> None:
@@ -90,7 +90,7 @@
         self.waiting = [offer for offer in self.waiting if offer.due > now]
         grants: list[Hashable] = []
         while self.waiting:
-            best = min(self.waiting, key=lambda offer: (offer.rank, offer.due))
+            best = min(self.waiting, key=lambda offer: (offer.priority, offer.due))
             if not self._fits(best):
                 break
             self.waiting.remove(best)
@@ -98,9 +98,9 @@
             grants.append(best.key)
         return grants, late
 
-    def _ahead(self, rank: int) -> int:
+    def _bytes_ahead(self, priority: int) -> int:
         """Bytes that come before a body of this priority offered now."""
-        return self.outstanding + sum(offer.size for offer in self.waiting if offer.rank <= rank)
+        return self.outstanding + sum(offer.size for offer in self.waiting if offer.priority <= priority)
 
     def _fits(self, offer: Offer) -> bool:
         return not self.granted or self.outstanding + offer.size <= WINDOW
--- a/minthitch/mesh/sidecar/admission.py
+++ b/minthitch/mesh/sidecar/admission.py
@@ -145,7 +145,7 @@
             self._turn_away_queue("stuck")
             self._busy(job, "stuck", False)
             return
-        needs = self.gate.needs(job.route, message[4])
+        needs = self.gate.expected_duration(job.route, message[4])
         due = min(now + message[4], self.latest)
         verdict = self.gate.arrive(now, QueuedRequest(job, message[5], due, job.deadline, needs))
         if verdict is None:
@@ -182,7 +182,12 @@
         if not job.over:
             self._tell(job, outcome)
         self._forget(job)
-        if outcome.why == UNREACHED and not outcome.arrived and self.state == "up" and job.life == self.life:
+        if (
+            outcome.reason == UNREACHED
+            and not outcome.arrived
+            and self.state == "up"
+            and job.life == self.life
+        ):
             self._be("none")  # no connection to it comes up: its next beat tells otherwise
         self._next()
 
@@ -191,13 +196,15 @@
         if outcome.kind is RAN:
             job.reply((ops.ANSWER, job.ident, outcome.status, outcome.fields, outcome.body, running, queued))
         elif outcome.kind is NOT_RUN:
-            self._busy(job, outcome.why, outcome.arrived)
+            self._busy(job, outcome.reason, outcome.arrived)
         else:
-            job.reply((ops.LOST, job.ident, outcome.why, running, queued))
+            job.reply((ops.OUTCOME_UNKNOWN, job.ident, outcome.reason, running, queued))
 
     def _busy(self, job: Job, why: str, arrived: bool) -> None:
         gate = self.gate
-        job.reply((ops.BUSY, job.ident, why, arrived, gate.running, gate.queued, gate.wait(LOWEST)))
+        job.reply(
+            (ops.REJECTED, job.ident, why, arrived, gate.running, gate.queued, gate.expected_wait(LOWEST))
+        )
 
     def _next(self) -> None:
         starts, late = self.gate.next(self.loop.time()) if self.state == "up" else ([], [])
--- a/minthitch/mesh/sidecar/asks.py
+++ b/minthitch/mesh/sidecar/asks.py
@@ -50,7 +50,7 @@
         ident, peer = front.copies.number(), front.copies.peer(ip)
         timer = self.loop.call_at(deadline, self._late, ident)
         self.open[ident] = _Ask(done, peer, timer)
-        peer.send((ops.ASK, ident, claim), 0, lambda parcel: None)
+        peer.send((ops.CLAIM_QUERY, ident, claim), 0, lambda parcel: None)
 
     def _told_own(self, message: ops.Message, done: Told) -> None:
         self.loop.call_soon(done, message)
@@ -100,7 +100,7 @@
 
     def heard(self, connection: Connection, message: ops.Message) -> None:
         op, controls = message[0], self.front.controls
-        if op == ops.ASK:
+        if op == ops.CLAIM_QUERY:
             self.front.keys.asked(message[1], message[2], lambda answer: say_on(connection, answer))
         elif op == ops.CLAIM:
             self._relay_for(connection, message)
@@ -110,13 +110,13 @@
 
     def _relay_for(self, connection: Connection, message: ops.Message) -> None:
         if not self.front.controls.reachable():
-            say_on(connection, (ops.CLAIMED, message[1], NO_LEADER, "", b"", b""))
+            say_on(connection, (ops.CLAIM_RESULT, message[1], NO_LEADER, "", b"", b""))
             return
         ident = message[1]
         self.front.controls.claim(
             message[2:],
             self.loop.time() + RELAY_FOR,
-            lambda *told: say_on(connection, (ops.CLAIMED, ident, *told)),
+            lambda *told: say_on(connection, (ops.CLAIM_RESULT, ident, *told)),
         )
 
 
--- a/minthitch/mesh/sidecar/copies.py
+++ b/minthitch/mesh/sidecar/copies.py
@@ -16,7 +16,7 @@
     from minthitch.mesh.sidecar.front import Front
 
 
-OUTCOMES = frozenset((ops.ANSWER, ops.BUSY, ops.LOST))  # what ends a call
+OUTCOMES = frozenset((ops.ANSWER, ops.REJECTED, ops.OUTCOME_UNKNOWN))  # what ends a call
 
 
 class Copies:
@@ -132,9 +132,9 @@
     def answer(self, message: ops.Message) -> None:
         """Of whichever sidecar, or the own gate."""
         op = message[0]
-        if op == ops.TOLD:
+        if op == ops.CLAIM_STATE:
             self.front.asks.told(message)
-        elif op == ops.CLAIMED:
+        elif op == ops.CLAIM_RESULT:
             self.front.controls.claimed(message)
         elif op == ops.PEER_STATE:
             self.front.controls.fed(message)
@@ -153,7 +153,7 @@
             choice.told(now, target, running, queued)
             choice.ended(now, target, route.name, route.goal, took, ok=status < 500, lost=status >= 500)
             trip.served(attempt, status, fields, body)
-        elif message[0] == ops.BUSY:
+        elif message[0] == ops.REJECTED:
             _, _, why, arrived, running, queued, wait = message
             choice.told(now, target, running, queued)
             target.out = max(target.out - 1, 0)
@@ -206,7 +206,7 @@
 class _Whole:
     """What stands for a parcel where nothing travels."""
 
-    whole, dropped = True, False
+    fully_sent, dropped = True, False
 
 
 _WHOLE = _Whole()
--- a/minthitch/mesh/sidecar/front.py
+++ b/minthitch/mesh/sidecar/front.py
@@ -16,7 +16,7 @@
 from minthitch.mesh.events.events import Event, log_event
 from minthitch.mesh.http.listener import ClientConnection
 from minthitch.mesh.http.upstream import ServerPool
-from minthitch.mesh.limits.nested import Nested
+from minthitch.mesh.limits.nested import NestedCallDetector
 from minthitch.mesh.sidecar.admission import Admission
 from minthitch.mesh.sidecar.asks import Asks, say_on
 from minthitch.mesh.sidecar.choice import Choice
@@ -60,7 +60,7 @@
         self.trips: set[Trip] = set()
         self.by_visitor: dict[ClientConnection, Trip] = {}
         self.copies, self.asks = Copies(self), Asks(self)
-        self.nested_routes = Nested()
+        self.nested_routes = NestedCallDetector()
         self.counts: dict[str, int] = {}
         shelf = shelf or ServerPool(MOST_SERVER_LINES)
         self.admission = Admission(boot.own.upstream, boot.own.svc, shelf, self.tell)
@@ -164,7 +164,9 @@
         service = route.choose(self.random.random())
         nested = self.nested_routes.record(route.name, self.admission.gate.running)
         # Servers' own calls carry no key.
-        self.retry_budget.taken(service, route.kind != "keyed" and self.nested_routes.may_be(route.name))
+        self.retry_budget.taken(
+            service, route.kind != "keyed" and self.nested_routes.may_be_nested(route.name)
+        )
         trip = self.make_trip(self, client, request, route, service, now, left, nested)
         self.trips.add(trip)
         self.by_visitor[client] = trip
@@ -280,7 +282,9 @@
             "keys": states,
             "open": len(self.trips),
             "nodes": self.nodes,
-            "nested_routes": [name for name in self.nested_routes.seen if self.nested_routes.is_nested(name)],
+            "nested_routes": [
+                name for name in self.nested_routes.request_counts if self.nested_routes.is_nested(name)
+            ],
         }
 
     def close(self) -> None:
--- a/minthitch/mesh/sidecar/keys.py
+++ b/minthitch/mesh/sidecar/keys.py
@@ -117,10 +117,10 @@
         operation = self.operations.by_claim_id.get(claim)
 
         def tell(op: Operation) -> None:
-            reply((ops.TOLD, ident, op.state, op.status, op.fields, op.body))
+            reply((ops.CLAIM_STATE, ident, op.state, op.status, op.fields, op.body))
 
         if operation is None:  # danger: a claim of a life before this one may have run
-            reply((ops.TOLD, ident, OperationState.UNKNOWN, 0, (), b""))
+            reply((ops.CLAIM_STATE, ident, OperationState.UNKNOWN, 0, (), b""))
         elif operation.state is OperationState.IN_PROGRESS:
             operation.listeners.append(tell)
         else:
--- a/minthitch/mesh/sidecar/links.py
+++ b/minthitch/mesh/sidecar/links.py
@@ -16,7 +16,7 @@
 from minthitch.mesh.registry.records import SidecarRecord, published_fields
 from minthitch.mesh.registry.registry import RegistryDelta
 from minthitch.mesh.transport import ops
-from minthitch.mesh.transport.compression import opened
+from minthitch.mesh.transport.compression import decompress
 from minthitch.mesh.transport.connection import Connection
 from minthitch.mesh.transport.link import Link
 
@@ -120,11 +120,11 @@
     # What they tell -------------------------------------------------------------------------------
 
     def on_message(self, connection: Connection, message: ops.Message) -> None:
-        if message[0] == ops.STATE:
+        if message[0] == ops.CONTROL_STATE:
             self._state(self.by_line.get(connection, ""), message)
         elif message[0] == ops.LEASE_GRANT:
             self.host.lent(message[1:])
-        elif message[0] == ops.CLAIMED:
+        elif message[0] == ops.CLAIM_RESULT:
             self.claimed(message)
 
     def _state(self, ip: str, message: ops.Message) -> None:
@@ -134,7 +134,7 @@
         config = False
         before = self.replica.index
         if delta is not None:
-            if self.replica.merge(opened(delta)):
+            if self.replica.merge(decompress(delta)):
                 config = self.replica.index > before
             else:  # it believes that we have more than we have
                 self._report_to(ip)
@@ -319,7 +319,11 @@
         """
         connection = self.link.connection if self.link.up else None
         doubt = DOUBT_ONCE if once else DOUBT
-        if connection is not None and self.probe is None and self.loop.time() - connection.came < doubt:
+        if (
+            connection is not None
+            and self.probe is None
+            and self.loop.time() - connection.last_received < doubt
+        ):
             left(connection.send(message, rank))
             return
         self.pending.append(_Unsent(message, rank, left, self.loop.time()))
@@ -341,7 +345,7 @@
 
     def _ask(self, connection: Connection) -> None:
         self.probe, self.asked = self.loop.call_later(PROBE, self._unheard, connection), self.loop.time()
-        connection.ask(self._answers)
+        connection.probe(self._answers)
 
     def _answers(self) -> None:
         took = self.loop.time() - self.asked
@@ -363,7 +367,7 @@
     def _unheard(self, connection: Connection) -> None:
         self.probe = None
         if (
-            not connection.open
+            not connection.outstanding
         ):  # what is open may have run and be answered yet: there the line's own beat decides
             connection.close()  # danger: a new try might wait behind a cut for as long again
 
@@ -390,9 +394,9 @@
         self._wait_no_more()
         self.pending.clear()  # what is lost with the link is told to have never left, and so must not
         self.host.lost(self)
-        if link.timer is not None:  # it is tried again when there is something to send
-            link.timer.cancel()
-            link.timer = None
+        if link.retry_timer is not None:  # it is tried again when there is something to send
+            link.retry_timer.cancel()
+            link.retry_timer = None
 
     def on_message(self, connection: Connection, message: ops.Message) -> None:
         self.host.answered(self, message)
--- a/minthitch/mesh/sidecar/offers.py
+++ b/minthitch/mesh/sidecar/offers.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Hashable
 from typing import Any
 
-from minthitch.mesh.limits.bulk import OFFERED_FROM, BulkAdmission, Offer
+from minthitch.mesh.limits.bulk import MIN_OFFERED_BYTES, BulkAdmission, Offer
 from minthitch.mesh.sidecar.admission import Admission
 from minthitch.mesh.transport import ops
 
@@ -32,8 +32,8 @@
         if admission.state != "up" or life != admission.life:
             self._turn_away(reply, ident, "gone")
             return
-        due = now + aim - admission.gate.needs(route, aim)
-        if now + admission.gate.wait(rank) > due:
+        due = now + aim - admission.gate.expected_duration(route, aim)
+        if now + admission.gate.expected_wait(rank) > due:
             self._turn_away(reply, ident, "full")
             return
         verdict = self.bulk.offer(now, Offer(key, size, rank, due, now + left))
@@ -84,8 +84,8 @@
 
     def _turn_away(self, reply: Reply, ident: int, why: str) -> None:
         gate = self.admission.gate
-        wait = max(gate.wait(0), self.bulk.wait(0))
-        reply((ops.BUSY, ident, why, False, gate.running, gate.queued, wait))
+        wait = max(gate.expected_wait(0), self.bulk.expected_wait(0))
+        reply((ops.REJECTED, ident, why, False, gate.running, gate.queued, wait))
 
 
 class OfferSender:
@@ -96,7 +96,7 @@
 
     def offer(self, now: float, message: ops.Message) -> ops.Message | None:
         """What to send in place of this CALL; None where its body is small and it goes as it is."""
-        if len(message[BODY]) < OFFERED_FROM:
+        if len(message[BODY]) < MIN_OFFERED_BYTES:
             return None
         _, ident, life, left, aim, rank, *_ = message
         self.held[ident] = message, now
--- a/minthitch/mesh/sidecar/program.py
+++ b/minthitch/mesh/sidecar/program.py
@@ -10,7 +10,7 @@
 from minthitch.mesh.configuration.settings import NodeSettings
 from minthitch.mesh.events.events import Event, log_event
 from minthitch.mesh.http.listener import Listener
-from minthitch.mesh.http.runtime import run, seeds
+from minthitch.mesh.http.runtime import load_seeds, run
 from minthitch.mesh.sidecar.front import Front
 from minthitch.mesh.sidecar.handlers import Counter
 from minthitch.mesh.sidecar.shutdown_schedule import ShutdownSchedule
@@ -60,13 +60,15 @@
         return connection
 
     def unsent() -> int:
-        return sum(listener.unsent() for _, listener in doors) + sum(one.unsent() for one in inbound)
+        return sum(listener.unsent_bytes() for _, listener in doors) + sum(
+            one.unsent_bytes() for one in inbound
+        )
 
     lines = await loop.create_server(accepted, boot.own.ip, front.port, backlog=BACKLOG)
     ending = asyncio.Event()
     loop.add_signal_handler(signal.SIGTERM, ending.set)
     loop.add_signal_handler(signal.SIGINT, ending.set)
-    loop.add_signal_handler(signal.SIGHUP, lambda: front.controls.know(seeds()))
+    loop.add_signal_handler(signal.SIGHUP, lambda: front.controls.know(load_seeds()))
     log_event(Event.STARTED, program="sidecar", node=boot.own.node, zone=boot.own.az)
     await ending.wait()
     log_event(Event.SIGTERM, open=front.open())
--- a/minthitch/mesh/sidecar/retry_budget.py
+++ b/minthitch/mesh/sidecar/retry_budget.py
@@ -59,7 +59,7 @@
         if inner and self._of_repeat(service):
             self.of(service).charge(now)  # danger: it counts as a repeat, and so it earns nothing
         elif not self.stale(now):
-            self.of(service).request(now)
+            self.of(service).record_request(now)
 
     # Calls of repeated runs -----------------------------------------------------------------------
 
--- a/minthitch/mesh/sidecar/trip.py
+++ b/minthitch/mesh/sidecar/trip.py
@@ -45,7 +45,7 @@
     @property
     def left(self) -> bool:
         """Whether the other end may have it whole."""
-        return self.parcel is not None and bool(self.parcel.whole)
+        return self.parcel is not None and bool(self.parcel.fully_sent)
 
     def describe(self, now: float) -> str:
         """Where it is, for the log."""
--- a/minthitch/mesh/transport/compression.py
+++ b/minthitch/mesh/transport/compression.py
@@ -4,27 +4,27 @@
 
 import zlib
 
-from minthitch.mesh.transport.framing import LONGEST, Broken
+from minthitch.mesh.transport.framing import MAX_MESSAGE_BYTES, ProtocolError
 
-LONG = 4 * 1024  # bytes below which it does not pay
+MIN_BYTES = 4 * 1024  # bytes below which it does not pay
 LEVEL = 1  # the quickest: higher ones save a few parts in a hundred more
-MARK = 0x78  # zlib's first byte; what is sent as it is begins with a msgpack array's
+ZLIB_FIRST_BYTE = 0x78  # zlib's first byte; what is sent as it is begins with a msgpack array's
 
 
-def squeezed(data: bytes) -> bytes:
-    """`data` must begin with a msgpack array, and so with no `MARK`."""
-    return zlib.compress(data, LEVEL) if len(data) >= LONG else data
+def compress(data: bytes) -> bytes:
+    """`data` must begin with a msgpack array, and so with no `ZLIB_FIRST_BYTE`."""
+    return zlib.compress(data, LEVEL) if len(data) >= MIN_BYTES else data
 
 
-def opened(data: bytes) -> bytes:
-    """What `squeezed` was given. Raises Broken."""
-    if not data or data[0] != MARK:
+def decompress(data: bytes) -> bytes:
+    """What `compress` was given. Raises ProtocolError."""
+    if not data or data[0] != ZLIB_FIRST_BYTE:
         return data
     inside = zlib.decompressobj()
     try:
-        whole = inside.decompress(data, LONGEST)
+        whole = inside.decompress(data, MAX_MESSAGE_BYTES)
     except zlib.error as err:
-        raise Broken(f"bytes that can't be opened: {err}") from None
+        raise ProtocolError(f"bytes that can't be decompressed: {err}") from None
     if not inside.eof:  # danger: a few bytes could fill the memory
-        raise Broken("longer than may be, or cut short")
+        raise ProtocolError("longer than may be, or cut short")
     return whole
--- a/minthitch/mesh/transport/link.py
+++ b/minthitch/mesh/transport/link.py
@@ -6,14 +6,16 @@
 from collections.abc import Callable
 
 from minthitch.mesh.transport import ops
-from minthitch.mesh.transport.connection import Connection, Host
+from minthitch.mesh.transport.connection import Connection, MessageReceiver
 from minthitch.mesh.transport.framing import OutgoingMessage
 
 # Seconds for a connection to come up, in turn. One begun while the other machine was unreachable hangs on its
 # lost first packet and would hide the machine's return; one over a congested network needs the longer time.
-CONNECTS = (0.25, 0.25, 1.0)
-STALE = 0.1  # seconds after which one under way is begun anew once the other end is known to be there
-PAUSES = (0.05, 0.1, 0.2, 0.25)  # seconds between two tries: a restart must be noticed soon
+CONNECT_TIMEOUTS_S = (0.25, 0.25, 1.0)
+STALE_CONNECT_S = (
+    0.1  # seconds after which one under way is begun anew once the other end is known to be there
+)
+RETRY_DELAYS_S = (0.05, 0.1, 0.2, 0.25)  # seconds between two tries: a restart must be noticed soon
 
 
 class Link:
@@ -22,17 +24,17 @@
     A message is given to one connection at most: what a connection leaves unsent ends with it.
     """
 
-    def __init__(self, host: Host, address: tuple[str, int], hello: ops.Message) -> None:
-        self.host, self.address, self.hello = host, address, hello
+    def __init__(self, host: MessageReceiver, address: tuple[str, int], hello: ops.Message) -> None:
+        self.receiver, self.address, self.hello = host, address, hello
         self.loop = asyncio.get_running_loop()
         self.connection: Connection | None = None
-        self.tries = 0
-        self.task: asyncio.Task[None] | None = None
-        self.timer: asyncio.TimerHandle | None = None
+        self.failures = 0
+        self.connect_task: asyncio.Task[None] | None = None
+        self.retry_timer: asyncio.TimerHandle | None = None
         self.on_up: Callable[[Link], None] | None = None
         self.on_down: Callable[[Link], None] | None = None
-        self.ended = False
-        self.begun = 0.0  # when the connection under way was begun
+        self.closed = False
+        self.connect_started = 0.0  # when the connection under way was begun
 
     @property
     def up(self) -> bool:
@@ -40,80 +42,80 @@
 
     def start(self) -> None:
         """Connects, and again whenever the connection falls."""
-        if self.task is None and self.timer is None and not self.up and not self.ended:
-            self.begun = self.loop.time()
-            self.task = self.loop.create_task(self._connect())
+        if self.connect_task is None and self.retry_timer is None and not self.up and not self.closed:
+            self.connect_started = self.loop.time()
+            self.connect_task = self.loop.create_task(self._connect())
 
     async def _connect(self) -> None:
         connection = Connection(self)
         try:
-            async with asyncio.timeout(CONNECTS[self.tries % len(CONNECTS)]):
+            async with asyncio.timeout(CONNECT_TIMEOUTS_S[self.failures % len(CONNECT_TIMEOUTS_S)]):
                 await self.loop.create_connection(lambda: connection, *self.address)
         except (OSError, TimeoutError):
-            self.task = None
+            self.connect_task = None
             connection.close()
-            self._again()
+            self._schedule_retry()
             return
         except asyncio.CancelledError:
             connection.close()  # it may have come up in this very moment, and nobody else holds it
             raise
-        self.task = None
-        if self.ended:
+        self.connect_task = None
+        if self.closed:
             connection.close()
             return
         if not connection.up:  # it fell before anyone held it
-            self._again()
+            self._schedule_retry()
             return
-        self.connection, self.tries = connection, 0
-        connection.quiet = self.hello[1] == ops.PEER
+        self.connection, self.failures = connection, 0
+        connection.between_sidecars = self.hello[1] == ops.PEER
         connection.send(self.hello, 0)
         if self.on_up is not None:
             self.on_up(self)
 
-    def _again(self) -> None:
-        pause = PAUSES[min(self.tries, len(PAUSES) - 1)]
-        self.tries += 1
-        if not self.ended:
-            self.timer = self.loop.call_later(pause, self._retry)
+    def _schedule_retry(self) -> None:
+        pause = RETRY_DELAYS_S[min(self.failures, len(RETRY_DELAYS_S) - 1)]
+        self.failures += 1
+        if not self.closed:
+            self.retry_timer = self.loop.call_later(pause, self._retry)
         if self.on_down is not None:
             self.on_down(self)
 
-    def nudge(self) -> None:
+    def reconnect_now(self) -> None:
         """The other end is there, it has called: no pause any more."""
-        self.tries = 0
-        if self.task is not None and self.loop.time() - self.begun > STALE:
-            self.task.cancel()  # its first packet was lost; the system sends the next a second later
-            self.task = None
+        self.failures = 0
+        if self.connect_task is not None and self.loop.time() - self.connect_started > STALE_CONNECT_S:
+            self.connect_task.cancel()  # its first packet was lost; the system sends the next a second later
+            self.connect_task = None
             self.start()
-        if self.timer is not None:
-            self.timer.cancel()
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
             self._retry()
 
     def _retry(self) -> None:
-        self.timer = None
+        self.retry_timer = None
         self.start()
 
-    def send(self, message: ops.Message, rank: int = 1) -> OutgoingMessage | None:
-        """None where there is no connection: then it was not sent and never will be. Raises Broken."""
+    def send(self, message: ops.Message, priority: int = 1) -> OutgoingMessage | None:
+        """None where there is no connection: then it was not sent and never will be. Raises ProtocolError."""
         if self.connection is None or not self.connection.up:
             self.start()
             return None
-        return self.connection.send(message, rank)
+        return self.connection.send(message, priority)
 
     def on_message(self, connection: Connection, message: ops.Message) -> None:
         """Nothing that an earlier connection brings is handed on: what was open there was told as lost."""
         if connection is self.connection:
-            self.host.on_message(connection, message)
+            self.receiver.on_message(connection, message)
 
     def on_connection_lost(self, connection: Connection) -> None:
         if connection is self.connection:
             self.connection = None
-            self.host.on_connection_lost(connection)
-            self._again()
+            self.receiver.on_connection_lost(connection)
+            self._schedule_retry()
 
     def close(self) -> None:
-        self.ended = True
-        for handle in (self.timer, self.task):
+        self.closed = True
+        for handle in (self.retry_timer, self.connect_task):
             if handle is not None:
                 handle.cancel()
         if self.connection is not None:
--- a/rigs/hollow/meter.py
+++ b/rigs/hollow/meter.py
@@ -7,8 +7,8 @@
 from collections.abc import Iterator
 from typing import Any
 
-from minthitch.mesh.transport.connection import BEAT_WORD, Connection
-from minthitch.mesh.transport.framing import HEAD, PIECE, Inbox
+from minthitch.mesh.transport.connection import HEARTBEAT_FRAME, Connection
+from minthitch.mesh.transport.framing import FRAME_HEADER, MAX_FRAME_PAYLOAD, Inbox
 
 SIDECAR, CONTROL = "sidecar", "control"  # who is at the other end, as a control process sees it
 COUNTED = ("messages_in", "messages_out", "bytes_in", "bytes_out", "beats_in", "beats_out")
@@ -45,7 +45,7 @@
             counts = self.of(connection)
             counts["bytes_in"] += len(data)
             counts["messages_in"] += self.heard - before
-            counts["beats_in"] += data == BEAT_WORD
+            counts["beats_in"] += data == HEARTBEAT_FRAME
 
         Inbox.feed = counted_feed  # type: ignore[method-assign, assignment]
         Connection.data_received = counted_received  # type: ignore[method-assign, assignment]
@@ -56,7 +56,7 @@
         def counted_send(connection: Connection, data: bytes, rank: int = 1) -> Any:
             counts = self.of(connection)
             counts["messages_out"] += 1
-            counts["bytes_out"] += len(data) + HEAD.size * max(-(-len(data) // PIECE), 1)
+            counts["bytes_out"] += len(data) + FRAME_HEADER.size * max(-(-len(data) // MAX_FRAME_PAYLOAD), 1)
             return send(connection, data, rank)
 
         def counted_write(connection: Connection, word: bytes) -> None:
--- a/rigs/simulation/planted_drawn.py
+++ b/rigs/simulation/planted_drawn.py
@@ -140,7 +140,7 @@
     if claim in keys.operations.by_claim_id:
         _ASKED(keys, ident, claim, reply)
     else:
-        reply((ops.TOLD, ident, "free", 0, (), b""))
+        reply((ops.CLAIM_STATE, ident, "free", 0, (), b""))
 
 
 _ASKED = Keys.asked
--- a/rigs/simulation/servers.py
+++ b/rigs/simulation/servers.py
@@ -9,7 +9,7 @@
 from typing import Any, Protocol
 
 from minthitch import interface as api
-from minthitch.mesh.http.upstream import NOT_RUN, Outcome, UpstreamCall, judge
+from minthitch.mesh.http.upstream import NOT_RUN, Outcome, UpstreamCall, classify_response
 from rigs.simulation.loop import Machine, VirtualLoop
 
 SLOTS = 4
@@ -185,22 +185,22 @@
             pool.ended(call, None)
             return
         fields = {name.lower(): value for name, value in call.message.fields}
-        key, name = fields.get(KEY, b"").decode(), call.identity.decode()
+        key, name = fields.get(KEY, b"").decode(), call.request_id.decode()
         who = {
             "id": name,
             "key": key,
             "life": self.life,
-            "meant": call.life.decode(),
+            "meant": call.server_id.decode(),
             "service": self.sidecar.service,
             "target": call.message.target.decode(),
         }
-        if call.life.decode() != self.life:
+        if call.server_id.decode() != self.life:
             self.site.record("arrival", self.sidecar.ip, ran=False, **who)
-            pool.ended(call, Outcome(NOT_RUN, 421, why="turned away"))
+            pool.ended(call, Outcome(NOT_RUN, 421, reason="turned away"))
             return
         if len(self.running) >= 2 * SLOTS:
             self.site.record("arrival", self.sidecar.ip, ran=False, **who)
-            pool.ended(call, Outcome(NOT_RUN, 503, why="turned away"))
+            pool.ended(call, Outcome(NOT_RUN, 503, reason="turned away"))
             return
         if wire.dropped:
             return
@@ -235,7 +235,7 @@
     def _answer(self, pool: SimServerPool, call: UpstreamCall, status: int, body: bytes) -> None:
         if self.running.pop(call, None) is None:
             return
-        name = call.identity
+        name = call.request_id
         self.site.record("served", self.sidecar.ip, id=name.decode(), status=status, body=body.decode())
         if status == SILENT:
             return
@@ -243,4 +243,4 @@
             pool.ended(call, None)
             return
         fields = ((b"X-Request-Id", name), (b"X-Server-Seal", b"seal"))
-        pool.ended(call, judge(call, status, False, fields, body))
+        pool.ended(call, classify_response(call, status, False, fields, body))
--- a/rigs/simulation/size.py
+++ b/rigs/simulation/size.py
@@ -24,7 +24,7 @@
 from minthitch.mesh.sidecar.links import ControlLinks, Peer
 from minthitch.mesh.transport import ops
 from minthitch.mesh.transport.connection import Connection
-from minthitch.mesh.transport.framing import PIECE
+from minthitch.mesh.transport.framing import MAX_FRAME_PAYLOAD
 from rigs.simulation.history import History
 from rigs.simulation.loop import VirtualLoop, _Due
 from rigs.simulation.mesh import CONTROLS, PORT, ZONES, ControlNode, Node, Site, zone_of
@@ -89,7 +89,7 @@
             out["bytes_out"] += len(item)
             into["words_in"] += word
             into["bytes_in"] += len(item)
-            if end.peer.ip == self.slow_to and len(item) >= PIECE:  # and what follows on it
+            if end.peer.ip == self.slow_to and len(item) >= MAX_FRAME_PAYLOAD:  # and what follows on it
                 end.floor = max(end.floor, self.loop.now) + self.slow_by
         super().send(end, item)
 
--- a/tests/mesh/test_admission.py
+++ b/tests/mesh/test_admission.py
@@ -71,7 +71,7 @@
         self.call(1, "zero")
         self.admission.beat("one", beat("draining", 2))
         self.call(2)
-        self.assertEqual((self.kinds(), self.shelf.errands), ([(ops.BUSY, 1), (ops.BUSY, 2)], []))
+        self.assertEqual((self.kinds(), self.shelf.errands), ([(ops.REJECTED, 1), (ops.REJECTED, 2)], []))
 
     async def test_a_late_beat_of_a_life_that_is_over_opens_nothing(self) -> None:
         self.admission.beat("two", beat("up", 1))
@@ -90,7 +90,7 @@
         self.call(1)
         self.call(2)
         self.admission.beat("one", beat("draining", 2))
-        self.assertEqual(self.kinds(), [(ops.BUSY, 2)])
+        self.assertEqual(self.kinds(), [(ops.REJECTED, 2)])
         self.shelf.errands[0].finish(Status.OK, Outcome(RAN, 200))
         self.assertEqual(self.kinds()[1:], [(ops.ANSWER, 1)])
 
@@ -101,7 +101,7 @@
         self.admission.limit_deadlines(loop.time())
         self.shelf.errands[0].finish(Status.OK, Outcome(RAN, 200))
         self.call(3)
-        self.assertEqual(self.kinds(), [(ops.ANSWER, 1), (ops.BUSY, 2), (ops.BUSY, 3)])
+        self.assertEqual(self.kinds(), [(ops.ANSWER, 1), (ops.REJECTED, 2), (ops.REJECTED, 3)])
         self.assertEqual(len(self.shelf.errands), 1)
 
     async def test_gate_that_shuts_down_tells_its_server_the_time_that_is_left(self) -> None:
@@ -123,14 +123,14 @@
 
     async def test_only_a_connect_that_failed_takes_the_server_out(self) -> None:
         self.call(1)
-        self.shelf.errands[0].finish(Status.FULL, Outcome(NOT_RUN, 503, why="turned away"))
-        self.assertEqual((self.kinds()[-1], self.said[-1][3]), ((ops.BUSY, 1), True))  # it arrived
+        self.shelf.errands[0].finish(Status.FULL, Outcome(NOT_RUN, 503, reason="turned away"))
+        self.assertEqual((self.kinds()[-1], self.said[-1][3]), ((ops.REJECTED, 1), True))  # it arrived
         self.call(2)
-        self.shelf.errands[1].finish(Status.RESET, Outcome(UNKNOWN, why="reset"))
-        self.assertEqual((self.kinds()[-1], self.admission.record()[2]), ((ops.LOST, 2), "up"))
+        self.shelf.errands[1].finish(Status.RESET, Outcome(UNKNOWN, reason="reset"))
+        self.assertEqual((self.kinds()[-1], self.admission.record()[2]), ((ops.OUTCOME_UNKNOWN, 2), "up"))
         self.call(3)
         self.shelf.errands[2].end(Status.CONNECT_FAILED)
-        self.assertEqual((self.kinds()[-1], self.admission.record()[2]), ((ops.BUSY, 3), "none"))
+        self.assertEqual((self.kinds()[-1], self.admission.record()[2]), ((ops.REJECTED, 3), "none"))
         self.admission.beat("one", beat("up", 2))
         self.assertEqual(self.admission.record()[2], "up")
 
@@ -152,7 +152,7 @@
         self.admission.may_repeat = lambda: False
         self.call(3, flags=REPEAT)
         self.call(4)
-        self.assertEqual(self.kinds(), [(ops.ANSWER, 1), (ops.BUSY, 2), (ops.BUSY, 3)])
+        self.assertEqual(self.kinds(), [(ops.ANSWER, 1), (ops.REJECTED, 2), (ops.REJECTED, 3)])
         self.assertEqual([message[3] for message in self.said[1:]], [False, False])
         self.assertEqual((len(self.shelf.errands), self.admission.gate.running), (2, 1))
 
@@ -210,7 +210,7 @@
             loop.run_until(0.7)
         loop.close()
         self.assertEqual(
-            [(o.kind, o.why, o.arrived) for o in outcomes], [(NOT_RUN, Status.CONNECT_FAILED.value, False)]
+            [(o.kind, o.reason, o.arrived) for o in outcomes], [(NOT_RUN, Status.CONNECT_FAILED.value, False)]
         )
 
 
--- a/tests/mesh/test_budget.py
+++ b/tests/mesh/test_budget.py
@@ -127,7 +127,7 @@
         for _ in range(int(rate * STEP + self.rng.random())):
             self.asked.append(self.now)
             if not sidecar.down and not sidecar.frozen:
-                sidecar.budget.request(now)
+                sidecar.budget.record_request(now)
         if not sidecar.down and not sidecar.frozen and self.when(self.now, sidecar.number):
             while self._copy(sidecar, now):
                 pass
@@ -304,7 +304,7 @@
         now = 5.0
         for _ in range(20_000):
             now += rng.expovariate(200.0)
-            budget.request(now)
+            budget.record_request(now)
             budget.spend(now)
         kept = sum(
             len(counts.rows)
--- a/tests/mesh/test_bulk.py
+++ b/tests/mesh/test_bulk.py
@@ -7,7 +7,7 @@
 import unittest
 from typing import Any
 
-from minthitch.mesh.limits.bulk import MAX_WAITING, OFFERED_FROM, WINDOW, BulkAdmission, Offer
+from minthitch.mesh.limits.bulk import MAX_WAITING, MIN_OFFERED_BYTES, WINDOW, BulkAdmission, Offer
 from minthitch.mesh.sidecar.offers import OfferSender
 from minthitch.mesh.transport import ops
 
@@ -42,7 +42,7 @@
         self.assertTrue(self.bulk.offer(0.5, offer(1, WINDOW)))
         self.assertIsNone(self.bulk.offer(0.5, offer(2, WINDOW, due=1.4)))
         self.assertIs(self.bulk.offer(0.5, offer(3, WINDOW, due=1.6)), False)
-        self.assertAlmostEqual(self.bulk.wait(1), 0.5)
+        self.assertAlmostEqual(self.bulk.expected_wait(1), 0.5)
 
     def test_what_waited_too_long_is_told_so(self) -> None:
         self.bulk.offer(0.0, offer(0, WINDOW))
@@ -142,27 +142,27 @@
         return head
 
     def test_a_small_body_goes_as_it_is(self) -> None:
-        self.assertIsNone(OfferSender().offer(0.0, self.call(OFFERED_FROM - 1)))
+        self.assertIsNone(OfferSender().offer(0.0, self.call(MIN_OFFERED_BYTES - 1)))
 
     def test_the_times_that_are_left_are_those_at_the_grant(self) -> None:
         sender = OfferSender()
         self.assertEqual(
-            sender.offer(0.0, self.call(OFFERED_FROM)),
-            (ops.OFFER, 5, "life", 4.0, 1.0, 1, OFFERED_FROM, "route"),
+            sender.offer(0.0, self.call(MIN_OFFERED_BYTES)),
+            (ops.OFFER, 5, "life", 4.0, 1.0, 1, MIN_OFFERED_BYTES, "route"),
         )
         message = sender.granted(0.5, 5)
         assert message is not None
         self.assertEqual(message[:5], (ops.CALL, 5, "life", 3.5, 0.5))
-        self.assertEqual(message[5:], self.call(OFFERED_FROM)[5:])
+        self.assertEqual(message[5:], self.call(MIN_OFFERED_BYTES)[5:])
         self.assertIsNone(sender.granted(0.5, 5), "it is sent once")
 
     def test_forgotten_or_too_late_is_not_sent(self) -> None:
         sender = OfferSender()
-        sender.offer(0.0, self.call(OFFERED_FROM))
+        sender.offer(0.0, self.call(MIN_OFFERED_BYTES))
         self.assertTrue(sender.forget(5))
         self.assertFalse(sender.forget(5))
         self.assertIsNone(sender.granted(0.1, 5))
-        sender.offer(0.0, self.call(OFFERED_FROM))
+        sender.offer(0.0, self.call(MIN_OFFERED_BYTES))
         self.assertIsNone(sender.granted(4.0, 5))
 
 
--- a/tests/mesh/test_capacity.py
+++ b/tests/mesh/test_capacity.py
@@ -10,7 +10,7 @@
 from unittest import mock
 
 from bench.capacity import FIGURES, PAGE
-from minthitch.mesh.transport.connection import BEAT_WORD
+from minthitch.mesh.transport.connection import HEARTBEAT_FRAME
 from rigs.hollow import channel, page, target
 from rigs.hollow.figures import CORE_PART, found, judged, load, rates
 from rigs.hollow.fit import fitted
@@ -83,7 +83,7 @@
 
     def test_kinds_of_the_other_end(self) -> None:
         self.assertNotEqual(SIDECAR, CONTROL)
-        self.assertEqual(len(BEAT_WORD), 11)  # the page names the bytes of a beat
+        self.assertEqual(len(HEARTBEAT_FRAME), 11)  # the page names the bytes of a beat
 
     def test_a_first_order_brings_the_services(self) -> None:
         first, second = routes(49, 196, 1)["Upsert"], routes(49, 196, 2)["Upsert"]
--- a/tests/mesh/test_delivery_http.py
+++ b/tests/mesh/test_delivery_http.py
@@ -369,14 +369,14 @@
         def careless(call: UpstreamCall, status: int, said: bool, fields: Any, body: bytes) -> Outcome:
             named = (
                 *((n, v) for n, v in fields if n.lower() != b"x-request-id"),
-                (b"X-Request-Id", call.identity),
+                (b"X-Request-Id", call.request_id),
             )
-            return judge(call, status, said, named, body)
+            return classify_response(call, status, said, named, body)
 
-        judge = upstream_module.judge
+        classify_response = upstream_module.classify_response
         with (
-            mock.patch.object(upstream_module, "judge", careless),
-            mock.patch.object(ServerConnection, "_is_anothers", lambda self, call: False),
+            mock.patch.object(upstream_module, "classify_response", careless),
+            mock.patch.object(ServerConnection, "_is_stray", lambda self, call: False),
         ):
             self.found("got the answer|not begun|have not run|never will")
 
@@ -385,11 +385,11 @@
 
         def careless(call: UpstreamCall, status: int, said: bool, fields: Any, body: bytes) -> Outcome:
             if status == 421 or (said and status in (400, 429, 503)):
-                return Outcome(NOT_RUN, status, why="turned away")
-            return judge(call, status, said, fields, body)
+                return Outcome(NOT_RUN, status, reason="turned away")
+            return classify_response(call, status, said, fields, body)
 
-        judge = upstream_module.judge
-        with mock.patch.object(upstream_module, "judge", careless):
+        classify_response = upstream_module.classify_response
+        with mock.patch.object(upstream_module, "classify_response", careless):
             self.found("have not run|never will")
 
     def test_never_left_claimed_after_a_partial_write(self) -> None:
--- a/tests/mesh/test_delivery_links.py
+++ b/tests/mesh/test_delivery_links.py
@@ -29,7 +29,7 @@
 from minthitch.mesh.sidecar.trip import Attempt
 from minthitch.mesh.transport import connection as connection_module
 from minthitch.mesh.transport import ops
-from minthitch.mesh.transport.connection import SILENT_MOST, Connection
+from minthitch.mesh.transport.connection import MAX_SILENCE_S, Connection
 from minthitch.mesh.transport.link import Link
 from rigs.simulation.loop import Machine, VirtualLoop
 from rigs.simulation.network import Network
@@ -40,7 +40,7 @@
 PLANTED_WALKS = 400  # in which a planted fault has to be found
 DAY = 12.0  # seconds in which calls begin
 FREEZES = 0.5, 3.0, 20.0  # seconds
-AGE_MOST = SILENT_MOST + 1.0  # seconds after which no call may begin to run
+AGE_MOST = MAX_SILENCE_S + 1.0  # seconds after which no call may begin to run
 PATIENCE = 4.0  # seconds after which a call that has not left is withdrawn
 LARGE = 2_000_000  # bytes of a call that does not fit into the system's buffers
 SIZES = 10, 10, 10, 40_000, 500_000  # bytes of a call's body
@@ -148,7 +148,7 @@
         """Taken, also twice, or late, or turned away, or not answered."""
         rng = self.walk.rng
         if rng.random() < 0.1:
-            self.walk.reply(connection, (ops.BUSY, ident, "full", False, 0, 0, 0.0))
+            self.walk.reply(connection, (ops.REJECTED, ident, "full", False, 0, 0, 0.0))
         for _ in range(rng.choice((0, 1, 1, 1, 1, 2))):
             self.loop.call_later(rng.choice((0.0, 0.0, 0.1, 3.0)), say_on, connection, (ops.GRANT, ident))
 
@@ -156,7 +156,7 @@
         ident, rng = message[1], self.walk.rng
         call = self.walk.calls[message[10].split(b"!", 1)[0]]
         if rng.random() < 0.2:
-            self.walk.reply(connection, (ops.BUSY, ident, "full", True, 0, 0, 0.0))
+            self.walk.reply(connection, (ops.REJECTED, ident, "full", True, 0, 0, 0.0))
             return
         call.begin()
         self.jobs.add((connection, ident))
@@ -326,11 +326,11 @@
     """A call that is cancelled when a part of it has left, and the rest waits behind that."""
     history = Walk(seed)
     call = Call(history, 0, LARGE, False)
-    with mock.patch.object(offers, "OFFERED_FROM", LARGE * 2):
+    with mock.patch.object(offers, "MIN_OFFERED_BYTES", LARGE * 2):
         history._as_asker(history._begin, call, ANSWERERS[0])
         while call.attempt is None or call.attempt.parcel is None:
             history._run_until(history.loop.now + 0.0001)
-        assert call.attempt.parcel.at and not call.attempt.left, "a part has left"
+        assert call.attempt.parcel.offset and not call.attempt.left, "a part has left"
         history._as_asker(call.cancel)
         history._run_until(5.0)
     return call
@@ -404,9 +404,9 @@
             controls = links.ControlLinks(host, PORT, "name")
         host.relay.return_value = True
         controls.claim((b"key", "name", b"mine", b"digest", b""), 9.0, lambda *row: told.append(row))
-        controls.claimed((ops.CLAIMED, 1, links.GRANTED, "other", b"another's", b"digest"))
+        controls.claimed((ops.CLAIM_RESULT, 1, links.GRANTED, "other", b"another's", b"digest"))
         self.assertEqual(told, [])
-        controls.claimed((ops.CLAIMED, 1, links.GRANTED, "name", b"mine", b"digest"))
+        controls.claimed((ops.CLAIM_RESULT, 1, links.GRANTED, "name", b"mine", b"digest"))
         self.assertEqual([row[0] for row in told], [links.GRANTED])
         controls.close()
 
@@ -443,7 +443,9 @@
 
         def left(attempt: Attempt) -> bool:
             peer = attempt.peer
-            return peer is not None and peer.link.up and attempt.parcel is not None and attempt.parcel.whole
+            return (
+                peer is not None and peer.link.up and attempt.parcel is not None and attempt.parcel.fully_sent
+            )
 
         with mock.patch.object(Attempt, "left", property(left)):
             self.found("have not run|never left")
@@ -490,7 +492,7 @@
     def test_a_cancel_that_passes_its_call(self) -> None:
         """As the code was: a call that was cancelled with a part of it gone ran all the same."""
         with (
-            mock.patch.object(Connection, "_overtaken", lambda connection, message: False),
+            mock.patch.object(Connection, "_was_cancelled", lambda connection, message: False),
             self.assertRaisesRegex(AssertionError, "told to have never left"),
         ):
             cancelled_in_part(0)
@@ -498,7 +500,7 @@
     def test_calls_taken_that_are_older_than_their_askers_patience(self) -> None:
         """As the code was: nothing told an old call from a new one after a stop or a cut."""
         with (
-            mock.patch.object(connection_module, "SILENT_MOST", 1e9),
+            mock.patch.object(connection_module, "MAX_SILENCE_S", 1e9),
             self.assertRaisesRegex(AssertionError, "s after it was sent"),
         ):
             met_by_a_stop(0)
--- a/tests/mesh/test_delivery_trips.py
+++ b/tests/mesh/test_delivery_trips.py
@@ -32,7 +32,7 @@
     def send(self, attempt: Attempt, message: Any) -> None:
         self.sent.append(attempt)
         if self.whole is not None:
-            attempt.parcel = SimpleNamespace(whole=self.whole)
+            attempt.parcel = SimpleNamespace(fully_sent=self.whole)
 
     def cancel(self, attempt: Attempt) -> None:
         self.cancelled.append(attempt)
--- a/tests/mesh/test_golden.py
+++ b/tests/mesh/test_golden.py
@@ -93,7 +93,7 @@
         for name, frame in frames().items():
             outbox = Outbox()
             outbox.put(msgpack.packb(message_in(frame)), 0)
-            self.assertEqual(outbox.take(), frame, name)
+            self.assertEqual(outbox.next_frame(), frame, name)
 
 
 class Events(unittest.TestCase):
--- a/tests/mesh/test_http.py
+++ b/tests/mesh/test_http.py
@@ -43,7 +43,7 @@
                     break
                 if isinstance(reply, tuple):
                     writer.write(reply[0])
-                    while self.shelf and not any(vars(c).get("strays") for c in self.shelf.opened):
+                    while self.shelf and not any(vars(c).get("stray_responses") for c in self.shelf.opened):
                         await asyncio.sleep(0)
                     reply = reply[1]
                 writer.write(reply.removeprefix(CUT))
@@ -192,8 +192,8 @@
         desk = Taker()
         listener = Listener(desk, 16, 0)
         await listener.open("127.0.0.1:0")
-        assert listener.listener is not None
-        port = listener.listener.sockets[0].getsockname()[1]
+        assert listener.server is not None
+        port = listener.server.sockets[0].getsockname()[1]
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(data)
         head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), 5)
@@ -211,8 +211,8 @@
 
         listener = Listener(Late(), 16, 0)
         await listener.open("127.0.0.1:0")
-        assert listener.listener is not None
-        port = listener.listener.sockets[0].getsockname()[1]
+        assert listener.server is not None
+        port = listener.server.sockets[0].getsockname()[1]
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         for target in (b"/one", b"/two", b"/six"):
             writer.write(b"GET %b HTTP/1.1\r\nHost: a\r\n\r\n" % target)
--- a/tests/mesh/test_pages_ends.py
+++ b/tests/mesh/test_pages_ends.py
@@ -37,16 +37,16 @@
     async def test_an_answer_counts_until_its_last_byte_has_left(self) -> None:
         listener = Listener(Handler(), 10, 0)
         await listener.open("127.0.0.1:0")
-        assert listener.listener is not None
-        address = listener.listener.sockets[0].getsockname()
+        assert listener.server is not None
+        address = listener.server.sockets[0].getsockname()
         reader, writer = await asyncio.open_connection(*address)
         writer.write(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
         head = await reader.readuntil(b"\r\n\r\n")
         self.assertIn(b"200", head)
-        self.assertEqual(listener.taken(), 0, "it is answered")
-        self.assertGreater(listener.unsent(), 0, "and has not left")
+        self.assertEqual(listener.pending_requests(), 0, "it is answered")
+        self.assertGreater(listener.unsent_bytes(), 0, "and has not left")
         await reader.readexactly(ANSWER)
-        self.assertEqual(listener.unsent(), 0)
+        self.assertEqual(listener.unsent_bytes(), 0)
         writer.close()
         listener.close()
 
--- a/tests/mesh/test_pages_sighup.py
+++ b/tests/mesh/test_pages_sighup.py
@@ -36,7 +36,7 @@
                 file.write(text)
                 file.flush()
                 with mock.patch.object(runtime, "log_event") as said:
-                    self.assertEqual(runtime.seeds(), found)
+                    self.assertEqual(runtime.load_seeds(), found)
                 self.assertEqual(said.called, not found)
 
 
--- a/tests/mesh/test_parts.py
+++ b/tests/mesh/test_parts.py
@@ -12,7 +12,14 @@
 from minthitch.mesh.registry.records import SidecarRecord
 from minthitch.mesh.registry.registry import EXPIRY_S, Registry, RegistryDelta
 from minthitch.mesh.sidecar.choice import Choice
-from minthitch.mesh.transport.framing import LONGEST, MOST_OPEN, PIECE, Broken, Inbox, Outbox
+from minthitch.mesh.transport.framing import (
+    MAX_FRAME_PAYLOAD,
+    MAX_MESSAGE_BYTES,
+    MAX_PARTIAL_MESSAGES,
+    Inbox,
+    Outbox,
+    ProtocolError,
+)
 
 
 class Pieces(unittest.TestCase):
@@ -20,50 +27,50 @@
         rng = random.Random(7)
         for _ in range(20):
             outbox, inbox = Outbox(), Inbox()
-            sizes = 0, 1, 100, PIECE, PIECE + 1, 5 * PIECE + 3
+            sizes = 0, 1, 100, MAX_FRAME_PAYLOAD, MAX_FRAME_PAYLOAD + 1, 5 * MAX_FRAME_PAYLOAD + 3
             sent = [rng.randbytes(rng.choice(sizes)) for _ in range(30)]
             for data in sent:
                 outbox.put(data, rng.randrange(3))
             wire = b""
-            while piece := outbox.take():
+            while piece := outbox.next_frame():
                 wire += piece
             got = []
             while wire:
-                cut = rng.randrange(1, 4 * PIECE)
+                cut = rng.randrange(1, 4 * MAX_FRAME_PAYLOAD)
                 got += list(inbox.feed(wire[:cut]))
                 wire = wire[cut:]
             self.assertEqual(sorted(got), sorted(sent))
-            self.assertEqual((outbox.size, inbox.held, inbox.open), (0, 0, {}))
+            self.assertEqual((outbox.size, inbox.partial_bytes, inbox.partial), (0, 0, {}))
 
     def test_a_short_message_waits_behind_one_piece_of_a_long_one_at_most(self) -> None:
         outbox, inbox = Outbox(), Inbox()
-        long = outbox.put(b"x" * (50 * PIECE), 1)
-        first = outbox.take()
+        long = outbox.put(b"x" * (50 * MAX_FRAME_PAYLOAD), 1)
+        first = outbox.next_frame()
         assert first is not None
         outbox.put(b"short", 1)
         outbox.put(b"urgent", 0)
-        second, third, fourth = outbox.take(), outbox.take(), outbox.take()
+        second, third, fourth = outbox.next_frame(), outbox.next_frame(), outbox.next_frame()
         assert second is not None and third is not None and fourth is not None
         self.assertEqual(list(inbox.feed(first + second)), [b"urgent"])
         self.assertEqual(list(inbox.feed(third + fourth)), [b"short"])
-        self.assertFalse(long.whole)
+        self.assertFalse(long.fully_sent)
 
     def test_one_dropped_before_its_first_piece_never_leaves(self) -> None:
         outbox = Outbox()
         outbox.put(b"gone", 1).dropped = True
-        self.assertIsNone(outbox.take())
+        self.assertIsNone(outbox.next_frame())
         self.assertEqual(outbox.size, 0)
 
     def test_bytes_that_are_no_pieces_and_too_many_begun_are_told(self) -> None:
-        with self.assertRaises(Broken):
+        with self.assertRaises(ProtocolError):
             list(Inbox().feed(b"GET / HTTP/1.1\r\n\r\n"))
         inbox, outbox = Inbox(), Outbox()
-        with self.assertRaises(Broken):
-            outbox.put(b"x" * (LONGEST + 1), 1)
-        for _ in range(MOST_OPEN + 1):
-            outbox.put(b"x" * (2 * PIECE), 1)
-        with self.assertRaises(Broken):
-            list(inbox.feed(b"".join(outbox.take() or b"" for _ in range(MOST_OPEN + 1))))
+        with self.assertRaises(ProtocolError):
+            outbox.put(b"x" * (MAX_MESSAGE_BYTES + 1), 1)
+        for _ in range(MAX_PARTIAL_MESSAGES + 1):
+            outbox.put(b"x" * (2 * MAX_FRAME_PAYLOAD), 1)
+        with self.assertRaises(ProtocolError):
+            list(inbox.feed(b"".join(outbox.next_frame() or b"" for _ in range(MAX_PARTIAL_MESSAGES + 1))))
 
 
 class Gates(unittest.TestCase):
--- a/tests/mesh/test_size.py
+++ b/tests/mesh/test_size.py
@@ -16,9 +16,9 @@
 from minthitch.mesh.sidecar import links
 from minthitch.mesh.sidecar.links import DOUBT_ONCE, HOLD, PROBE, Peer, _acted_on
 from minthitch.mesh.transport import compression, ops
-from minthitch.mesh.transport.connection import DEAD
-from minthitch.mesh.transport.framing import PIECE, Broken
-from minthitch.mesh.transport.link import STALE
+from minthitch.mesh.transport.connection import PEER_TIMEOUT_S
+from minthitch.mesh.transport.framing import MAX_FRAME_PAYLOAD, ProtocolError
+from minthitch.mesh.transport.link import STALE_CONNECT_S
 from rigs.simulation.mesh import CONTROLS
 from rigs.simulation.size import SPREAD, Crowd
 
@@ -76,13 +76,16 @@
 
     def test_squeezed_bytes_come_back_and_no_more_than_may_be(self) -> None:
         data = b"\x94" + b"routes are alike " * 1_000
-        self.assertLess(len(compression.squeezed(data)), len(data) / 10)
-        self.assertEqual(compression.opened(compression.squeezed(data)), data)
-        self.assertEqual(compression.opened(compression.squeezed(data[:100])), data[:100])
-        with mock.patch.object(compression, "LONGEST", len(data) - 1), self.assertRaises(Broken):
-            compression.opened(compression.squeezed(data))
-        with self.assertRaises(Broken):
-            compression.opened(compression.squeezed(data)[:-9])
+        self.assertLess(len(compression.compress(data)), len(data) / 10)
+        self.assertEqual(compression.decompress(compression.compress(data)), data)
+        self.assertEqual(compression.decompress(compression.compress(data[:100])), data[:100])
+        with (
+            mock.patch.object(compression, "MAX_MESSAGE_BYTES", len(data) - 1),
+            self.assertRaises(ProtocolError),
+        ):
+            compression.decompress(compression.compress(data))
+        with self.assertRaises(ProtocolError):
+            compression.decompress(compression.compress(data)[:-9])
 
 
 class Crowded(unittest.TestCase):
@@ -173,7 +176,7 @@
         self.assertEqual((left, caller.back), ([peer.ip], [8]))
         crowd.loop.run_until(crowd.loop.now + PROBE)
         self.assertEqual(caller.losses, [])
-        crowd.loop.run_until(crowd.loop.now + 2 * DEAD)
+        crowd.loop.run_until(crowd.loop.now + 2 * PEER_TIMEOUT_S)
         self.assertEqual(caller.losses, [peer.ip])
 
     def test_a_connection_that_met_a_dark_machine_does_not_hide_its_return(self) -> None:
@@ -183,14 +186,14 @@
         link = sidecar.controls.links[CONTROLS[0]]
         way = (sidecar.ip, CONTROLS[0])
         crowd.network.cut(*way)
-        crowd.loop.run_until(crowd.loop.now + 2 * DEAD)
+        crowd.loop.run_until(crowd.loop.now + 2 * PEER_TIMEOUT_S)
         for _ in range(200):  # until a connection has been under way for a while
-            if link.task is not None and crowd.loop.now - link.begun > STALE:
+            if link.connect_task is not None and crowd.loop.now - link.connect_started > STALE_CONNECT_S:
                 break
             crowd.loop.run_until(crowd.loop.now + 0.01)
         self.assertFalse(link.up)
         crowd.network.heal([way])
-        crowd.loop.after(0.0, sidecar.machine, link.nudge)
+        crowd.loop.after(0.0, sidecar.machine, link.reconnect_now)
         crowd.loop.run_until(crowd.loop.now + 0.02)
         self.assertTrue(link.up)
 
@@ -206,7 +209,7 @@
         peer, far = caller.peers[0], caller.peers[0].link.connection
         assert far is not None
         caller.answers = 0
-        crowd.loop.after(0.0, caller.machine, far.ask, lambda: None)
+        crowd.loop.after(0.0, caller.machine, far.probe, lambda: None)
         crowd.loop.run_until(crowd.loop.now + 0.1)
         crowd.metered.slow_to, crowd.metered.slow_by = peer.ip, 0.6  # seconds for each piece
         crowd.loop.after(0.0, caller.machine, self.upload, peer)
@@ -214,7 +217,7 @@
         self.assertEqual((caller.answers, caller.losses), (1, []))
 
     def upload(self, peer: Peer) -> None:
-        peer.send((ops.PEER_FETCH, bytes(8 * PIECE)), 2, lambda parcel: None)
+        peer.send((ops.PEER_FETCH, bytes(8 * MAX_FRAME_PAYLOAD)), 2, lambda parcel: None)
 
     def ask(self, peer: Peer, left: list[str]) -> None:
         peer.send((ops.PEER_FETCH, 0), 0, lambda parcel: left.append(peer.ip))
