--- a/minthitch/mesh/http/__init__.py
+++ b/minthitch/mesh/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 of the mesh: what the node in service reads and writes, with the mesh's own fields and answers."""
+"""HTTP/1.1 of the mesh: the node's connections and parsing, plus the mesh's headers, limits and responses."""
--- a/minthitch/mesh/http/listener.py
+++ b/minthitch/mesh/http/listener.py
@@ -1,7 +1,7 @@
-"""The listening side: clients and a server at `Out`, servers and operators at `Ctl`, `/ready`.
+"""The listening side: clients and the server at `Out`, servers and operators at `Ctl`, `/ready`.
 
-The connection's life, its parsing and its bounds are the node's (minthitch.net.callers); here are the mesh's
-limits, its checks of heads and its answers with any status and fields.
+The life cycle, the parsing and the limits of a connection are the node's (minthitch.net.callers). This module
+adds the mesh's limits, its checks of request headers, and responses with any status and headers.
 """
 
 from __future__ import annotations
@@ -32,13 +32,13 @@
     503: "Service Unavailable",
     504: "Gateway Timeout",
 }
-BACKLOG = 512  # connections that wait to be accepted: a full queue drops them for seconds
-MIN_BODY_MEMORY = 8 * 1024 * 1024  # bytes for long bodies that are always granted
+BACKLOG = 512  # connections that wait to be accepted: if the queue is full, new ones are delayed by seconds
+MIN_BODY_MEMORY = 8 * 1024 * 1024  # bytes that large request bodies may always take
 Fields = Iterable[tuple[bytes, bytes]]
 
 
 class RequestHandler(Protocol):
-    """Who answers clients."""
+    """Responds to the requests of clients."""
 
     def handle(self, client: ClientConnection, request: Incoming) -> None: ...
     def on_client_lost(self, client: ClientConnection) -> None: ...
@@ -49,13 +49,13 @@
 
 
 class ClientConnection(Caller):
-    """One client's connection."""
+    """The connection of one client."""
 
     def __init__(self, table: Callers, handler: RequestHandler) -> None:
         super().__init__(table)
         self.handler = handler
         self.header_bytes = 0
-        self.token = 0  # counts what it asked: an answer to an earlier request must not meet a later one
+        self.token = 0  # number of the current request: a late response to an earlier one is recognized by it
 
     def on_message_begin(self) -> None:
         super().on_message_begin()
@@ -68,32 +68,35 @@
     def _count_header_bytes(self, size: int) -> None:
         self.header_bytes += size
         if self.header_bytes > self.handler.max_header_bytes():
-            raise Rejected(431, "head too long")
+            raise Rejected(431, "request headers too large")
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if self.headed:  # a trailer
             return
         self._count_header_bytes(len(name) + len(value) + 4)
         lower = name.lower()
-        # Danger: two Host fields let one end route by one and the other by the other (RFC 9112, 3.2).
+        # With two Host headers, two parties might route the same request differently (RFC 9112, 3.2).
         if lower == b"host" and lower in self.coming.fields:
-            raise Rejected(400, "Host is given twice")
+            raise Rejected(400, "duplicate Host header")
         super().on_header(name, value)
 
     def _check(self, item: Incoming) -> None:
         version = self.parser.get_http_version()
-        if version not in ("1.1", "1.0"):  # danger: a line without a version has no fields, and no end
-            raise Rejected(400, f"HTTP version {version}")
+        if version not in (
+            "1.1",
+            "1.0",
+        ):  # a request line without a version has no headers and no defined end
+            raise Rejected(400, f"unsupported HTTP version {version}")
         if b"host" not in item.fields and version == "1.1":
-            raise Rejected(400, "no Host")
+            raise Rejected(400, "missing Host header")
         length = item.fields.get(b"content-length")
         if length is not None and int(length) > self.handler.max_body_bytes():
-            raise Rejected(413, "body too long")
+            raise Rejected(413, "request body too large")
 
     def on_body(self, part: bytes) -> None:
         super().on_body(part)
         if self.size > self.handler.max_body_bytes():
-            raise Rejected(413, "body too long")
+            raise Rejected(413, "request body too large")
 
     def _begin(self, item: Incoming | Rejected) -> None:
         if isinstance(item, Rejected):
@@ -105,7 +108,7 @@
             self.handler.handle(self, item)
         except Rejected as err:
             self._reject(err)
-        except Exception as err:  # danger: a fault of ours must not leave the client unanswered
+        except Exception as err:  # a bug in a handler must not leave the client without a response
             self.handler.log_client_error(f"{type(err).__name__}: {err}")
             self.respond(self.token, 500, (), b"")
 
@@ -116,7 +119,7 @@
         self.respond(self.token, status, fields, body)
 
     def respond(self, token: int, status: int, fields: Fields, body: bytes) -> None:
-        """The one answer to the request that was taken with `token`; nothing if that is answered or gone."""
+        """Send the response to the request with this `token`; no effect if that was answered or is gone."""
         item, transport = self.current, self.transport
         if token != self.token or item is None:
             return
@@ -135,7 +138,7 @@
 
 
 class _HandlerAdapter:
-    """What the node's connections ask, answered for the mesh."""
+    """Presents a RequestHandler to the node's connections as the host that they expect."""
 
     def __init__(self, handler: RequestHandler) -> None:
         self.handler = handler
@@ -171,16 +174,16 @@
 
 
 class Listener:
-    """A listening address and all who came to it, bounded in number and in bytes of bodies."""
+    """A listening address and its clients, with limits on connections and on the memory for bodies."""
 
-    def __init__(self, handler: RequestHandler, most: int, memory: int) -> None:
+    def __init__(self, handler: RequestHandler, max_connections: int, body_memory: int) -> None:
         self.handler = handler
-        room: Room[Caller] = Room(max(memory, MIN_BODY_MEMORY), max(2 * memory, MIN_BODY_MEMORY))
-        self.callers = Callers(_HandlerAdapter(handler), most, most + 24, room)
+        room: Room[Caller] = Room(max(body_memory, MIN_BODY_MEMORY), max(2 * body_memory, MIN_BODY_MEMORY))
+        self.callers = Callers(_HandlerAdapter(handler), max_connections, max_connections + 24, room)
         self.server: asyncio.Server | None = None
 
     async def open(self, address: str) -> None:
-        """Raises OSError."""
+        """Start to listen. Raises OSError."""
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(
@@ -189,10 +192,11 @@
         self.server.sockets[0].setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
 
     def pending_requests(self) -> int:
+        """How many requests have arrived and are not answered."""
         return self.callers.taken()
 
     def unsent_bytes(self) -> int:
-        """Bytes of answers that are written and not handed to the system yet: closing would lose them."""
+        """Bytes of responses that the operating system has not taken yet: closing now would lose them."""
         return sum(
             caller.transport.get_write_buffer_size()
             for caller in self.callers.all
--- a/minthitch/mesh/http/runtime.py
+++ b/minthitch/mesh/http/runtime.py
@@ -1,4 +1,4 @@
-"""How both daemons begin and end: settings, what they can't do without, the loop, the exit code."""
+"""Start and end of both daemons: settings, required settings, event loop, exit code."""
 
 from __future__ import annotations
 
@@ -13,27 +13,31 @@
 
 
 def load_seeds() -> tuple[str, ...]:
-    """The seeds' IP numbers as the settings file has them now; none where it can't be used."""
+    """The IP addresses of the seeds, from the settings file as it is now; empty if it can't be used."""
     try:
         return tuple(seed.rpartition(":")[0] for seed in load_settings().net.seeds)
-    except SettingsError as err:  # caught half written, or wrong: what is known stays
+    except SettingsError as err:  # invalid, or read while it was being written: the known seeds stay in use
         log_event(Event.SETTINGS, key=err.key, value=err.value, why=err.why)
         return ()
 
 
 def run(
     serve: Callable[[NodeSettings], Coroutine[Any, Any, int]],
-    needs: Callable[[NodeSettings], Iterable[tuple[str, str]]],
+    required: Callable[[NodeSettings], Iterable[tuple[str, str]]],
 ) -> int:
-    """Gives 2 for settings that can't be used, `needs` (key, value) too; else ends with `serve`'s code."""
+    """Run a daemon.
+
+    Exits the process with the code that `serve` returns. Returns 2 if the settings can't be used, or one of
+    those that `required` lists, as (key, value), is empty.
+    """
     open_log()
     try:
-        boot = load_settings()
-        for key, value in needs(boot):
+        settings = load_settings()
+        for key, value in required(settings):
             if not value:
                 raise SettingsError(key, "", "is missing")
     except SettingsError as err:
         log_event(Event.SETTINGS, key=err.key, value=err.value, why=err.why)
         return 2
-    code = uvloop.run(serve(boot))
-    os._exit(code)  # nothing is left to be written; the interpreter's own end takes its time
+    code = uvloop.run(serve(settings))
+    os._exit(code)  # nothing is left to be written, and the interpreter's own shutdown takes time
--- a/minthitch/mesh/http/upstream.py
+++ b/minthitch/mesh/http/upstream.py
@@ -1,7 +1,7 @@
-"""The connections of a sidecar to the one server beside it.
+"""A sidecar's connections to the one server beside it.
 
-Keeping, parsing and ending them is the node's (minthitch.net.servers); here are the mesh's fields, its
-outcomes, and the check that an answer belongs to the request that waits for it.
+Connection reuse, parsing and closing are the node's (minthitch.net.servers). This module adds the mesh's
+headers, its outcomes, and the check that a response belongs to the request that waits for it.
 """
 
 from __future__ import annotations
@@ -16,18 +16,20 @@
 from minthitch.engine.fleet import Server
 from minthitch.net.servers import COPIED, IDLE_PART, Connection, Pool
 
-IDLE_CLOSE = 8 * api.SECOND  # servers say Keep-Alive; half of this is used, well below what they state
+# Idle limit until the server states one in Keep-Alive. The pool uses half of a limit, well below what the
+# server states.
+IDLE_CLOSE = 8 * api.SECOND
 CONNECT_TIMEOUT = (
     api.SECOND // 2
-)  # for one on the same machine: less than callers wait, so a silent server is known
-MIN_IDLE_S = 0.25  # seconds for which a connection is kept at least
+)  # shorter than callers wait, so that a silent server is noticed; it is local
+MIN_IDLE_S = 0.25  # an idle connection is kept for at least this long
 REQUEST_ID = b"x-request-id"
-MAX_STRAY_RESPONSES = 8  # answers to other requests that one connection may bring before it is given up
+MAX_STRAY_RESPONSES = 8  # responses to other requests on one connection before it is closed
 RAN, NOT_RUN, UNKNOWN = "ran", "not run", "unknown"
 
 
 class Upstream:
-    """The server beside this sidecar, as the pool knows it."""
+    """One run of the server beside this sidecar, in the form that the connection pool expects."""
 
     __slots__ = ("host", "port", "usable", "told")
 
@@ -38,7 +40,7 @@
 
 
 class Outcome:
-    """What became of an call."""
+    """The outcome of a call: `kind` is RAN, NOT_RUN or UNKNOWN; with RAN it holds the response."""
 
     __slots__ = ("kind", "status", "fields", "body", "reason", "arrived")
 
@@ -52,11 +54,14 @@
         arrived: bool = True,
     ) -> None:
         self.kind, self.status, self.fields, self.body, self.reason = kind, status, fields, body, reason
-        self.arrived = arrived  # whether the server saw it: then it counts as an arrival
+        self.arrived = arrived  # whether the server may have seen the request: then it counts as an arrival
 
 
 class UpstreamCall:
-    """One request to the server beside this sidecar: it ends once."""
+    """One request to the server beside this sidecar; it ends exactly once, with a call of `on_done`.
+
+    The pool handles it like an Attempt of the engine.
+    """
 
     __slots__ = (
         "server",
@@ -85,12 +90,13 @@
         once: bool,
         on_done: Callable[[Outcome], None],
     ) -> None:
+        """`deadline`: on the monotonic clock, in nanoseconds; `once`: the request may not run twice."""
         self.server, self.message, self.request_id, self.server_id = server, message, request_id, server_id
         self.caller_service, self.deadline, self.once, self.on_done = caller_service, deadline, once, on_done
         self.started = time.monotonic_ns()
         self.status: api.Status | None = None
         self.carried: Connection | None = None
-        self.written = False  # whether a byte of it may have left: from then on it may have run
+        self.written = False  # whether a byte of it may have been sent: from then on it may have run
         self.may_stream = False
 
     @property
@@ -101,11 +107,11 @@
         return self.status is None and self.left > 0 and self.server.usable
 
     def wrote(self) -> None:
-        """A byte of it has been handed to the transport, or all of it."""
+        """Called when the request is first handed to the transport, and when all of it has been sent."""
         self.written = True
 
     def end(self, status: api.Status, answer: Served | None = None) -> None:
-        """As the pool tells it, where no answer came."""
+        """Called by the pool when no response came."""
         never = status.never_ran and not self.written
         self.finish(status, Outcome(NOT_RUN if never else UNKNOWN, reason=status.value, arrived=not never))
 
@@ -119,25 +125,25 @@
         self.on_done(outcome)
 
     def cancel(self) -> None:
-        """Its asker needs it no more: the connection is closed, which most servers hear."""
+        """The caller does not need it any more. The connection is closed, which most servers notice."""
         self.end(api.Status.CANCELLED)
 
 
 class ServerConnection(Connection):
     """One connection to the server; it carries one request at a time."""
 
-    stray_responses = 0  # answers that belonged to others
-    not_executed = False  # whether the answer that comes says that its request did not run
+    stray_responses = 0  # responses that belonged to other requests
+    not_executed = False  # whether the current response states that its request did not run
 
     def _begin(self) -> None:
         super()._begin()
         self.not_executed = False
 
     def send(self, attempt: Attempt) -> None:
-        """Writes the request. From its first byte on it may have run.
+        """Write the request. From its first byte on it may have run.
 
-        A server may act on a head or on a part of a body. (The node's class, whose servers read them whole,
-        proves "never ran" up to the last byte.)
+        This server may act on the headers or on a part of the body. (The base class expects servers that read
+        a request completely first, so there "never ran" is proven until the last byte has been sent.)
         """
         assert self.transport is not None
         attempt.wrote()
@@ -155,7 +161,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         super().on_header(name, value)
-        if self.headed or self.complete:  # a trailer, or a field of what follows
+        if self.headed or self.complete:  # a trailer, or a header of a later response
             return
         lower = name.lower()
         if lower == b"x-not-executed":
@@ -164,12 +170,12 @@
             self._apply_keep_alive(value)
 
     def _is_stray(self, call: UpstreamCall) -> bool:
-        """A surplus answer to an earlier request came first. Not so where it tells no id at all."""
-        told = request_ids(self.fields)
-        return bool(told) and call.request_id not in told and self.stray_responses < MAX_STRAY_RESPONSES
+        """Whether this is a surplus response to an earlier request. One without any id is not."""
+        found = request_ids(self.fields)
+        return bool(found) and call.request_id not in found and self.stray_responses < MAX_STRAY_RESPONSES
 
     def _apply_keep_alive(self, value: bytes) -> None:
-        """The server says for how long it keeps an idle connection: none is used that is older than half."""
+        """The server states its idle limit: no connection is used that was idle for half of it."""
         _, _, seconds = value.lower().partition(b"timeout=")
         digits = seconds.split(b",")[0].strip()
         if digits.isdigit() and len(digits) < 6:
@@ -183,7 +189,7 @@
         call = cast(UpstreamCall, attempt)
         if self._is_stray(call) and self.lasts and not self.surplus:
             self.stray_responses += 1
-            self._reset()  # the one that is due is still to come
+            self._reset()  # the response to the current request is still to come
             return
         outcome = classify_response(call, self.status, self.not_executed, tuple(self.fields), self.body)
         keep = self.lasts and self.written and not self.surplus and outcome.kind is not UNKNOWN
@@ -208,7 +214,7 @@
 
 
 def request_ids(fields: Iterable[tuple[bytes, bytes]]) -> set[bytes]:
-    """The ids of the requests that an answer says it belongs to: one, if it is sound."""
+    """The ids of the requests that a response claims to belong to: exactly one if it is valid."""
     return {value for name, value in fields if name.lower() == REQUEST_ID}
 
 
@@ -219,21 +225,21 @@
     fields: tuple[tuple[bytes, bytes], ...],
     body: bytes,
 ) -> Outcome:
-    """What an answer proves. Only the server's own word, and 421, prove that a request did not run.
+    """What a response proves. Only X-Not-Executed, with status 400, 429 or 503, and 421 prove NOT_RUN.
 
-    Nothing is believed of an answer that does not carry the id of its request and no other: a surplus answer
-    to an earlier request may come in the place of the one that is due, and may say that it did not run.
+    A response counts only if it carries the id of its request and no other id: a surplus response to an
+    earlier request may arrive in its place, and may state that the request did not run.
     """
     table = {name.lower(): value for name, value in fields}
     if request_ids(fields) != {call.request_id}:
         return Outcome(UNKNOWN, status, reason="an answer to another request")
-    if status < 200:  # a change of protocol that nobody asked for
+    if status < 200:  # a protocol switch that was not requested
         return Outcome(UNKNOWN, status, reason="no final answer")
     if status == 421 or (not_executed and status in (400, 429, 503)):
         return Outcome(NOT_RUN, status, reason="turned away")
     if 200 <= status < 300 and b"x-server-seal" not in table:
         return Outcome(UNKNOWN, status, reason="a success without its seal")
-    if b"content-encoding" in table:  # danger: these are not the server's own bytes
+    if b"content-encoding" in table:  # some intermediary has changed the server's bytes
         return Outcome(UNKNOWN, status, reason="an encoded body")
     return Outcome(RAN, status, fields, body)
 
@@ -241,9 +247,11 @@
 class ServerPool(Pool):
     """The connections to the server beside this sidecar."""
 
-    def __init__(self, most: int) -> None:
+    def __init__(self, max_connections: int) -> None:
         spec = api.RequestClass("any", aim=api.SECOND, deadline=api.SECOND)
-        super().__init__(api.Settings((spec,), connect_timeout=CONNECT_TIMEOUT, idle_close=IDLE_CLOSE), most)
+        super().__init__(
+            api.Settings((spec,), connect_timeout=CONNECT_TIMEOUT, idle_close=IDLE_CLOSE), max_connections
+        )
 
     def run(self, call: UpstreamCall) -> None:
         self.start(cast(Attempt, call))
--- a/minthitch/mesh/transport/__init__.py
+++ b/minthitch/mesh/transport/__init__.py
@@ -1,1 +1,1 @@
-"""The line between the mesh's own processes: msgpack messages in pieces, many at once on one connection."""
+"""Connections between the mesh's own processes: msgpack messages, split into frames and multiplexed."""
--- a/minthitch/mesh/transport/connection.py
+++ b/minthitch/mesh/transport/connection.py
@@ -1,7 +1,8 @@
-"""One TCP connection between two processes of the mesh: messages, heartbeats, and when it is given up.
+"""One TCP connection between two processes of the mesh: messages, heartbeats, and timeouts.
 
-Cuts are silent, so both ends send heartbeats. Connections between sidecars are many (each pair may have one),
-and so are quiet: their heartbeats are frequent only while a call or a long message is open.
+A network partition closes no connection, so both ends send heartbeats. Each pair of sidecars may have a
+connection of its own, N x N in all: on these, heartbeats are frequent only while a call or a long message is
+outstanding.
 """
 
 from __future__ import annotations
@@ -16,35 +17,34 @@
 from minthitch.mesh.transport import ops
 from minthitch.mesh.transport.framing import FRAME_HEADER, Inbox, Outbox, OutgoingMessage, ProtocolError
 
-WRITE_HIGH_WATER = 64 * 1024  # bytes in the transport's buffer above which the connection counts as clogged
-HEARTBEAT_S = 0.5  # seconds without a message of its own after which an end sends a heartbeat
-PEER_TIMEOUT_S = 2.0  # seconds without a message from the other end after which a connection is given up
-IDLE_HEARTBEAT_S, IDLE_PEER_TIMEOUT_S = 10.0, 32.0  # the same for a quiet connection with nothing open
-HEARTBEAT_FRAME = FRAME_HEADER.pack(2, 0, 1) + bytes(
-    (0x91, ops.PING)
-)  # a whole piece; no message has the number 0
-PROBE_FRAME = FRAME_HEADER.pack(3, 0, 1) + bytes((0x92, ops.PING, 0xC3))  # the same, to be answered
-OUTSTANDING_EXPIRY_S = 120.0  # seconds after which something open counts no more: its answer was forgotten
-MAX_SILENCE_S = (
-    IDLE_HEARTBEAT_S + PEER_TIMEOUT_S
-)  # seconds without a word in one direction that no working connection between
-# sidecars shows: one end was stopped, or cut off, and whoever waited for an answer has given it up by now
-# Bytes that may wait to go out on one connection: a peer that does not read must not fill the memory.
+WRITE_HIGH_WATER = 64 * 1024  # bytes in the transport's buffer above which writing pauses
+HEARTBEAT_S = 0.5  # an end that has sent nothing for this long sends a heartbeat
+PEER_TIMEOUT_S = 2.0  # a connection on which nothing was received for this long is closed
+# The same for a connection between sidecars with nothing outstanding.
+IDLE_HEARTBEAT_S, IDLE_PEER_TIMEOUT_S = 10.0, 32.0
+# Complete frames; no queued message has the number 0.
+HEARTBEAT_FRAME = FRAME_HEADER.pack(2, 0, 1) + bytes((0x91, ops.PING))
+PROBE_FRAME = FRAME_HEADER.pack(3, 0, 1) + bytes((0x92, ops.PING, 0xC3))  # a heartbeat that is to be answered
+OUTSTANDING_EXPIRY_S = 120.0  # after which a request counts as outstanding no more: its reply was forgotten
+# On a working connection between sidecars neither direction is silent for this long. After it, one end was
+# suspended or cut off, and whoever waited for a reply has given up by now.
+MAX_SILENCE_S = IDLE_HEARTBEAT_S + PEER_TIMEOUT_S
+# Bytes that may be queued on one connection: a peer that does not read must not exhaust the memory.
 MAX_QUEUED_BYTES = 96 * 1024 * 1024
 
 
 class MessageReceiver(Protocol):
-    """Receives the messages of a connection, and its end."""
+    """Is told of each message of a connection, and of its end."""
 
     def on_message(self, connection: Connection, message: ops.Message) -> None: ...
     def on_connection_lost(self, connection: Connection) -> None: ...
 
 
 class Connection(asyncio.Protocol):
-    """Sends and hears messages. `name` is what the other end called itself; "" until it has."""
+    """Sends and receives messages. `kind` and `name` are the peer's, empty until its HELLO has arrived."""
 
-    def __init__(self, host: MessageReceiver, on_up: Callable[[Connection], None] | None = None) -> None:
-        self.receiver, self.on_up = host, on_up
+    def __init__(self, receiver: MessageReceiver, on_up: Callable[[Connection], None] | None = None) -> None:
+        self.receiver, self.on_up = receiver, on_up
         self.loop = asyncio.get_running_loop()
         self.transport: asyncio.Transport | None = None
         self.outbox, self.inbox = Outbox(), Inbox()
@@ -52,14 +52,14 @@
         self.name, self.kind = "", ""
         self.last_sent = self.last_received = self.loop.time()
         self.check_timer: asyncio.TimerHandle | None = None
-        self.between_sidecars = False  # beats often only while something is open: N sidecars have N x N lines
-        self.outstanding: dict[
-            int, float
-        ] = {}  # since when; what one end has asked and the other not answered
-        self.active_since = 0.0  # since when something is open
-        self.receiving_partial = False  # whether a long message has come in part
-        self.on_reply: Callable[[], None] | None = None  # called once, with the next word that comes
-        self.cancelled: set[int] = set()  # calls of which the CANCEL came while messages were incomplete
+        self.between_sidecars = False  # then heartbeats are frequent only while something is outstanding
+        # When each request of either end that has no reply yet was sent or received, by its id.
+        self.outstanding: dict[int, float] = {}
+        self.active_since = 0.0  # since when something is outstanding
+        self.receiving_partial = False  # whether a part of a long message has arrived
+        self.on_reply: Callable[[], None] | None = None  # called once, when the next bytes arrive
+        # Ids of calls whose CANCEL arrived while messages were incomplete, their own CALL perhaps among them.
+        self.cancelled: set[int] = set()
 
     @property
     def up(self) -> bool:
@@ -84,13 +84,13 @@
         self.receiver.on_connection_lost(self)
 
     def send(self, message: ops.Message, priority: int = 1) -> OutgoingMessage:
-        """Queues a message. Raises ProtocolError where it is too long."""
+        """Queue a message. Raises ProtocolError if it is too long."""
         if self.between_sidecars:
             self._track(message)
         return self.send_packed(cast(bytes, msgpack.packb(message)), priority)
 
     def send_packed(self, data: bytes, priority: int = 1) -> OutgoingMessage:
-        """The same for one that is packed already: what many are told is packed once."""
+        """Queue a message that is packed already: one for many receivers is packed once."""
         outgoing = self.outbox.put(data, priority)
         self._flush()
         return outgoing
@@ -99,17 +99,17 @@
         transport = self.transport
         if transport is None or transport.is_closing():
             return
-        if self._was_suspended():  # what waits here is as old
+        if self._was_suspended():  # what is queued here is as old
             self.close()
             return
-        while not self.write_paused and (piece := self.outbox.next_frame()) is not None:
-            transport.write(piece)
+        while not self.write_paused and (frame := self.outbox.next_frame()) is not None:
+            transport.write(frame)
             self.last_sent = self.loop.time()
         if self.outbox.size > MAX_QUEUED_BYTES:
             self.close()
 
     def unsent_bytes(self) -> int:
-        """Bytes that wait here: the end of this process would lose them."""
+        """Bytes that the operating system has not taken yet: they would be lost if this process ended now."""
         return self.outbox.size + self.transport.get_write_buffer_size() if self.transport is not None else 0
 
     def pause_writing(self) -> None:
@@ -120,7 +120,7 @@
         self._flush()
 
     def _track(self, message: ops.Message) -> None:
-        """What is open at either end."""
+        """Record which requests are outstanding, of this end or of the peer."""
         op = message[0]
         if op in ops.REQUEST_OPS:
             if not self.outstanding and self.up:
@@ -130,19 +130,19 @@
         elif op in ops.COMPLETION_OPS:
             self.outstanding.pop(message[1] if op != ops.PEER_STATE else 0, None)
 
-    def probe(self, waits: Callable[[], None]) -> None:
-        """Whether the other end is there: `waits` is called once it says anything."""
-        self.on_reply = waits
+    def probe(self, on_reply: Callable[[], None]) -> None:
+        """Ask the peer for a sign of life: `on_reply` is called once anything arrives from it."""
+        self.on_reply = on_reply
         self._write(PROBE_FRAME)
 
-    def _write(self, word: bytes) -> None:
-        """Past the outbox, and so between the pieces of what waits there."""
+    def _write(self, frame: bytes) -> None:
+        """Write a heartbeat directly: it goes out between the frames that are queued in the outbox."""
         if self.transport is not None and not self.write_paused:
             self.last_sent = self.loop.time()
-            self.transport.write(word)
+            self.transport.write(frame)
 
     def _was_suspended(self) -> bool:
-        """Whether this process has not run for so long that what waits here to go out is over."""
+        """Whether this process has not run for so long that its queued messages are out of date."""
         return (
             self.between_sidecars
             and not self.write_paused
@@ -150,9 +150,10 @@
         )
 
     def _was_cancelled(self, message: ops.Message) -> bool:
-        """Whether this is a CALL that was cancelled before it had come whole.
+        """Whether this is a CALL that was cancelled before it had arrived completely.
 
-        A CANCEL has priority 0 and passes the frames of its CALL; without this the call would run unheard.
+        A CANCEL has priority 0 and overtakes the frames of its own CALL. Without this check the call would
+        run although nobody waits for it.
         """
         if message[0] == ops.CANCEL and self.inbox.partial:
             self.cancelled.add(message[1])
@@ -167,24 +168,24 @@
         )
         self.last_received = now
         if self.on_reply is not None:
-            waits, self.on_reply = self.on_reply, None
-            waits()
+            on_reply, self.on_reply = self.on_reply, None
+            on_reply()
         if data == HEARTBEAT_FRAME and not self.inbox.unparsed and not stale:
             return
         try:
-            for whole in self.inbox.feed(data):
-                message: Any = msgpack.unpackb(whole, use_list=False, strict_map_key=False)
+            for packed in self.inbox.feed(data):
+                message: Any = msgpack.unpackb(packed, use_list=False, strict_map_key=False)
                 if type(message) is not tuple or not message:
-                    raise ProtocolError("a message that is no array")
+                    raise ProtocolError("message is not a non-empty array")
                 if message[0] == ops.HELLO:
                     self.kind, self.name = str(message[1]), str(message[2])
                     self.between_sidecars = self.kind == ops.PEER
                 if message[0] == ops.PING and len(message) > 1:
                     self._write(HEARTBEAT_FRAME)
-                    stale = False  # whoever asks sends nothing before the answer
+                    stale = False  # a peer that sends a probe sends nothing else before the reply
                 if stale and message[0] in (ops.CALL, ops.PING):
-                    # This was written long ago, and so is what follows. The sender of a call has given it up,
-                    # and the claim on its key may have passed to another.
+                    # This message and those behind it were sent long ago. The sender of a call has given it
+                    # up, and another sidecar may own its idempotency key by now.
                     self.close()
                     return
                 if message[0] == ops.PING:
@@ -195,12 +196,10 @@
                     self._track(message)
                 self.receiver.on_message(self, message)
         except (ProtocolError, ValueError, msgpack.UnpackException):
-            self.close()  # after bytes that are no frame the next frame can't be found
+            self.close()  # after invalid bytes the beginning of the next frame can't be found
             return
         if self.between_sidecars and self.inbox.partial and not self.receiving_partial:
-            self._schedule_check(
-                HEARTBEAT_S
-            )  # while a long message comes, its sender expects frequent heartbeats
+            self._schedule_check(HEARTBEAT_S)  # the sender of a long message expects frequent heartbeats
         self.receiving_partial = bool(self.inbox.partial)
         if not self.receiving_partial:
             self.cancelled.clear()
@@ -217,17 +216,23 @@
                 ident: at for ident, at in self.outstanding.items() if at > now - OUTSTANDING_EXPIRY_S
             }
         idle = self.between_sidecars and not self.outstanding and not self.inbox.partial
-        beat, dead = (IDLE_HEARTBEAT_S, IDLE_PEER_TIMEOUT_S) if idle else (HEARTBEAT_S, PEER_TIMEOUT_S)
-        # Idle ones look again when the next beat is due, so that none is silent for two of them.
+        heartbeat, timeout = (
+            (IDLE_HEARTBEAT_S, IDLE_PEER_TIMEOUT_S) if idle else (HEARTBEAT_S, PEER_TIMEOUT_S)
+        )
+        # An idle connection is checked again when its next heartbeat is due, so that it is never silent for
+        # two intervals.
         self._schedule_check(
-            max(self.last_sent + beat - now, HEARTBEAT_S) if idle and now - self.last_sent < beat else beat
+            max(self.last_sent + heartbeat - now, HEARTBEAT_S)
+            if idle and now - self.last_sent < heartbeat
+            else heartbeat
         )
-        if now - max(self.last_received, self.active_since) > dead or self._was_suspended():
+        if now - max(self.last_received, self.active_since) > timeout or self._was_suspended():
             self.close()
-        elif self.between_sidecars and self.outstanding and now - self.last_received >= beat:
-            # The other end does not know of a call before it has all of it, and sends no frequent heartbeats.
+        elif self.between_sidecars and self.outstanding and now - self.last_received >= heartbeat:
+            # The peer does not know of a call before all of it has arrived, so it sends no frequent
+            # heartbeats.
             self._write(PROBE_FRAME)
-        elif now - self.last_sent >= beat:
+        elif now - self.last_sent >= heartbeat:
             self._write(HEARTBEAT_FRAME)
 
     def close(self) -> None:
--- a/minthitch/mesh/transport/control_messages.py
+++ b/minthitch/mesh/transport/control_messages.py
@@ -1,6 +1,6 @@
-"""Typed messages that a control node receives, and their wire form.
+"""Typed messages that a control node receives, and how they are decoded from the wire.
 
-On the wire each is a msgpack array that begins with a number of `ops`; the order of the fields is fixed.
+On the wire each is a msgpack array that begins with its number in `ops`; the order of the fields is fixed.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Hello(Struct, frozen=True):
-    """Who opened the connection: kind of process, name, and of a control node its zone and region."""
+    """Who opened the connection: kind of process, name, and, for a control node, zone and region."""
 
     kind: str
     name: str
@@ -32,7 +32,7 @@
 
 
 class SidecarReport(Struct, frozen=True):
-    """A sidecar's record, and the index of the configuration that it has."""
+    """A sidecar's record, and the index of the configuration it holds."""
 
     configuration_index: int
     record: SidecarRecord
@@ -46,7 +46,7 @@
 
 
 class ForwardedProposal(Struct, frozen=True):
-    """Another control node takes this one for the leader: propose a command."""
+    """Another control node believes that this one leads, and asks it to propose a command."""
 
     request_id: int
     kind: int
@@ -54,7 +54,7 @@
 
 
 class ForwardedFetch(Struct, frozen=True):
-    """Another control node takes this one for the leader: give it the configuration."""
+    """Another control node believes that this one leads, and asks it for the configuration."""
 
     request_id: int
 
--- a/minthitch/mesh/transport/framing.py
+++ b/minthitch/mesh/transport/framing.py
@@ -1,6 +1,8 @@
-"""Messages cut into pieces and put together again, by priority, in turn. No I/O and no clock.
+"""Splits messages into frames and reassembles them, so that many can share a connection. No I/O and no clock.
 
-A frame is a header of 9 bytes (length, message number, whether last), up to MAX_FRAME_PAYLOAD bytes.
+A frame is a header of 9 bytes (payload length, message number, whether it is the last frame of its message)
+and a payload of up to MAX_FRAME_PAYLOAD bytes. Frames of a higher priority go first; messages of the same
+priority take turns frame by frame.
 """
 
 from __future__ import annotations
@@ -10,20 +12,18 @@
 from collections.abc import Iterator
 
 FRAME_HEADER = struct.Struct("!IIB")
-MAX_FRAME_PAYLOAD = 16 * 1024  # bytes of a piece: a small message waits behind one of them at most
-MAX_MESSAGE_BYTES = (
-    80 * 1024 * 1024
-)  # bytes of one message: the longest body that clients may send, and its head
-MAX_PARTIAL_MESSAGES = 512  # messages of which parts have come: a peer that begins more means harm
-PRIORITY_LEVELS = 3  # 0 goes first
+MAX_FRAME_PAYLOAD = 16 * 1024  # bytes; a small message waits for at most one frame of a larger one
+MAX_MESSAGE_BYTES = 80 * 1024 * 1024  # the largest body that clients may send, plus its headers
+MAX_PARTIAL_MESSAGES = 512  # incomplete messages from one peer; one that begins more is faulty or hostile
+PRIORITY_LEVELS = 3  # 0 is the highest
 
 
 class ProtocolError(ValueError):
-    """Bytes that are no pieces of ours."""
+    """Received bytes violate the protocol, or a message is too long for it."""
 
 
 class OutgoingMessage:
-    """One message on its way out."""
+    """A message that is being sent. `dropped` withdraws it, which works until its first frame is taken."""
 
     __slots__ = ("number", "data", "offset", "dropped")
 
@@ -33,21 +33,21 @@
 
     @property
     def fully_sent(self) -> bool:
-        """Whether its last piece has been handed on: from then on the other end may act on it."""
+        """Whether its last frame has been handed on: from then on the peer may act on it."""
         return self.offset >= len(self.data)
 
 
 class Outbox:
-    """What waits to go out on one line: by priority, and within a priority each message a piece in turn."""
+    """Messages queued for one connection, by priority; messages of one priority take turns frame by frame."""
 
     def __init__(self) -> None:
         self.queues: tuple[deque[OutgoingMessage], ...] = tuple(deque() for _ in range(PRIORITY_LEVELS))
-        self.next_number, self.size = 1, 0
+        self.next_number, self.size = 1, 0  # size: queued bytes of payload
 
     def put(self, data: bytes, priority: int) -> OutgoingMessage:
-        """Raises ProtocolError where the message is too long to be taken at the other end."""
+        """Queue a message. Raises ProtocolError if the peer would reject it as too long."""
         if len(data) > MAX_MESSAGE_BYTES:
-            raise ProtocolError(f"a message of {len(data)} bytes")
+            raise ProtocolError(f"message too long: {len(data)} bytes")
         outgoing = OutgoingMessage(self.next_number, data)
         self.next_number = self.next_number % 0xFFFFFFFF + 1
         self.queues[priority].append(outgoing)
@@ -55,13 +55,12 @@
         return outgoing
 
     def next_frame(self) -> bytes | None:
-        """The next piece with its head; None where nothing waits."""
+        """The next frame to send, with its header; None if the queue is empty."""
         for queue in self.queues:
             while queue:
                 outgoing = queue.popleft()
-                if (
-                    outgoing.dropped and not outgoing.offset
-                ):  # one that has begun is finished: its other end waits
+                # One that has begun is sent to its end: the peer holds its first part and waits for the rest.
+                if outgoing.dropped and not outgoing.offset:
                     self.size -= len(outgoing.data)
                     continue
                 return self._cut_frame(queue, outgoing)
@@ -77,42 +76,41 @@
 
 
 class Inbox:
-    """Pieces as they come, and the messages that they make."""
+    """Reassembles the messages of one connection from the bytes that arrive."""
 
     def __init__(self) -> None:
-        self.unparsed = b""
-        self.partial: dict[int, list[bytes]] = {}
+        self.unparsed = b""  # the beginning of a frame whose end has not arrived
+        self.partial: dict[int, list[bytes]] = {}  # payloads of incomplete messages, by message number
         self.partial_bytes = 0
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Whole messages. Raises ProtocolError."""
+        """Yield the messages that `data` completes. Raises ProtocolError."""
         data = self.unparsed + data if self.unparsed else data
-        at, end = 0, len(data)
-        while end - at >= FRAME_HEADER.size:
-            size, number, last = FRAME_HEADER.unpack_from(data, at)
+        position, end = 0, len(data)
+        while end - position >= FRAME_HEADER.size:
+            size, number, last = FRAME_HEADER.unpack_from(data, position)
             if size > MAX_FRAME_PAYLOAD or last > 1:
-                raise ProtocolError("a head that is none of ours")
-            if end - at - FRAME_HEADER.size < size:
+                raise ProtocolError("invalid frame header")
+            if end - position - FRAME_HEADER.size < size:
                 break
-            at += FRAME_HEADER.size
-            part = data[at : at + size]
-            at += size
+            position += FRAME_HEADER.size
+            part = data[position : position + size]
+            position += size
             if last and number not in self.partial:
                 yield part
             else:
                 yield from self._reassemble(number, part, bool(last))
-        self.unparsed = data[at:]
+        self.unparsed = data[position:]
 
     def _reassemble(self, number: int, part: bytes, last: bool) -> Iterator[bytes]:
         parts = self.partial.setdefault(number, [])
         parts.append(part)
         self.partial_bytes += len(part)
-        if (
-            self.partial_bytes > MAX_MESSAGE_BYTES or len(self.partial) > MAX_PARTIAL_MESSAGES
-        ):  # danger: the memory would fill
-            raise ProtocolError("more begun than may be")
+        # Without these limits a peer could exhaust the memory.
+        if self.partial_bytes > MAX_MESSAGE_BYTES or len(self.partial) > MAX_PARTIAL_MESSAGES:
+            raise ProtocolError("too many incomplete messages, or too many bytes of them")
         if last:
             del self.partial[number]
-            whole = b"".join(parts)
-            self.partial_bytes -= len(whole)
-            yield whole
+            message = b"".join(parts)
+            self.partial_bytes -= len(message)
+            yield message
--- a/minthitch/mesh/transport/link.py
+++ b/minthitch/mesh/transport/link.py
@@ -1,4 +1,4 @@
-"""The link that keeps one connection up to a given address, and makes it anew when it falls."""
+"""A link keeps one connection up to a given address, and reconnects when it is lost."""
 
 from __future__ import annotations
 
@@ -9,39 +9,38 @@
 from minthitch.mesh.transport.connection import Connection, MessageReceiver
 from minthitch.mesh.transport.framing import OutgoingMessage
 
-# Seconds for a connection to come up, in turn. One begun while the other machine was unreachable hangs on its
-# lost first packet and would hide the machine's return; one over a congested network needs the longer time.
+# Connect timeouts of successive attempts, in turn. An attempt that began while the other machine was
+# unreachable waits for the retransmission of its lost first packet and would delay noticing that the machine
+# is back, so most are short; a connection over a congested network needs the longer time.
 CONNECT_TIMEOUTS_S = (0.25, 0.25, 1.0)
-STALE_CONNECT_S = (
-    0.1  # seconds after which one under way is begun anew once the other end is known to be there
-)
-RETRY_DELAYS_S = (0.05, 0.1, 0.2, 0.25)  # seconds between two tries: a restart must be noticed soon
+STALE_CONNECT_S = 0.1  # a connection attempt older than this is restarted once the peer is known to be alive
+RETRY_DELAYS_S = (0.05, 0.1, 0.2, 0.25)  # between attempts: short, so that a restarted peer is noticed soon
 
 
 class Link:
     """Keeps a connection up to one address, from `start` or the first message on.
 
-    A message is given to one connection at most: what a connection leaves unsent ends with it.
+    A message is given to at most one connection: what a connection has not sent is lost with it.
     """
 
-    def __init__(self, host: MessageReceiver, address: tuple[str, int], hello: ops.Message) -> None:
-        self.receiver, self.address, self.hello = host, address, hello
+    def __init__(self, receiver: MessageReceiver, address: tuple[str, int], hello: ops.Message) -> None:
+        self.receiver, self.address, self.hello = receiver, address, hello
         self.loop = asyncio.get_running_loop()
         self.connection: Connection | None = None
-        self.failures = 0
+        self.failures = 0  # consecutive
         self.connect_task: asyncio.Task[None] | None = None
         self.retry_timer: asyncio.TimerHandle | None = None
         self.on_up: Callable[[Link], None] | None = None
         self.on_down: Callable[[Link], None] | None = None
         self.closed = False
-        self.connect_started = 0.0  # when the connection under way was begun
+        self.connect_started = 0.0  # when the current connection attempt began
 
     @property
     def up(self) -> bool:
         return self.connection is not None and self.connection.up
 
     def start(self) -> None:
-        """Connects, and again whenever the connection falls."""
+        """Connect, and reconnect whenever the connection is lost."""
         if self.connect_task is None and self.retry_timer is None and not self.up and not self.closed:
             self.connect_started = self.loop.time()
             self.connect_task = self.loop.create_task(self._connect())
@@ -57,13 +56,13 @@
             self._schedule_retry()
             return
         except asyncio.CancelledError:
-            connection.close()  # it may have come up in this very moment, and nobody else holds it
+            connection.close()  # it may be established already, and nothing else refers to it
             raise
         self.connect_task = None
         if self.closed:
             connection.close()
             return
-        if not connection.up:  # it fell before anyone held it
+        if not connection.up:  # it was lost before this task resumed
             self._schedule_retry()
             return
         self.connection, self.failures = connection, 0
@@ -73,18 +72,19 @@
             self.on_up(self)
 
     def _schedule_retry(self) -> None:
-        pause = RETRY_DELAYS_S[min(self.failures, len(RETRY_DELAYS_S) - 1)]
+        delay = RETRY_DELAYS_S[min(self.failures, len(RETRY_DELAYS_S) - 1)]
         self.failures += 1
         if not self.closed:
-            self.retry_timer = self.loop.call_later(pause, self._retry)
+            self.retry_timer = self.loop.call_later(delay, self._retry)
         if self.on_down is not None:
             self.on_down(self)
 
     def reconnect_now(self) -> None:
-        """The other end is there, it has called: no pause any more."""
+        """The peer has connected to this process, so it is alive: connect without further delay."""
         self.failures = 0
         if self.connect_task is not None and self.loop.time() - self.connect_started > STALE_CONNECT_S:
-            self.connect_task.cancel()  # its first packet was lost; the system sends the next a second later
+            # Its first packet was probably lost; the operating system retransmits it only after a second.
+            self.connect_task.cancel()
             self.connect_task = None
             self.start()
         if self.retry_timer is not None:
@@ -96,14 +96,18 @@
         self.start()
 
     def send(self, message: ops.Message, priority: int = 1) -> OutgoingMessage | None:
-        """None where there is no connection: then it was not sent and never will be. Raises ProtocolError."""
+        """Queue a message; None without a connection: it is not sent and never will be.
+
+        Raises:
+            ProtocolError: The message is too long.
+        """
         if self.connection is None or not self.connection.up:
             self.start()
             return None
         return self.connection.send(message, priority)
 
     def on_message(self, connection: Connection, message: ops.Message) -> None:
-        """Nothing that an earlier connection brings is handed on: what was open there was told as lost."""
+        """Ignore messages of earlier connections: what was outstanding there has been reported as lost."""
         if connection is self.connection:
             self.receiver.on_message(connection, message)
 
