--- a/minthitch/mesh/idempotency/claims.py
+++ b/minthitch/mesh/idempotency/claims.py
@@ -1,8 +1,8 @@
 """Ownership of idempotency keys: a replicated state machine.
 
 Every control node applies the same committed entries in the same order. A claim exists before the first
-attempt of its operation and until its retention window has passed twice, whatever the outcome. Only its
-owner's statement that the operation never ran lets another claim replace it, by naming it.
+attempt of its operation and until its retention window has passed twice, whatever the outcome. Another
+claim can replace it only by naming it, after its owner has stated that the operation never ran.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 
     owner: str  # address of the sidecar that owns it, and the epoch of that process
     claim_id: bytes
-    request_digest: bytes  # a repeat of the operation must have the same
+    request_digest: bytes  # a repeated request with the key must have the same one
 
 
 class ClaimCommand(NamedTuple):
-    """The command to claim a key. Its order of fields is stored and sent."""
+    """The command to claim a key. The order of its fields is part of the stored and the wire format."""
 
     key: bytes
     owner: str
@@ -37,7 +37,7 @@
 
     @classmethod
     def unpack(cls, data: bytes) -> ClaimCommand:
-        """The command that `pack` was given."""
+        """Undo `pack`."""
         return cls(*msgpack.unpackb(data, use_list=False))
 
     @property
@@ -47,7 +47,7 @@
 
 
 class ClaimTable:
-    """Claims in two generations: the newer one takes new claims, a rotation forgets the older one."""
+    """Claims in two generations: new claims go into the first one, a rotation drops the second one."""
 
     def __init__(self) -> None:
         self.generations: list[dict[bytes, Claim]] = [{}, {}]
@@ -67,7 +67,7 @@
         """Claim a key.
 
         Returns:
-            The claim that is valid now: the new one, or an earlier one of another operation. None where the
+            The claim that is valid now: the new one, or an existing one of another operation. None if the
             table is full.
         """
         existing = self.find(command.key)
@@ -81,11 +81,11 @@
         return command.claim
 
     def rotate(self) -> None:
-        """Forget the claims that were made before the previous rotation."""
+        """Drop the claims that were made before the previous rotation."""
         self.generations = [{}, self.generations[0]]
 
     def copy_generations(self) -> list[dict[bytes, Claim]]:
-        """The generations as they are now; later changes do not show in them."""
+        """A copy of the generations; later changes of the table do not affect it."""
         return [dict(generation) for generation in self.generations]
 
     def to_rows(self) -> list[list[list[Any]]]:
@@ -93,5 +93,5 @@
         return [[[key, *claim] for key, claim in generation.items()] for generation in self.generations]
 
     def load_rows(self, rows: Any) -> None:
-        """Replace the table by one that `to_rows` gave."""
+        """Replace the contents by what `to_rows` returned."""
         self.generations = [{row[0]: Claim(*row[1:]) for row in generation} for generation in rows]
--- a/minthitch/mesh/idempotency/operations.py
+++ b/minthitch/mesh/idempotency/operations.py
@@ -6,13 +6,15 @@
 from collections.abc import Callable
 from enum import StrEnum
 
-MAX_ANSWER_BYTES = 24 * 1024 * 1024  # of stored answers; beyond it the oldest are dropped, their repeats fail
+MAX_ANSWER_BYTES = (
+    24 * 1024 * 1024
+)  # of stored responses; beyond it the oldest are dropped, and their repeats fail
 MAX_OPERATIONS = 100_000
 Fields = tuple[tuple[bytes, bytes], ...]
 
 
 class OperationState(StrEnum):
-    """What is known of an operation. The values travel between sidecars."""
+    """What is known of an operation. The values are sent between sidecars."""
 
     IN_PROGRESS = "at work"
     ANSWERED = "answered"
@@ -41,7 +43,7 @@
         self.request_digest = request_digest
         self.started_at = now
         self.state = OperationState.IN_PROGRESS
-        self.status = 0  # of the answer
+        self.status = 0  # of the response
         self.fields: Fields = ()
         self.body = b""
         self.listeners: list[Callable[[Operation], None]] = []
@@ -57,7 +59,7 @@
         self.answer_bytes = 0
 
     def begin(self, key: bytes, claim_id: bytes, request_digest: bytes, now: float) -> Operation:
-        """Add an operation that is in progress."""
+        """Add an operation in progress."""
         self._evict(now)
         operation = Operation(key, claim_id, request_digest, now)
         self.by_claim_id[claim_id] = self.by_key[key] = operation
@@ -77,7 +79,7 @@
         self.answer_bytes -= len(operation.body)
 
     def record_answer(self, operation: Operation, status: int, fields: Fields, body: bytes) -> None:
-        """The operation ran: repeats get this answer."""
+        """The operation ran: repeated requests get this response."""
         operation.status = status
         operation.fields = fields
         operation.body = body
@@ -86,7 +88,7 @@
         self._limit_answers(operation)
 
     def _limit_answers(self, newest: Operation) -> None:
-        """Drop the oldest answers beyond MAX_ANSWER_BYTES; whether those operations ran is then unknown."""
+        """Drop the oldest responses beyond MAX_ANSWER_BYTES; those operations become UNKNOWN."""
         for operation in self.by_claim_id.values():
             if self.answer_bytes <= MAX_ANSWER_BYTES:
                 break
@@ -97,7 +99,7 @@
                 operation.fields = ()
 
     def record_not_run(self, operation: Operation) -> None:
-        """It never ran and never will under this claim. Has no effect on one that has ended already."""
+        """The operation never ran and never will under this claim. No effect on one that has ended."""
         if operation.state is not OperationState.IN_PROGRESS:
             return
         self._finish(operation, OperationState.NOT_RUN)
@@ -105,7 +107,7 @@
             del self.by_key[operation.key]
 
     def record_unknown(self, operation: Operation) -> None:
-        """It ended without an answer: it may have run, so it is never run again."""
+        """The operation ended without a response: it may have run, so it must not run again."""
         self._finish(operation, OperationState.UNKNOWN)
 
     def _finish(self, operation: Operation, state: OperationState) -> None:
--- a/minthitch/mesh/limits/__init__.py
+++ b/minthitch/mesh/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits: further arrivals of one node, and what a server takes. No I/O and no clock."""
+"""Limits: retries and hedged requests of one sidecar, and the load of a server. No I/O and no clock."""
--- a/minthitch/mesh/limits/bulk.py
+++ b/minthitch/mesh/limits/bulk.py
@@ -1,64 +1,62 @@
 """Receiver-driven admission of large request bodies, so that they cannot congest the receiver's link.
 
-Many senders use one slow link into a server's machine. Bodies that are sent without asking queue up inside
-the network, where neither side can reorder or drop them, and every small request behind them misses its
-deadline. So a sender first offers the size of a large body. The receiver grants offers by priority and due
-time, and keeps the bytes that are granted and have not arrived within a window. An offer that could not be
-served in time is rejected before its body is sent. Pure: times are seconds, passed in.
+Many senders share one slow link into a server's machine. Bodies sent without asking queue up inside the
+network, where neither side can reorder or drop them, and every small request behind them misses its deadline.
+So a sender first offers a large body by its size. The receiver grants offers by priority and due time, and
+limits the bytes that are granted and have not arrived to a window. An offer that can't be served in time is
+rejected before its body is sent. No I/O and no clock: times are seconds, passed in.
 """
 
 from __future__ import annotations
 
 from collections.abc import Hashable
 
-MIN_OFFERED_BYTES = (
-    16 * 1024
-)  # bytes of a body from which on it is offered first: asking costs more than a smaller one
-WINDOW = 96 * 1024  # bytes granted and not received, unless a single body is larger
-MAX_WAITING = 256  # offers that wait for a grant
-DECAY = 0.9  # weight that the earlier measurements of the link keep with each body that arrives
+MIN_OFFERED_BYTES = 16 * 1024  # smaller bodies are sent at once: an offer would cost more than they do
+WINDOW = 96 * 1024  # bytes granted and not received; a larger body is granted alone
+MAX_WAITING = 256  # offers waiting for a grant
+DECAY = 0.9  # factor on earlier measurements of the link with each body that arrives
 
 
 class Offer:
-    """A body that a sender would like to send."""
+    """A large body that a sender asks to send."""
 
     __slots__ = ("key", "size", "priority", "due", "deadline")
 
     def __init__(self, key: Hashable, size: int, priority: int, due: float, deadline: float) -> None:
-        """`due`: when the body has to have arrived to be on time; `deadline`: of its request."""
+        """`due`: by when the body must have arrived to be on time; `deadline`: of its request."""
         self.key, self.size, self.priority, self.due, self.deadline = key, size, priority, due, deadline
 
 
 class BulkAdmission:
-    """Offers to one receiver: those granted, and those that wait for their turn."""
+    """Offers to one receiver: those granted, and those waiting."""
 
     def __init__(self) -> None:
         self.granted: dict[Hashable, Offer] = {}
         self.waiting: list[Offer] = []
         self.outstanding = 0  # bytes granted and not received
-        self._bytes, self._seconds = 0.0, 0.0  # received, and their time, both fading
-        self._since = 0.0  # when the last body arrived, or the first was granted after none was under way
+        self._bytes, self._seconds = 0.0, 0.0  # received, and the time it took, both decaying
+        self._since = 0.0  # when the last body arrived, or, if none was in flight, the first was granted
 
     @property
     def rate(self) -> float:
-        """Bytes a second that arrive while bodies are under way; infinite while none has arrived."""
+        """Bytes per second that arrive while bodies are in flight; infinite before the first has arrived."""
         return self._bytes / self._seconds if self._seconds > 0.0 else float("inf")
 
     def expected_wait(self, priority: int) -> float:
-        """Seconds until a body offered now with this priority would be granted, about."""
+        """Roughly how many seconds a body offered now with this priority would wait for its grant."""
         return max(self._bytes_ahead(priority) - WINDOW, 0) / self.rate
 
     def offer(self, now: float, offer: Offer) -> bool | None:
         """A body is offered.
 
         Returns:
-            True: granted. False: it waits. None: rejected, as it could not arrive by `due`.
+            True: granted. False: it waits. None: rejected, as it can't arrive by `due` or too many wait.
         """
         if not self.waiting and self._fits(offer):
             self._grant(now, offer)
             return True
-        here_at = now + (self._bytes_ahead(offer.priority) + offer.size) / self.rate
-        if len(self.waiting) >= MAX_WAITING or here_at > offer.due:
+        arrives_at = now + (self._bytes_ahead(offer.priority) + offer.size) / self.rate
+        if len(self.waiting) >= MAX_WAITING or arrives_at > offer.due:
             return None
         self.waiting.append(offer)
         return False
@@ -74,7 +72,7 @@
         self._since = now
 
     def withdrawn(self, _now: float, key: Hashable) -> None:
-        """The sender does not need it any more, or is lost."""
+        """The sender does not need it any more, or its connection is lost."""
         offer = self.granted.pop(key, None)
         if offer is not None:
             self.outstanding -= offer.size
@@ -82,9 +80,9 @@
         self.waiting = [other for other in self.waiting if other.key != key]
 
     def next(self, now: float) -> tuple[list[Hashable], list[Hashable]]:
-        """After something arrived or was withdrawn: the keys granted now, and those whose time is over."""
+        """After something arrived or was withdrawn: the keys granted now, and those that are too late."""
         for key in [key for key, offer in self.granted.items() if offer.deadline < now]:
-            # A sender that is lost must not occupy the window.
+            # A sender that failed must not occupy the window.
             self.outstanding -= self.granted.pop(key).size
         late = [offer.key for offer in self.waiting if offer.due <= now]
         self.waiting = [offer for offer in self.waiting if offer.due > now]
@@ -99,7 +97,7 @@
         return grants, late
 
     def _bytes_ahead(self, priority: int) -> int:
-        """Bytes that come before a body of this priority offered now."""
+        """Bytes that would arrive before a body of this priority offered now."""
         return self.outstanding + sum(offer.size for offer in self.waiting if offer.priority <= priority)
 
     def _fits(self, offer: Offer) -> bool:
--- a/minthitch/mesh/limits/gate.py
+++ b/minthitch/mesh/limits/gate.py
@@ -1,27 +1,27 @@
 """Admission at one server: which requests start, which are queued, and which are rejected.
 
-The gate counts exactly what runs, so it can reject a request before the server has seen it: that request
-has not run, and another server may be asked at once. Times are seconds, passed in.
+The gate counts the running requests exactly, so it can reject a request before the server has seen it: that
+request has not run, and may go to another server at once. Times are seconds, passed in.
 """
 
 from __future__ import annotations
 
 from typing import Generic, TypeVar
 
-MAX_QUEUED = 256  # requests, whatever their deadlines: a bound on memory
-# What a request is expected to need before any has ended: so many seconds, or that fraction of its latency
-# target where it is more. After a restart servers are slow and nothing is known.
+MAX_QUEUED = 256  # requests, whatever their deadlines: bounds the memory
+# Expected duration of a request while none on its route has ended: this many seconds, or this fraction of its
+# latency target if that is longer. After a restart servers are slow and nothing is known.
 INITIAL_MEAN_S = 0.1
 INITIAL_FRACTION = 0.5
 SMOOTHING = 0.05  # weight of the newest duration in a mean
-MAX_ROUTES = 4_000  # routes whose means are kept
-URGENT = 0  # priority of requests for which others wait while they occupy a slot: they may come late
-MIN_TIME_FRACTION = 0.5  # of what a request expected_duration: with less time left it is not started
-# A full server hangs if no slot has become free for so many seconds, and so many mean durations.
+MAX_ROUTES = 4_000  # whose mean durations are kept
+# Priority of nested calls. Their callers occupy a slot while they wait, so these may miss their target.
+URGENT = 0
+MIN_TIME_FRACTION = 0.5  # of its expected duration: a request with less time left is not started
+# A full server counts as stuck if no slot has become free for this many seconds and this many mean durations.
 STUCK_S, STUCK_MEANS = 0.5, 3.0
-MAX_DEADLINE_FRACTION = (
-    0.8  # of the time to its deadline in which an urgent request has to be expected to end
-)
+# An urgent request is accepted if it is expected to end within this fraction of the time to its deadline.
+MAX_DEADLINE_FRACTION = 0.8
 
 Job = TypeVar("Job")
 
@@ -29,7 +29,7 @@
 class QueuedRequest(Generic[Job]):
     """One request in the queue.
 
-    `due`: until then its answer has its full value; `expected_duration`: expected seconds.
+    `due`: when its latency target ends; `expected_duration`: in seconds, at the server.
     """
 
     __slots__ = ("job", "priority", "due", "deadline", "expected_duration")
@@ -46,28 +46,28 @@
         )
 
     def sort_key(self, now: float) -> tuple[int, bool, float]:
-        """Sort key, the lowest first: priority; those that can be on time; the earliest of them."""
+        """The lowest goes first: by priority, then those that can still be on time, then by `due`."""
         return self.priority, now + self.expected_duration > self.due, self.due
 
 
 class Gate(Generic[Job]):
-    """Slots of one server, and the queue for them."""
+    """The slots of one server, and the queue for them."""
 
     def __init__(self, slots: int) -> None:
         self.slots, self.running = slots, 0
-        self.last_change = 0.0  # when a slot was occupied or became free last
+        self.last_change = 0.0  # when a slot was last occupied or became free
         self.queue: list[QueuedRequest[Job]] = []
         self.mean = INITIAL_MEAN_S
-        self.means: dict[str, tuple[float, int]] = {}  # by route: seconds, and how many ended
+        self.means: dict[str, tuple[float, int]] = {}  # by route: mean duration, and how many ended
 
     def expected_duration(self, route: str, latency_target: float) -> float:
-        """Expected seconds at the server; by the latency target where the route is not known yet."""
+        """Expected seconds at the server: the route's mean, else derived from the latency target."""
         known = self.means.get(route)
         return known[0] if known is not None else max(INITIAL_FRACTION * latency_target, INITIAL_MEAN_S)
 
     @property
     def queued(self) -> int:
-        """How many requests wait."""
+        """How many requests are queued."""
         return len(self.queue)
 
     def expected_wait(self, priority: int) -> float:
@@ -81,12 +81,12 @@
         """A request has come.
 
         Returns:
-            True: it starts now. False: it waits. None: it is rejected, and has not run.
+            True: it starts now. False: it is queued. None: it is rejected, and has not run.
         """
         if self.running < self.slots and not self.queue:
             self.running, self.last_change = self.running + 1, now
             return True
-        # A request that waits and is not served in the end has cost its client the time for another server.
+        # Queueing a request that is not served in the end would cost its client the time for another server.
         ends = now + self.expected_wait(waiting.priority) + waiting.expected_duration
         latest = waiting.due
         if waiting.priority <= URGENT:
@@ -97,11 +97,11 @@
         return False
 
     def stuck(self, now: float) -> bool:
-        """Whether its server hangs: queued requests should go to another one."""
+        """Whether the server hangs: queued requests should go to another one."""
         return self.running >= self.slots and now - self.last_change > max(STUCK_S, STUCK_MEANS * self.mean)
 
     def ended(self, route: str, duration: float | None) -> None:
-        """A slot has become free after `duration` seconds; None where that proves nothing."""
+        """A slot has become free after `duration` seconds; None if that tells nothing about the route."""
         self.running = max(self.running - 1, 0)
         if duration is None:
             return
@@ -111,7 +111,7 @@
             self.means[route] = mean + max(SMOOTHING, 1.0 / (count + 1)) * (duration - mean), count + 1
 
     def next(self, now: float) -> tuple[list[Job], list[Job]]:
-        """After a slot has become free: those that start now, and those rejected as their time is over."""
+        """After a slot has become free: the jobs that start now, and those rejected as their time is over."""
         self.last_change = now
         starts: list[Job] = []
         late = [w for w in self.queue if now + MIN_TIME_FRACTION * w.expected_duration > w.deadline]
@@ -127,7 +127,7 @@
         return starts, [w.job for w in late]
 
     def remove(self, job: Job) -> bool:
-        """Take one out of the queue; whether it was there."""
+        """Remove a job from the queue; whether it was queued."""
         for waiting in self.queue:
             if waiting.job is job:
                 self.queue.remove(waiting)
@@ -135,6 +135,6 @@
         return False
 
     def clear(self) -> list[Job]:
-        """Take all out of the queue: the server accepts nothing more."""
+        """Empty the queue and return its jobs: the server accepts nothing more."""
         jobs, self.queue = [w.job for w in self.queue], []
         return jobs
--- a/minthitch/mesh/limits/lease.py
+++ b/minthitch/mesh/limits/lease.py
@@ -1,26 +1,26 @@
 """Leases on the retry allowance of each service, granted to the sidecars by the leading control node.
 
 An amount is how much of the allowance a sidecar may use at once: its charges of the last T + ARRIVAL_S
-seconds (`limits.budget`) are never more than the amount that it has when it makes one. The control node
-keeps, for each run of a sidecar, an upper bound on what that run may have, and grants only what all upper
-bounds together leave. Why no window has more than the allowance:
+seconds (`limits.budget`) never exceed the amount that it has when it makes one. The control node keeps, for
+each run of a sidecar, an upper bound on what that run may have, and grants only what the sum of all upper
+bounds leaves. Why no window has more than the allowance:
 
 - **Returned.** A sidecar that is granted less spends no more than that, and its next report says that it
   has max(the new amount, its charges that still count); only then does the control node lower its bound.
   What is returned was not spent in any window that is still open.
-- **Lost.** A lease lasts LEASE_S seconds: at the sidecar from when it sent the report that the lease
-  answers, at the control node from when that report came, which is later. A freeze or a slow message
-  shortens the one and lengthens the other. The control node keeps a bound CLOCK_MARGIN_S + T + ARRIVAL_S
-  longer than that, until what was spent last counts in no window. A later run at the same address proves
-  that the one before has ended.
-- **Another leader.** A control node grants only while it surely leads, so its leases began before any later
-  leader's time. A sidecar that knows of a later leader takes nothing of an earlier one, and reports of whom
-  it knows. The new leader counts what such reports say as leased, which sums to at most the allowance, and
-  moves only that, until all that it can't know of has expired. Before the first leader of all nothing was
-  leased.
-- **A new run** of a sidecar has nothing; a lease answers one run's report.
-
-Steady clocks only, each machine's own; CLOCK_MARGIN_S covers what two of them differ in rate.
+- **Expired.** A lease lasts LEASE_S seconds: at the sidecar from when it sent the report that the lease
+  answers, at the control node from when that report arrived, which is later. A suspended process or a slow
+  message shortens the lease at the sidecar and lengthens it at the control node. The control node keeps a
+  bound CLOCK_MARGIN_S + T + ARRIVAL_S longer than that, until what was spent last counts in no window. A
+  later run at the same address proves that the one before has ended.
+- **Another leader.** A control node grants only while it is certain to lead, so its leases began before any
+  later leader's term. A sidecar that knows of a later leader accepts no lease of an earlier one, and its
+  reports name the newest term it knows. The new leader counts what such reports say as leased, which sums to
+  at most the allowance, and redistributes only that, until every lease that it can't know of has expired.
+  Before the very first leader nothing was leased.
+- **A new run** of a sidecar has nothing; a lease answers the report of one run.
+
+Only monotonic clocks are used, each machine's own; CLOCK_MARGIN_S covers the difference in their rates.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 
 from minthitch.mesh.limits.budget import ARRIVAL_S
 
-LEASE_S = 6.0  # a partition of the core or a change of leader is survived
-CLOCK_MARGIN_S = 0.5  # by which two steady clocks may differ over all that
-GRANTED_FRACTION = 0.9  # of the allowance: the rest covers what budget.py says is not bounded
-RECENT_REPORT_S = 2.5  # since its last report within which a sidecar takes part in the distribution
-NOT_NEEDED = -1  # the amount wanted by a sidecar that has no use for any
+LEASE_S = 6.0  # long enough to outlast a short partition of the control nodes or a change of leader
+CLOCK_MARGIN_S = 0.5  # by which two monotonic clocks may drift apart over the life of a bound
+GRANTED_FRACTION = 0.9  # of the allowance: the rest covers what `limits.budget` lists as not bounded
+RECENT_REPORT_S = 2.5  # a sidecar whose last report is older takes no part in the distribution
+NOT_NEEDED = -1  # as wanted amount: the sidecar needs none, not even a share of what is left over
 MAX_ROWS = 64  # services in one report
 MAX_SUBSCRIBERS = 20_000  # runs of sidecars that are known
-MAX_REPORTS = 64  # whose times a sidecar remembers
+MAX_REPORTS = 64  # whose sending times a sidecar remembers
 MAX_PENDING = 32  # leases to one sidecar that no report has confirmed yet
 
 ReportRow = tuple[str, int, int]  # service, amount leased, amount wanted or NOT_NEEDED
@@ -63,7 +63,7 @@
 
 
 class LeaseClient:
-    """The sidecar's side. Times are seconds of its steady clock read just now."""
+    """The sidecar's side. Times are seconds of its monotonic clock read just now."""
 
     def __init__(self, spent: Callable[[str, float], int]) -> None:
         """`spent`: charges to the allowance of a service that still count."""
@@ -72,7 +72,7 @@
         self.report_number = 0
         self.amounts: dict[str, int] = {}
         self._spent = spent
-        self._sent_at: dict[int, float] = {}  # by number of the report
+        self._sent_at: dict[int, float] = {}  # by report number
         self._expires_at = float("-inf")
 
     def amount(self, service: str, now: float) -> int:
@@ -84,7 +84,7 @@
         self.report_number += 1
         self._sent_at[self.report_number] = now
         self._sent_at.pop(self.report_number - MAX_REPORTS, None)
-        if now >= self._expires_at:  # nothing more can be spent before another lease
+        if now >= self._expires_at:  # nothing more can be spent before the next lease
             self.amounts.clear()
         rows = tuple(
             (name, max(self.amounts.get(name, 0), self._spent(name, now)), amount) for name, amount in wanted
@@ -92,9 +92,9 @@
         return Report(self.term, self.report_number, self.lease_number, rows)
 
     def on_term(self, term: int) -> None:
-        """There is a leader of that term.
+        """A leader of `term` is known.
 
-        A late lease of an earlier one is not in what the new one counts.
+        A late lease of an earlier leader must not be taken: the new leader does not count it.
         """
         if term > self.term:
             self.term = term
@@ -138,7 +138,7 @@
         self.next_rows: dict[str, int] = {}  # amounts to be granted with the next lease
 
     def upper_bound(self, service: str) -> int:
-        """The largest amount that it may have."""
+        """The largest amount that this run may have."""
         largest = max(self.leased.get(service, 0), self.next_rows.get(service, 0))
         for _, rows in self.pending:
             for name, amount in rows:
@@ -147,7 +147,7 @@
         return largest
 
     def on_report(self, now: float, report: Report) -> None:
-        """Take what a newer report says."""
+        """Update from a newer report."""
         self.report_number = report.report_number
         self.last_report_at = now
         self.expires_at = now + LEASE_S
@@ -157,7 +157,7 @@
 
 
 class LeaseGranter:
-    """The control node's side. Times are seconds of its steady clock read just now."""
+    """The control node's side. Times are seconds of its monotonic clock read just now."""
 
     def __init__(self, allowance: float, window: float) -> None:
         """`allowance`: that of each service; `window`: seconds over which charges count."""
@@ -199,7 +199,7 @@
         return subscriber
 
     def distribute(self, now: float) -> None:
-        """Decide anew how much each sidecar gets; the next leases tell them."""
+        """Recalculate how much each sidecar gets; the next leases carry the result."""
         expired = [key for key, one in self.subscribers.items() if one.expires_at + self._retention_s < now]
         for key in expired:
             del self.subscribers[key]
@@ -211,9 +211,9 @@
             self._distribute(now, service, [one for one in recent if service in one.leased])
 
     def _available(self, now: float, service: str) -> int:
-        """How much there is to grant.
+        """How much may be leased in total.
 
-        What can't be known may be leased to runs that have not reported yet.
+        After a change of leader the rest may be leased to runs that have not reported yet.
         """
         if now >= self._unknown_until:
             return self._allowance
@@ -235,7 +235,7 @@
                 subscriber.next_rows[service] = bound + more
 
     def grant(self, ip: str, epoch: int) -> Lease | None:
-        """The lease for that run of a sidecar, while this node surely leads; None where nothing is new."""
+        """The lease for that run of a sidecar, while this node is certain to lead; None if nothing is new."""
         subscriber = self.subscribers.get((ip, epoch))
         if subscriber is None:
             return None
@@ -251,7 +251,7 @@
         return Lease(self._term, subscriber.lease_number, subscriber.report_number, rows)
 
     def status(self) -> dict[str, dict[str, int]]:
-        """By service: what all runs may have, and want."""
+        """By service: what all runs together may have, and what they want."""
         subscribers = self.subscribers.values()
         names = {name for subscriber in subscribers for name in subscriber.leased}
         return {
@@ -264,7 +264,7 @@
 
 
 def _targets(available: int, wanted: list[int]) -> list[int]:
-    """Amounts for each: what is wanted and an even part of the rest; in proportion where it is too much."""
+    """The amount for each: what it wants and an equal share of the rest; proportional if that is too much."""
     total = sum(max(amount, 0) for amount in wanted)
     if total > available:
         return [available * max(amount, 0) // total for amount in wanted]
--- a/minthitch/mesh/limits/nested.py
+++ b/minthitch/mesh/limits/nested.py
@@ -1,26 +1,24 @@
-"""Which routes carry calls that the sidecar's own server makes while it runs a request.
+"""Detects which routes carry nested calls: calls that the sidecar's own server makes while it runs a request.
 
-Nobody states that, so it is inferred: such a call has the run that makes it beside it, so it never comes
-while nothing runs at the server. A client's request comes at any time. So a route whose requests were never
-seen while nothing ran is one of nested calls.
+Requests do not say so, so it is inferred. The request that makes a nested call is still running, so a nested
+call never comes while the server runs nothing; a client's request comes at any time. A route whose requests
+were never seen while nothing ran carries nested calls.
 """
 
 from __future__ import annotations
 
-MIN_REQUESTS = 5  # from so many on a route may be one of nested calls
-MAX_ROUTES = 4_000  # a bound on memory
+MIN_REQUESTS = 5  # a route with no more requests than this does not count as one of nested calls
+MAX_ROUTES = 4_000  # bounds the memory
 
 
 class NestedCallDetector:
-    """What one sidecar has seen of its routes."""
+    """The requests that one sidecar has seen, by route."""
 
     def __init__(self) -> None:
-        self.request_counts: dict[
-            str, int
-        ] = {}  # requests on each so far; -1 once it is known to be clients'
+        self.request_counts: dict[str, int] = {}  # by route; -1 once it is known to carry clients' requests
 
     def record(self, route: str, running: int) -> bool:
-        """A request has come while `running` ran at the own server; whether it counts as a nested call."""
+        """A request has come while `running` ran at the server; whether it counts as a nested call."""
         count = self.request_counts.get(route, 0)
         if count < 0:
             return False
@@ -33,9 +31,9 @@
         return count > MIN_REQUESTS
 
     def may_be_nested(self, route: str) -> bool:
-        """Whether no request on it is known to be a client's."""
+        """Whether no request on this route is known to be a client's."""
         return self.request_counts.get(route, 0) >= 0
 
     def is_nested(self, route: str) -> bool:
-        """Whether its requests count as nested calls."""
+        """Whether the requests on this route count as nested calls."""
         return self.request_counts.get(route, 0) > MIN_REQUESTS
--- a/minthitch/mesh/registry/merged_views.py
+++ b/minthitch/mesh/registry/merged_views.py
@@ -1,4 +1,4 @@
-"""What a sidecar learns from several control nodes, merged into one list of endpoints."""
+"""Merges what a sidecar learns from several control nodes into one list of endpoints."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 class MergedViews:
     """The newest record of each address, over the views of all control nodes.
 
-    A record that several control nodes send alike is stored once; what an update does not touch is not
-    looked at.
+    Equal records from several control nodes are stored once. An update costs only the work for the addresses
+    it contains.
     """
 
     def __init__(self) -> None:
@@ -22,7 +22,7 @@
         self._stale = ""  # the disconnected control node whose view is used while there is no other
 
     def update(self, now: float, source: str, delta: RegistryDelta) -> bool:
-        """Take an update of a control node; whether the merged list has changed for those who act on it."""
+        """Apply an update from a control node; whether published fields of the merged list have changed."""
         if delta.complete or source not in self._complete_since:
             self._complete_since[source] = now
         if source == self._stale:
@@ -42,7 +42,7 @@
     def disconnect(self, source: str) -> bool:
         """The connection to a control node is lost; whether the merged list has changed.
 
-        The last view stays in use: a sidecar without control nodes goes on with what it knows.
+        The last remaining view stays in use: a sidecar without control nodes continues with what it knows.
         """
         if source not in self.views:
             return False
@@ -56,7 +56,7 @@
         return self._merge(self.views.pop(source, {}))
 
     def expire(self, now: float) -> bool:
-        """Drop the stale view once another control node has had the time to learn of all sidecars."""
+        """Drop the stale view once all other control nodes have had the time to learn of all sidecars."""
         complete = [since for source, since in self._complete_since.items() if source != self._stale]
         if not self._stale or not complete or min(complete) > now - EXPIRY_S:
             return False
--- a/minthitch/mesh/registry/records.py
+++ b/minthitch/mesh/registry/records.py
@@ -1,4 +1,4 @@
-"""What a sidecar reports of itself and of the server beside it."""
+"""What a sidecar reports about itself and about the server beside it."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
     UP = "up"
     DRAINING = "draining"
-    NONE = "none"  # its sidecar counts it as lost
+    NONE = "none"  # its sidecar considers it lost
 
 
 class SidecarRecord(NamedTuple):
-    """One sidecar's report. The order of its fields is that on the wire."""
+    """One sidecar's report. The order of the fields is the wire format."""
 
     ip: str
     port: int
-    epoch: int  # of this run of the sidecar: later ones are larger
-    sequence: int  # of reports within the epoch
+    epoch: int  # of this run of the sidecar: later runs have larger ones
+    sequence: int  # number of the report within the epoch
     zone: str
     service: str
     server_id: str  # id of this run of the server; empty while none is known
-    capacity: int  # requests that the server takes at once
+    capacity: int  # requests that the server handles at a time
     state: str  # a ServerState
-    slow_start_s: float  # seconds that the server is still slow, as of the report
-    serving: bool  # whether the sidecar takes requests for it
+    slow_start_s: float  # for how long the server will still be slow, as of the report
+    serving: bool  # whether the sidecar accepts requests for the server
 
 
 def is_newer(record: SidecarRecord, other: SidecarRecord | None) -> bool:
--- a/minthitch/mesh/registry/registry.py
+++ b/minthitch/mesh/registry/registry.py
@@ -6,12 +6,12 @@
 
 from minthitch.mesh.registry.records import SidecarRecord, is_newer, published_fields
 
-EXPIRY_S = 2.5  # without a report for so long a sidecar is dropped; heartbeats come every 0.5 s
-MAX_RECORDS = 20_000  # more is a fault, and would fill the memory
+EXPIRY_S = 2.5  # without contact for this long a sidecar is dropped; heartbeats come every 0.5 s
+MAX_RECORDS = 20_000  # more means a malfunction, and could exhaust the memory
 
 
 class RegistryDelta(NamedTuple):
-    """What changed after a version; with `complete`, all records that there are."""
+    """The changes after a version; if `complete`, all records."""
 
     complete: bool
     changed: list[SidecarRecord]
@@ -19,16 +19,18 @@
 
 
 class Registry:
-    """`version` grows with each change that others have to be notified of."""
+    """Records by address. `version` increases with each change that sidecars must be notified of."""
 
     def __init__(self) -> None:
         self.records: dict[str, SidecarRecord] = {}  # by address
         self.version = 0
         self._last_contact: dict[str, float] = {}
-        self._changed_at: dict[str, int] = {}  # version of the last change or drop, in the order of versions
+        self._changed_at: dict[
+            str, int
+        ] = {}  # by address: version of the last change or drop, in ascending order
 
     def update(self, now: float, record: SidecarRecord) -> bool:
-        """Take a report; whether others have to be notified."""
+        """Apply a report; whether sidecars must be notified."""
         known = self.records.get(record.ip)
         if known is not None and not is_newer(record, known):
             return False
@@ -42,7 +44,7 @@
         return True
 
     def refresh(self, ip: str, epoch: int, last_contact: float) -> None:
-        """The connection of that run of a sidecar was alive then: it need not repeat its report."""
+        """That run's connection was alive at `last_contact`: the sidecar need not repeat its report."""
         known = self.records.get(ip)
         if known is not None and known.epoch == epoch:
             self._last_contact[ip] = max(self._last_contact[ip], last_contact)
@@ -63,7 +65,7 @@
         return bool(expired)
 
     def since(self, version: int) -> RegistryDelta:
-        """What changed after `version`. The work is that of what changed, not of all records."""
+        """The changes after `version`. The cost depends on their number, not on that of all records."""
         if version <= 0:
             return RegistryDelta(True, list(self.records.values()), [])
         touched: list[str] = []
