--- a/tests/mesh/test_budget.py
+++ b/tests/mesh/test_budget.py
@@ -1,6 +1,4 @@
-"""The shared budget: sidecars and control nodes in virtual time, every window of the history counted
-afterwards.
-"""
+"""The shared retry budget: sidecars and control nodes in virtual time, then a check of every time window."""
 
 from __future__ import annotations
 
@@ -27,13 +25,13 @@
 from rigs.simulation.schedule import Fault
 
 RATIO, SLACK, WINDOW = 0.2, 60.0, 10.0
-STEP, EVERY = 0.02, 0.5  # seconds of a step of the world, and between two reports
-Shape = Callable[[float, int], float]  # (time, number of the sidecar) -> requests a second
-When = Callable[[float, int], bool]  # the same -> whether that sidecar spends then
+STEP_S, REPORT_INTERVAL_S = 0.02, 0.5  # seconds of a simulation step, and between two reports
+Load = Callable[[float, int], float]  # (time, number of the sidecar) -> requests a second
+SpendTimes = Callable[[float, int], bool]  # the same -> whether that sidecar spends then
 
 
 class SidecarNode:
-    """One machine; `begin` is a new life."""
+    """One machine; `begin` starts a new run of its sidecar."""
 
     def __init__(self, number: int, offset: float) -> None:
         self.ip, self.number, self.offset, self.epoch = f"v{number}", number, offset, 0
@@ -47,54 +45,56 @@
 
 
 class World:
-    """All sidecars, whoever leads, and messages that take their time. Sidecars spend whatever they have."""
+    """All sidecars, the leader, and messages with delays. Sidecars spend whatever they may."""
 
-    def __init__(self, seed: int, sidecars: int, shape: Shape, when: When = lambda now, number: True) -> None:
-        self.rng, self.shape, self.when = random.Random(seed), shape, when
+    def __init__(
+        self, seed: int, sidecars: int, load: Load, spends_at: SpendTimes = lambda now, number: True
+    ) -> None:
+        self.rng, self.load, self.spends_at = random.Random(seed), load, spends_at
         self.now, self.term = 0.0, 1
         self.sidecars = [SidecarNode(n, self.rng.uniform(0.0, 1000.0)) for n in range(sidecars)]
-        self.lender: LeaseGranter | None = LeaseGranter(SLACK, WINDOW)
-        self.first, self.dark = True, False
-        self.mail: list[tuple[float, Callable[[], None]]] = []
-        self.asked: list[float] = []
-        self.further: list[float] = []
+        self.granter: LeaseGranter | None = LeaseGranter(SLACK, WINDOW)
+        self.first, self.partitioned = True, False
+        self.in_flight: list[tuple[float, Callable[[], None]]] = []
+        self.request_times: list[float] = []
+        self.extra_times: list[float] = []
 
-    # What befalls them
+    # Events
 
     def new_leader(self) -> None:
         self.term, self.first = self.term + 1, False
-        self.lender = LeaseGranter(SLACK, WINDOW)
+        self.granter = LeaseGranter(SLACK, WINDOW)
 
     def post(self, deliver: Callable[[], None]) -> None:
-        self.mail.append((self.now + self.rng.choice((0.001, 0.01, 0.3)), deliver))
+        self.in_flight.append((self.now + self.rng.choice((0.001, 0.01, 0.3)), deliver))
 
     # Time
 
     def run(self, until: float, *actions: tuple[float, Callable[[], None]]) -> None:
-        todo = sorted(actions, key=lambda action: action[0])
+        pending = sorted(actions, key=lambda action: action[0])
         while self.now < until:
-            self.now = round(self.now + STEP, 6)
-            while todo and todo[0][0] <= self.now:
-                todo.pop(0)[1]()
-            due = [deliver for at, deliver in self.mail if at <= self.now]
-            self.mail = [row for row in self.mail if row[0] > self.now]
+            self.now = round(self.now + STEP_S, 6)
+            while pending and pending[0][0] <= self.now:
+                pending.pop(0)[1]()
+            due = [deliver for at, deliver in self.in_flight if at <= self.now]
+            self.in_flight = [row for row in self.in_flight if row[0] > self.now]
             for deliver in due:
                 deliver()
-            if round(self.now / STEP) % round(EVERY / STEP) == 0:
-                self._share()
+            if round(self.now / STEP_S) % round(REPORT_INTERVAL_S / STEP_S) == 0:
+                self._distribute()
                 for sidecar in self.sidecars:
                     self._report(sidecar)
             for sidecar in self.sidecars:
-                self._people(sidecar)
+                self._generate_load(sidecar)
 
-    def _share(self) -> None:
-        lender = self.lender
-        if lender is None or self.dark:
+    def _distribute(self) -> None:
+        granter = self.granter
+        if granter is None or self.partitioned:
             return
-        lender.on_leadership(self.now, self.term, is_first_leader=self.first)
-        lender.distribute(self.now)
+        granter.on_leadership(self.now, self.term, is_first_leader=self.first)
+        granter.distribute(self.now)
         for sidecar in self.sidecars:
-            lease = lender.grant(sidecar.ip, sidecar.epoch)
+            lease = granter.grant(sidecar.ip, sidecar.epoch)
             if lease is not None and not sidecar.cut:
                 self.post(partial(self._leased, sidecar, sidecar.epoch, lease))
 
@@ -112,54 +112,56 @@
         now = self.now + sidecar.offset
         sidecar.lease_client.on_term(self.term if not sidecar.cut else 0)
         report = sidecar.lease_client.report(now, [("s", sidecar.budget.wanted(now))])
-        lender = self.lender
-        if lender is not None and not sidecar.cut and not self.dark:
-            lender.on_leadership(self.now, self.term, is_first_leader=self.first)
-            self.post(lambda: self._heard(lender, sidecar.ip, sidecar.epoch, report))
+        granter = self.granter
+        if granter is not None and not sidecar.cut and not self.partitioned:
+            granter.on_leadership(self.now, self.term, is_first_leader=self.first)
+            self.post(lambda: self._on_report(granter, sidecar.ip, sidecar.epoch, report))
 
-    def _heard(self, lender: LeaseGranter, ip: str, epoch: int, report: Report) -> None:
-        if lender is self.lender and not self.dark:
-            lender.on_report(self.now, ip, epoch, report)
+    def _on_report(self, granter: LeaseGranter, ip: str, epoch: int, report: Report) -> None:
+        if granter is self.granter and not self.partitioned:
+            granter.on_report(self.now, ip, epoch, report)
 
-    def _people(self, sidecar: SidecarNode) -> None:
+    def _generate_load(self, sidecar: SidecarNode) -> None:
         now = self.now + sidecar.offset
-        rate = self.shape(self.now, sidecar.number)
-        for _ in range(int(rate * STEP + self.rng.random())):
-            self.asked.append(self.now)
+        rate = self.load(self.now, sidecar.number)
+        for _ in range(int(rate * STEP_S + self.rng.random())):
+            self.request_times.append(self.now)
             if not sidecar.down and not sidecar.frozen:
                 sidecar.budget.record_request(now)
-        if not sidecar.down and not sidecar.frozen and self.when(self.now, sidecar.number):
-            while self._copy(sidecar, now):
+        if not sidecar.down and not sidecar.frozen and self.spends_at(self.now, sidecar.number):
+            while self._send_extra(sidecar, now):
                 pass
 
-    def _copy(self, sidecar: SidecarNode, now: float) -> bool:
+    def _send_extra(self, sidecar: SidecarNode, now: float) -> bool:
         if sidecar.budget.spend(now) is None:
             return False
-        self.further.append(self.now + self.rng.choice((0.0, 0.05, ARRIVAL_S)))
+        self.extra_times.append(self.now + self.rng.choice((0.0, 0.05, ARRIVAL_S)))
         return True
 
 
-def use(asked: list[float], further: list[float]) -> float:
-    """Most of its bound that any window used: over 1 where the rule was broken."""
-    asked, further = sorted(asked), sorted(further)
+def max_usage(request_times: list[float], extra_times: list[float]) -> float:
+    """The largest fraction of its bound in any window: over 1 if the rule was broken."""
+    request_times, extra_times = sorted(request_times), sorted(extra_times)
 
     def within(times: list[float], since: float, until: float) -> int:
         return bisect_right(times, until) - bisect_right(times, since)
 
     most = 0.0
-    for at in further:
-        requests = max(within(asked, at - back - WINDOW, at - back) for back in (0.0, WINDOW / 2, WINDOW))
-        most = max(most, within(further, at - WINDOW, at) / (RATIO * requests + SLACK))
+    for at in extra_times:
+        requests = max(
+            within(request_times, at - back - WINDOW, at - back) for back in (0.0, WINDOW / 2, WINDOW)
+        )
+        most = max(most, within(extra_times, at - WINDOW, at) / (RATIO * requests + SLACK))
     return most
 
 
-def in_turn(now: float, number: int) -> float:
-    """Half of the sidecars have all the load for a window, then the others."""
+def alternating_load(now: float, number: int) -> float:
+    """Half of the sidecars have all the load for one window, then the other half."""
     return 40.0 if int(now / WINDOW) % 2 == number % 2 else 0.0
 
 
-def at_its_end(now: float, number: int) -> bool:
-    """They spend at the end of their time."""
+def at_end_of_load(now: float, number: int) -> bool:
+    """Sidecars spend only at the end of their window of load."""
     return WINDOW - 0.1 < (now - WINDOW * (number % 2)) % (2 * WINDOW) < WINDOW
 
 
@@ -167,61 +169,61 @@
     return False
 
 
-def even(rate: float) -> Shape:
+def even(rate: float) -> Load:
     return lambda now, number: rate
 
 
-def drawn(world: World, rng: random.Random) -> None:
-    """Something happens."""
+def random_fault(world: World, rng: random.Random) -> None:
+    """Apply a random fault, or end one."""
     sidecar = rng.choice(world.sidecars)
-    kind = rng.choice(("cut", "frozen", "down", "down", "leader", "dark"))
+    kind = rng.choice(("cut", "frozen", "down", "down", "leader", "partitioned"))
     if kind == "leader":
         world.new_leader()
-    elif kind == "dark":
-        world.dark = not world.dark
+    elif kind == "partitioned":
+        world.partitioned = not world.partitioned
     else:
         setattr(sidecar, kind, not getattr(sidecar, kind))
         if kind == "down" and not sidecar.down:
             sidecar.begin()
 
 
-class Sums(unittest.TestCase):
-    """Sidecars that spend all they may: the hardest for the bound."""
+class GlobalBound(unittest.TestCase):
+    """Sidecars that spend all they may: the hardest case for the bound."""
 
-    def kept(self, world: World, least: float = 0.0) -> None:
-        used = use(world.asked, world.further)
+    def assert_within_bound(self, world: World, least: float = 0.0) -> None:
+        used = max_usage(world.request_times, world.extra_times)
         self.assertLessEqual(used, 1.0)
         self.assertGreaterEqual(used, least)
 
-    def test_an_even_load_uses_much_of_the_bound_and_never_more(self) -> None:
+    def test_even_load_uses_most_of_the_bound_and_never_more(self) -> None:
         for seed in range(3):
             world = World(seed, 8, even(12.0))
             world.run(45.0)
-            self.kept(world, 0.85)
+            self.assert_within_bound(world, 0.85)
 
     def test_load_that_moves_between_sidecars_or_ceases(self) -> None:
-        for seed, shape in enumerate(
+        for seed, load in enumerate(
             (
-                in_turn,
+                alternating_load,
                 lambda now, number: 30.0 if now % 20.0 < 10.0 else 0.0,
                 lambda now, number: 48.0 if now % 15.0 < 0.5 else 0.5,
             )
         ):
-            world = World(seed, 6, shape)
+            world = World(seed, 6, load)
             world.run(60.0)
-            self.kept(world)
-        world = World(1, 6, in_turn, at_its_end)
+            self.assert_within_bound(world)
+        world = World(1, 6, alternating_load, at_end_of_load)
         world.run(60.0)
-        self.kept(world)
+        self.assert_within_bound(world)
 
-    def test_core_cut_for_four_and_a_half_seconds(self) -> None:
+    def test_control_nodes_unreachable_for_four_and_a_half_seconds(self) -> None:
         world = World(1, 6, even(10.0))
 
-        def dark() -> None:
-            world.dark = not world.dark
+        def partitioned() -> None:
+            world.partitioned = not world.partitioned
 
-        world.run(50.0, (20.0, dark), (24.5, dark))
-        self.kept(world, 0.8)
+        world.run(50.0, (20.0, partitioned), (24.5, partitioned))
+        self.assert_within_bound(world, 0.8)
 
     def test_sidecars_restart_in_turn(self) -> None:
         world = World(2, 6, even(10.0))
@@ -238,7 +240,7 @@
             *((15.0 + 2 * n, lambda v=v: stop(v)) for n, v in enumerate(world.sidecars)),
             *((15.4 + 2 * n, lambda v=v: start(v)) for n, v in enumerate(world.sidecars)),
         )
-        self.kept(world, 0.5)
+        self.assert_within_bound(world, 0.5)
 
     def test_half_of_the_sidecars_join(self) -> None:
         world = World(3, 8, even(10.0))
@@ -250,7 +252,7 @@
                 sidecar.down = False
 
         world.run(45.0, (22.0, join))
-        self.kept(world, 0.8)
+        self.assert_within_bound(world, 0.8)
         self.assertTrue(all(sidecar.lease_client.amounts["s"] >= 3 for sidecar in world.sidecars))
 
     def test_leaders_change_while_sidecars_are_partitioned_or_frozen(self) -> None:
@@ -261,19 +263,19 @@
             actions += [(at, partial(setattr, first, "cut", at < 20.0)) for at in (15.9, 27.0)]
             actions += [(at, partial(setattr, second, "frozen", at < 20.0)) for at in (15.9, 20.9)]
             world.run(70.0, *actions, (30.9, partial(setattr, third, "down", True)))
-            self.kept(world, 0.7)
+            self.assert_within_bound(world, 0.7)
 
-    def test_drawn_trouble(self) -> None:
+    def test_random_faults(self) -> None:
         for seed in range(6):
             rng = random.Random(seed)
             world = World(seed, rng.randrange(2, 9), even(rng.uniform(2.0, 20.0)))
 
-            world.run(60.0, *((rng.uniform(5.0, 55.0), partial(drawn, world, rng)) for _ in range(30)))
-            self.kept(world)
+            world.run(60.0, *((rng.uniform(5.0, 55.0), partial(random_fault, world, rng)) for _ in range(30)))
+            self.assert_within_bound(world)
 
 
-class Parts(unittest.TestCase):
-    def test_a_sidecar_that_spends_is_granted_more_and_returns_it(self) -> None:
+class BudgetAndLease(unittest.TestCase):
+    def test_a_sidecar_that_spends_is_granted_more_and_returns_it_later(self) -> None:
         world = World(
             1,
             6,
@@ -288,7 +290,7 @@
         self.assertLess(world.sidecars[0].lease_client.amounts["s"], 12)
         self.assertLessEqual(sum(sidecar.lease_client.amounts["s"] for sidecar in world.sidecars), SLACK)
 
-    def test_without_a_fresh_lease_or_in_a_new_life_there_is_none(self) -> None:
+    def test_without_a_valid_lease_or_in_a_new_run_nothing_is_leased(self) -> None:
         world = World(1, 4, even(0.0), never)
         world.run(3.0)
         sidecar = world.sidecars[0]
@@ -306,25 +308,25 @@
             now += rng.expovariate(200.0)
             budget.record_request(now)
             budget.spend(now)
-        kept = sum(
+        rows = sum(
             len(counts.rows)
             for counts in (budget.requests_sent, budget.ratio_charges, budget.allowance_charges)
         )
-        self.assertLess(kept, 4 * budget_module.SPANS)
+        self.assertLess(rows, 4 * budget_module.SPANS)
         client = LeaseClient(lambda service, now: 0)
         for n in range(1_000):
             report = client.report(float(n), [(f"s{k}", 0) for k in range(1_000)])
         self.assertEqual(len(client._sent_at), lease_module.MAX_REPORTS)
         self.assertEqual(len(report.rows), lease_module.MAX_ROWS)
-        lender = LeaseGranter(SLACK, WINDOW)
-        lender.on_leadership(0.0, 0, is_first_leader=True)
+        granter = LeaseGranter(SLACK, WINDOW)
+        granter.on_leadership(0.0, 0, is_first_leader=True)
         for n in range(200):
-            lender.on_report(0.0, "v", 1, report._replace(report_number=10**6 + n, lease_number=0))
-            lender.distribute(0.0)
-            lender.grant("v", 1)
-        self.assertLessEqual(len(lender.subscribers["v", 1].pending), lease_module.MAX_PENDING)
+            granter.on_report(0.0, "v", 1, report._replace(report_number=10**6 + n, lease_number=0))
+            granter.distribute(0.0)
+            granter.grant("v", 1)
+        self.assertLessEqual(len(granter.subscribers["v", 1].pending), lease_module.MAX_PENDING)
 
-    def test_what_never_arrived_is_given_back(self) -> None:
+    def test_an_attempt_that_never_arrived_is_refunded(self) -> None:
         budget = Budget(RATIO, WINDOW, lambda now: 1)
         charge = budget.spend(1.0)
         self.assertIsNotNone(charge)
@@ -333,10 +335,10 @@
         self.assertEqual(budget.remaining(1.0), 1)
 
 
-class Played(unittest.TestCase):
-    """The real programs."""
+class SimulatedMesh(unittest.TestCase):
+    """The real programs in simulated time."""
 
-    def test_each_further_arrival_is_paid_once_and_nothing_else_is(self) -> None:
+    def test_each_extra_arrival_is_charged_once_and_nothing_else_is(self) -> None:
         paid = [0]
         charge, back = Budget._charge, Budget.refund
 
@@ -351,12 +353,13 @@
         with mock.patch.object(Budget, "_charge", counted), mock.patch.object(Budget, "refund", given):
             played = play(3, [], Day(seconds=25.0, rate=10.0, quiet=5.0, failure_rate=0.1))
         self.assertEqual(played.broken, [])
-        further = arrivals(played)
-        self.assertGreater(further, 50)
-        self.assertGreaterEqual(paid[0], further)
-        self.assertLessEqual(paid[0], 1.1 * further)  # a copy cancelled on its way is paid, too
+        extra = extra_arrivals(played)
+        self.assertGreater(extra, 50)
+        self.assertGreaterEqual(paid[0], extra)
+        # An attempt that is cancelled before it arrives stays charged.
+        self.assertLessEqual(paid[0], 1.1 * extra)
 
-    def test_a_whole_service_slow_by_three(self) -> None:
+    def test_a_service_three_times_slower(self) -> None:
         def slow(site: Site, clients: Clients, operators: Operators) -> None:
             for sidecar in site.sidecars[:3]:
                 sidecar.server.slowdown = 3.0
@@ -364,22 +367,22 @@
         day = Day(seconds=25.0, rate=16.0, quiet=5.0, failure_rate=0.02, actions=((12.0, slow),))
         played = play(5, [Fault(16.0, "cut-control", -1, 4.5), Fault(18.0, "kill-sidecar", 1, 0.4)], day)
         self.assertEqual(played.broken, [])
-        self.assertGreater(arrivals(played), 30)
+        self.assertGreater(extra_arrivals(played), 30)
 
-    def test_a_repeated_parent_whose_calls_are_repeated(self) -> None:
-        played = inner_day(4)
+    def test_nested_calls_of_repeated_requests(self) -> None:
+        played = nested_calls_day(4)
         self.assertEqual(played.broken, [])
         inner = Counter(event.data["repeat"] for event in played.history.of("inner"))
         self.assertGreater(inner[True], 20)
 
-    def test_planted_calls_of_repeats_not_charged(self) -> None:
+    def test_seeded_fault_nested_calls_of_repeats_not_charged(self) -> None:
         with mock.patch.multiple(RetryBudget, _of_repeat=lambda *args: False, may_repeat=lambda *args: True):
-            broken = [text for seed in range(4, 8) for text in inner_day(seed).broken]
+            broken = [text for seed in range(4, 8) for text in nested_calls_day(seed).broken]
         self.assertTrue(any(text.startswith("BUDGET: bank") for text in broken), broken)
 
 
-def inner_day(seed: int) -> Any:
-    """Each run at the shop makes two calls to the bank, through the sidecar beside it."""
+def nested_calls_day(seed: int) -> Any:
+    """Each request at the shop makes two nested calls to the bank, through the sidecar beside it."""
     count: Counter[str] = Counter()
 
     def action(site: Site, clients: Clients, operators: Operators) -> None:
@@ -389,12 +392,12 @@
         )
 
         def inner(sidecar: Any, name: str, done: Callable[[bool], None]) -> None:
-            told: list[bool] = []
+            succeeded: list[bool] = []
 
             def answer(status: int, body: bytes) -> None:
-                told.append(status == 200)
-                if len(told) == 2:
-                    done(all(told))
+                succeeded.append(status == 200)
+                if len(succeeded) == 2:
+                    done(all(succeeded))
 
             for _ in range(2):
                 ident = clients.ask(sidecar, "idempotent", "", answer, 1.0, to=("/n/", "bank"))
@@ -406,16 +409,16 @@
     return play(seed, [], Day(seconds=25.0, rate=6.0, quiet=5.0, failure_rate=0.1, actions=((2.0, action),)))
 
 
-def arrivals(played: Any) -> int:
+def extra_arrivals(played: Any) -> int:
     ids = [event.data["id"] for event in played.history.of("arrival")]
     return len(ids) - len(set(ids))
 
 
-class Planted(unittest.TestCase):
-    """Each is seen by the sums."""
+class SeededFaults(unittest.TestCase):
+    """Each fault that is put into the code breaks the bound."""
 
     def broken(self, world: World) -> bool:
-        return use(world.asked, world.further) > 1.0
+        return max_usage(world.request_times, world.extra_times) > 1.0
 
     def test_no_leases(self) -> None:
         with mock.patch.object(LeaseClient, "amount", lambda *args: int(SLACK)):
@@ -423,9 +426,9 @@
             world.run(15.0)
         self.assertTrue(self.broken(world))
 
-    def test_leases_not_waited_out(self) -> None:
-        def lead(lender: LeaseGranter, now: float, term: int, *, is_first_leader: bool) -> None:
-            _LEAD(lender, now, term, is_first_leader=True)
+    def test_leases_of_the_previous_leader_not_waited_for(self) -> None:
+        def lead(granter: LeaseGranter, now: float, term: int, *, is_first_leader: bool) -> None:
+            _LEAD(granter, now, term, is_first_leader=True)
 
         with mock.patch.object(LeaseGranter, "on_leadership", lead):
             world = World(1, 6, even(0.5))
@@ -437,39 +440,39 @@
             world.run(15.0, (5.0, part), (5.1, world.new_leader))
         self.assertTrue(self.broken(world))
 
-    def test_lives_that_ended_forgotten(self) -> None:
+    def test_ended_runs_forgotten_too_early(self) -> None:
         heard = LeaseGranter.on_report
 
-        def forgets(lender: LeaseGranter, now: float, ip: str, epoch: int, report: Report) -> None:
-            for key in [key for key in lender.subscribers if key[0] == ip and key[1] < epoch]:
-                del lender.subscribers[key]
-            heard(lender, now, ip, epoch, report)
+        def forgetful(granter: LeaseGranter, now: float, ip: str, epoch: int, report: Report) -> None:
+            for key in [key for key in granter.subscribers if key[0] == ip and key[1] < epoch]:
+                del granter.subscribers[key]
+            heard(granter, now, ip, epoch, report)
 
-        with mock.patch.object(LeaseGranter, "on_report", forgets):
+        with mock.patch.object(LeaseGranter, "on_report", forgetful):
             world = World(1, 6, even(0.5))
             world.run(15.0, *((6.0 + n, sidecar.begin) for n in range(4) for sidecar in world.sidecars))
         self.assertTrue(self.broken(world))
 
-    def test_spends_forgotten_before_their_window_is_over(self) -> None:
-        def young(budget: Budget, now: float) -> int:
+    def test_charges_forgotten_before_their_window_ends(self) -> None:
+        def recent_only(budget: Budget, now: float) -> int:
             return sum(
                 number for span, number in budget.allowance_charges.rows if span > budget._span_of(now) - 40
             )
 
-        with mock.patch.object(Budget, "allowance_spent", young):
+        with mock.patch.object(Budget, "allowance_spent", recent_only):
             world = World(1, 6, even(0.5))
             world.run(15.0)
         self.assertTrue(self.broken(world))
 
-    def test_own_newest_window_without_more(self) -> None:
-        def newest(budget: Budget, now: int) -> int:
+    def test_only_the_own_newest_window_checked(self) -> None:
+        def own_newest_window(budget: Budget, now: int) -> int:
             earned = sum(
                 number for span, number in budget.requests_sent.rows if span > now - budget_module.SPANS
             )
             return int(budget.ratio * earned) - budget.ratio_charges.total(now)
 
-        with mock.patch.object(Budget, "_remaining_by_ratio", newest):
-            world = World(1, 6, in_turn, at_its_end)
+        with mock.patch.object(Budget, "_remaining_by_ratio", own_newest_window):
+            world = World(1, 6, alternating_load, at_end_of_load)
             world.run(45.0)
         self.assertTrue(self.broken(world))
 
@@ -477,30 +480,30 @@
 _LEAD = LeaseGranter.on_leadership
 
 
-class Repeats(unittest.TestCase):
-    """Calls of runs that were repeats, as the sidecar beside their server sees them."""
+class NestedCallsOfRepeats(unittest.TestCase):
+    """Nested calls of repeated requests, as the sidecar beside their server sees them."""
 
     def setUp(self) -> None:
         self.now = 100.0
         self.enterContext(mock.patch.object(retry_budget_module, "steady", lambda: self.now))
         loop = SimpleNamespace(call_later=lambda *args: None)
         gate = SimpleNamespace(running=0)
-        self.house: Any = SimpleNamespace(loop=loop, gate=gate, runs=0, repeated=0, repeats=0)
+        self.admission: Any = SimpleNamespace(loop=loop, gate=gate, runs=0, repeated=0, repeats=0)
         bounds: Any = SimpleNamespace(retry_ratio=RATIO, retry_slack=SLACK, retry_win_s=WINDOW)
-        self.retry_budget = RetryBudget(bounds, cast(Admission, self.house))
+        self.retry_budget = RetryBudget(bounds, cast(Admission, self.admission))
 
     def run_one(self, calls: int, repeat: bool) -> None:
-        house = self.house
-        house.gate.running += 1
-        house.runs += 1
-        house.repeated += repeat
-        house.repeats += repeat
+        admission = self.admission
+        admission.gate.running += 1
+        admission.runs += 1
+        admission.repeated += repeat
+        admission.repeats += repeat
         for _ in range(calls):
             self.retry_budget.taken("deep", True)
-        house.gate.running -= 1
-        house.repeats -= repeat
+        admission.gate.running -= 1
+        admission.repeats -= repeat
 
-    def test_as_many_as_repeats_make_are_charged_and_others_are_not(self) -> None:
+    def test_as_many_calls_as_repeats_make_are_charged(self) -> None:
         rng = random.Random(1)
         repeats, charged = 0, 0
         with mock.patch.object(Budget, "charge", lambda budget, now: counted.append(now)):
@@ -510,36 +513,36 @@
                 self.retry_budget.looked = self.now
                 repeat = rng.random() < 0.2
                 repeats += repeat
-                self.house.gate.running += 3  # others beside it
+                self.admission.gate.running += 3  # other requests in parallel
                 self.run_one(2, repeat)
-                self.house.gate.running -= 3
+                self.admission.gate.running -= 3
         charged = len(counted)
         self.assertEqual(charged, 2 * repeats)
 
-    def test_a_repeat_whose_calls_could_not_be_paid_is_not_begun(self) -> None:
+    def test_a_repeat_whose_calls_exceed_the_budget_is_not_started(self) -> None:
         for _ in range(20):
             self.run_one(2, False)
         self.assertFalse(self.retry_budget.may_repeat())
         self.retry_budget.lease_client._expires_at = self.now + 5.0
         self.retry_budget.lease_client.amounts["deep"] = 2
         self.assertTrue(self.retry_budget.may_repeat())
-        self.house.repeated = self.house.repeats = 1  # one is begun: its calls are spoken for
+        self.admission.repeated = self.admission.repeats = 1  # one has started: its calls are reserved
         self.assertFalse(self.retry_budget.may_repeat())
 
-    def test_spent_slack_is_told_even_of_a_service_that_nobody_asks_for_any_more(self) -> None:
+    def test_charges_are_reported_even_for_a_service_without_requests(self) -> None:
         budget = self.retry_budget.of("deep")
         number = self.retry_budget.lease_client.report(self.now, []).report_number
         self.retry_budget.lease_client.on_lease(Lease(1, 1, number, (("deep", 3),)))
         self.assertIsNotNone(budget.spend(self.now))
-        self.now += 7.0  # the lease has run out, the window of what was spent has not
-        self.assertEqual([row[:2] for row in self.told()], [("deep", 1)])
+        self.now += 7.0  # the lease has expired, but the charge still counts
+        self.assertEqual([row[:2] for row in self.rows_to_report()], [("deep", 1)])
         self.now += WINDOW
-        self.assertEqual(self.told(), [])
+        self.assertEqual(self.rows_to_report(), [])
 
-    def told(self) -> list[Any]:
+    def rows_to_report(self) -> list[Any]:
         return list(self.retry_budget.lease_client.report(self.now, self.retry_budget._wanted(self.now)).rows)
 
-    def test_after_a_freeze_nothing_is_earned_and_no_repeat_begun(self) -> None:
+    def test_after_a_suspension_nothing_is_earned_and_no_repeat_is_started(self) -> None:
         self.now += 3.0
         self.retry_budget.taken("deep", False)
         self.assertEqual(
--- a/tests/mesh/test_bulk.py
+++ b/tests/mesh/test_bulk.py
@@ -1,4 +1,4 @@
-"""Large bodies are offered before they are sent: the window, the order, and what a thin link then carries."""
+"""Large bodies are offered before they are sent: window, order, and the effect on a slow link."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
     return Offer(key, size, rank, due, deadline)
 
 
-class Window(unittest.TestCase):
+class Admission(unittest.TestCase):
     def setUp(self) -> None:
         self.bulk = BulkAdmission()
 
-    def test_one_larger_than_the_window_is_granted_alone(self) -> None:
+    def test_a_body_larger_than_the_window_is_granted_alone(self) -> None:
         self.assertTrue(self.bulk.offer(0.0, offer(1, 5 * WINDOW)))
         self.assertIs(self.bulk.offer(0.0, offer(2, 1)), False)
         self.bulk.arrived(0.1, 1)
         self.assertEqual(self.bulk.next(0.1), ([2], []))
 
-    def test_the_more_urgent_rank_goes_first_then_the_earlier_due(self) -> None:
+    def test_offers_are_granted_by_priority_then_by_due_time(self) -> None:
         self.bulk.offer(0.0, offer(0, WINDOW))
         for key, rank, due in ((1, 2, 0.5), (2, 1, 0.9), (3, 1, 0.6)):
             self.assertIs(self.bulk.offer(0.0, offer(key, WINDOW, rank, due)), False)
@@ -36,7 +36,7 @@
             order += self.bulk.next(now)[0]
         self.assertEqual(order, [3, 2, 1])
 
-    def test_what_can_not_be_here_in_time_is_turned_away_at_once(self) -> None:
+    def test_a_body_that_can_not_arrive_in_time_is_rejected_at_once(self) -> None:
         self.bulk.offer(0.0, offer(0, WINDOW))
         self.bulk.arrived(0.5, 0)  # the link carries two windows a second
         self.assertTrue(self.bulk.offer(0.5, offer(1, WINDOW)))
@@ -44,21 +44,21 @@
         self.assertIs(self.bulk.offer(0.5, offer(3, WINDOW, due=1.6)), False)
         self.assertAlmostEqual(self.bulk.expected_wait(1), 0.5)
 
-    def test_what_waited_too_long_is_told_so(self) -> None:
+    def test_an_offer_that_waited_too_long_is_reported_as_late(self) -> None:
         self.bulk.offer(0.0, offer(0, WINDOW))
         self.bulk.offer(0.0, offer(1, WINDOW, due=0.3))
         self.bulk.arrived(0.4, 0)
         self.assertEqual(self.bulk.next(0.4), ([], [1]))
 
-    def test_a_silent_sender_does_not_hold_the_window(self) -> None:
+    def test_a_failed_sender_does_not_occupy_the_window(self) -> None:
         self.bulk.offer(0.0, offer(0, WINDOW, deadline=2.0))
         self.bulk.offer(0.0, offer(1, WINDOW, due=3.0))
         self.assertEqual(self.bulk.next(1.9), ([], []))
         self.assertEqual(self.bulk.next(2.1), ([1], []))
-        self.bulk.arrived(2.2, 0)  # late after all: counted nowhere
+        self.bulk.arrived(2.2, 0)  # arrives late: it is no longer counted
         self.assertEqual(self.bulk.outstanding, WINDOW)
 
-    def test_withdrawn_and_unknown(self) -> None:
+    def test_withdrawn_and_unknown_offers(self) -> None:
         self.bulk.offer(0.0, offer(0, WINDOW))
         self.bulk.offer(0.0, offer(1, WINDOW))
         self.bulk.withdrawn(0.1, 1)
@@ -67,27 +67,27 @@
         self.bulk.arrived(0.1, 7)
         self.assertEqual((self.bulk.outstanding, self.bulk.waiting), (0, []))
 
-    def test_a_bound_on_what_waits(self) -> None:
+    def test_the_number_of_waiting_offers_is_limited(self) -> None:
         self.bulk.offer(0.0, offer("first", WINDOW))
         verdicts = [self.bulk.offer(0.0, offer(n, 60_000)) for n in range(MAX_WAITING + 1)]
         self.assertEqual(verdicts, [False] * MAX_WAITING + [None])
 
 
-class ThinLink(unittest.TestCase):
-    """Bodies of many senders into one link, with twice the bytes that it carries."""
+class SlowLink(unittest.TestCase):
+    """Bodies of many senders on one link, twice as many bytes as it can carry."""
 
     RATE = 600_000.0  # bytes a second
     AIM = 1.2
 
-    def play(self, window: bool) -> tuple[int, float]:
-        """Bodies that were here in time, and the longest queue inside the link, in seconds."""
-        draw, bulk = random.Random(7), BulkAdmission()
+    def simulate(self, window: bool) -> tuple[int, float]:
+        """Number of bodies on time, and the longest queue inside the link, in seconds."""
+        rng, bulk = random.Random(7), BulkAdmission()
         events: list[tuple[float, int, str, int]] = []
-        sizes, came = {}, {}
+        sizes, offered_at = {}, {}
         free, longest, in_time = 0.0, 0.0, 0
         for number in range(600):
             at = number * 0.05
-            sizes[number], came[number] = draw.randrange(20_000, 100_000), at
+            sizes[number], offered_at[number] = rng.randrange(20_000, 100_000), at
             heapq.heappush(events, (at, number, "offer", number))
 
         def send(now: float, number: int) -> None:
@@ -104,23 +104,23 @@
                 ):
                     send(now, number)
                 continue
-            in_time += now <= came[number] + self.AIM
+            in_time += now <= offered_at[number] + self.AIM
             if window:
                 bulk.arrived(now, number)
                 for key in bulk.next(now)[0]:
                     send(now, int(str(key)))
         return in_time, longest
 
-    def test_the_link_stays_short_and_its_bytes_are_of_use(self) -> None:
-        without, queue_without = self.play(window=False)
-        with_window, queue = self.play(window=True)
+    def test_the_queue_in_the_link_stays_short_and_more_bodies_are_on_time(self) -> None:
+        without, queue_without = self.simulate(window=False)
+        with_window, queue = self.simulate(window=True)
         self.assertGreater(queue_without, 5.0)
-        self.assertLess(queue, 0.35)  # a window and one body
+        self.assertLess(queue, 0.35)  # one window and one body
         self.assertGreater(with_window, 2 * without)
         self.assertGreater(with_window, 0.4 * 600)
 
 
-class Sender(unittest.TestCase):
+class Sending(unittest.TestCase):
     def call(self, size: int) -> ops.Message:
         body = b"x" * size
         head: tuple[Any, ...] = (
@@ -141,10 +141,10 @@
         )
         return head
 
-    def test_a_small_body_goes_as_it_is(self) -> None:
+    def test_a_small_body_is_sent_without_an_offer(self) -> None:
         self.assertIsNone(OfferSender().offer(0.0, self.call(MIN_OFFERED_BYTES - 1)))
 
-    def test_the_times_that_are_left_are_those_at_the_grant(self) -> None:
+    def test_remaining_times_are_updated_when_the_offer_is_granted(self) -> None:
         sender = OfferSender()
         self.assertEqual(
             sender.offer(0.0, self.call(MIN_OFFERED_BYTES)),
@@ -156,7 +156,7 @@
         self.assertEqual(message[5:], self.call(MIN_OFFERED_BYTES)[5:])
         self.assertIsNone(sender.granted(0.5, 5), "it is sent once")
 
-    def test_forgotten_or_too_late_is_not_sent(self) -> None:
+    def test_a_forgotten_or_late_call_is_not_sent(self) -> None:
         sender = OfferSender()
         sender.offer(0.0, self.call(MIN_OFFERED_BYTES))
         self.assertTrue(sender.forget(5))
--- a/tests/mesh/test_delivery_http.py
+++ b/tests/mesh/test_delivery_http.py
@@ -1,9 +1,9 @@
-"""Requests to a server that answers late, twice, under other ids, in parts, or not at all.
+"""Requests to a server that responds late, twice, with wrong ids, partially, or not at all.
 
-A model of the server and of the wire stands behind the real connections and pool. A seed draws what
-happens: how many bytes pass at a time each way, what the server says, when and how it ends.
-Checked throughout: a request ends once; an answer that reaches its caller is the one that the server gave to
-this very request, whole; and what is told to have not run never was begun and never is.
+The real connections and pool run against a model of the server and of the network. A random seed decides what
+happens: how many bytes pass at a time in each direction, what the server sends, when and how it closes.
+Checked throughout: a request ends exactly once; a response that reaches its caller is the complete one that
+the server gave to this request; a request reported as not run was never begun and never will be.
 """
 
 from __future__ import annotations
@@ -31,10 +31,10 @@
 )
 from rigs.simulation.loop import VirtualLoop
 
-FAR = 3600 * 10**9  # nanoseconds until a deadline that is never reached
+DISTANT_DEADLINE = 3600 * 10**9  # nanoseconds; never reached
 HISTORIES, STEPS = 3_000, 60
-PLANTED_HISTORIES = 3_000  # in which a planted fault has to be found
-MOST_WAITING = 3  # requests at once
+SEEDED_FAULT_HISTORIES = 3_000  # in which a seeded fault must be found
+MAX_CONCURRENT = 3  # requests
 HEAD_END = b"\r\n\r\n"
 SEAL = b"X-Server-Seal: s\r\n"
 NOT_EXECUTED = b"X-Not-Executed: 1\r\n"
@@ -42,7 +42,7 @@
 
 
 def answer(idents: tuple[bytes, ...], body: bytes, status: int, fields: bytes) -> bytes:
-    """An answer that names these requests."""
+    """A response that carries these request ids."""
     told = b"".join(b"X-Request-Id: %s\r\n" % ident for ident in idents)
     head = b"HTTP/1.1 %d X\r\n%b%bContent-Length: %d\r\n\r\n" % (status, told, fields, len(body))
     return head + body
@@ -54,17 +54,17 @@
     def __init__(self, world: World, room: int) -> None:
         self.world, self.room = world, room
         self.protocol: ServerConnection | None = None
-        self.buffer = b""  # written by the client and still in its process
-        self.sent = b""  # has left the client's process, not read by the server yet
-        self.unread = b""  # said by the server, not read by the client yet
+        self.buffer = b""  # written by the client, not yet taken by the operating system
+        self.sent = b""  # taken by the operating system, not yet read by the server
+        self.unread = b""  # sent by the server, not yet read by the client
         self.closing = self.half_closed = self.paused = False
-        self.partly_read = b""  # by the server: the head that comes
+        self.partly_read = b""  # by the server: an incomplete request head
         self.body_left = 0
-        self.received: list[bytes] = []  # requests whose head the server has, not begun
+        self.received: list[bytes] = []  # requests whose head has arrived, not begun
         self.running: list[bytes] = []
-        self.said: list[bytes] = []  # whole answers
+        self.said: list[bytes] = []  # complete responses
 
-    # As the client's connection sees it
+    # The transport as the client's connection uses it
 
     def write(self, data: bytes) -> None:
         if self.closing:
@@ -94,7 +94,7 @@
             self.buffer = b""
             self.world.loop.call_soon(cast(ServerConnection, self.protocol).connection_lost, None)
 
-    # What the world does to it
+    # Events that the history triggers
 
     def drain(self, size: int) -> None:
         self.sent, self.buffer = self.sent + self.buffer[:size], self.buffer[size:]
@@ -111,16 +111,16 @@
                 continue
             self.partly_read += data[at : at + 1]
             if self.partly_read.endswith(HEAD_END):
-                self._head()
+                self._on_request_head()
 
-    def _head(self) -> None:
-        """A server may act as soon as it has the head."""
+    def _on_request_head(self) -> None:
+        """A server may act as soon as it has the request head."""
         fields = dict(line.split(b": ", 1) for line in self.partly_read[:-4].split(b"\r\n")[1:])
         self.received.append(fields[b"X-Request-Id"])
         self.body_left = int(fields.get(b"Content-Length", b"0"))
         self.partly_read = b""
 
-    def says(self, data: bytes, times: int) -> None:
+    def respond(self, data: bytes, times: int) -> None:
         self.said.append(data)
         self.unread += data * times
 
@@ -132,7 +132,7 @@
         if self.half_closed and not self.unread and not self.closing:
             assert self.protocol is not None
             self.protocol.eof_received()
-            self.abort()  # as asyncio's transports do, where nothing else is said
+            self.abort()  # as asyncio's transports do by default
 
     def reset(self) -> None:
         self.unread, self.half_closed = b"", False
@@ -150,7 +150,7 @@
 
 
 class ModelPool(ServerPool):
-    """Opens its connections to the model."""
+    """Connects to the model of the server."""
 
     def __init__(self, world: World) -> None:
         super().__init__(8)
@@ -176,7 +176,7 @@
         self.calls: dict[bytes, UpstreamCall] = {}
         self.outcomes: dict[bytes, Outcome] = {}
         self.begun: dict[bytes, int] = {}
-        self.bodies: dict[bytes, bytes] = {}  # the server's answer to each request that it ran
+        self.bodies: dict[bytes, bytes] = {}  # the server's response to each request that it ran
         self.upstream = Upstream("10.0.0.1:80")
         self.do(self._open)
 
@@ -184,10 +184,10 @@
         self.pool = ModelPool(self)
 
     def do(self, action: Callable[..., None], *args: Any) -> None:
-        """As the loop would, with all that follows at once."""
+        """Run `action` in the loop, and all callbacks that become due."""
         self.loop.call_soon(action, *args)
         self.loop.run_until(self.loop.now)
-        assert not self.failures, self.failures[0]  # the loop keeps what its callbacks raise
+        assert not self.failures, self.failures[0]  # exceptions of callbacks are collected by the loop
 
     def ask(self, body: int, once: bool) -> None:
         ident = b"r%d" % len(self.calls)
@@ -197,7 +197,7 @@
             ident,
             b"life",
             b"svc",
-            time.monotonic_ns() + FAR,
+            time.monotonic_ns() + DISTANT_DEADLINE,
             once,
             lambda outcome: self._ended(ident, outcome),
         )
@@ -207,7 +207,7 @@
         assert ident not in self.outcomes, f"{ident!r} ended twice"
         self.outcomes[ident] = outcome
         if outcome.kind == NOT_RUN:
-            assert ident not in self.begun, f"{ident!r} is told to have not run, and did"
+            assert ident not in self.begun, f"{ident!r} is reported to have not run, and did"
         elif outcome.kind == RAN:
             assert ident in self.begun, f"an answer to {ident!r}, which was not begun"
             assert outcome.body == self.bodies.get(ident), f"{ident!r} got the answer {outcome.body!r}"
@@ -217,12 +217,14 @@
         self.begun[ident] = self.begun.get(ident, 0) + 1
         assert self.begun[ident] == 1, f"{ident!r} began twice"
         told = self.outcomes.get(ident)
-        assert told is None or told.kind != NOT_RUN, f"{ident!r} begins after it was told that it never will"
+        assert told is None or told.kind != NOT_RUN, (
+            f"{ident!r} begins after it was reported that it never will"
+        )
         wire.running.append(ident)
 
 
-class Walk:
-    """One history: what may happen, in an order drawn from a seed."""
+class History:
+    """One history: random events in random order, from a seed."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -233,7 +235,7 @@
             self.server_reads_and_begins,
             self.server_answers,
             self.server_answers,
-            self.server_turns_away,
+            self.server_rejects,
             self.server_repeats_an_earlier_answer,
             self.client_reads,
             self.client_reads,
@@ -245,12 +247,12 @@
         world, rng = self.world, self.rng
         for _ in range(STEPS):
             waiting = [ident for ident in world.calls if ident not in world.outcomes]
-            if not waiting or (len(waiting) < MOST_WAITING and rng.random() < 0.1):
+            if not waiting or (len(waiting) < MAX_CONCURRENT and rng.random() < 0.1):
                 self.ask()
             elif rng.random() < 0.03:
                 world.do(world.calls[rng.choice(waiting)].cancel)
             else:
-                # One that carries a request as a rule, else one that is idle or over.
+                # Usually an open connection, sometimes any, closed ones included.
                 busy = [wire for wire in world.wires if not wire.closing] or world.wires
                 rng.choice(self.steps)(rng.choice(busy if rng.random() < 0.9 else world.wires))
         self.end()
@@ -259,7 +261,7 @@
         return self.rng.random() < chance
 
     def _size(self) -> int:
-        """Of a part that passes: a few bytes, some, or all there are."""
+        """Size of a chunk that passes: a few bytes, some, or everything."""
         return self.rng.choice((self.rng.randrange(1, 60), self.rng.randrange(60, 400), 10_000))
 
     def ask(self) -> None:
@@ -284,7 +286,7 @@
         form = self.rng.choice(
             ("ran",) * 5 + ("failed", "another protocol's word", "no id", "two ids", "no seal")
         )
-        if form == "no id":  # bytes of a server in trouble: they belong to no request
+        if form == "no id":  # from a failing server: it belongs to no request
             data = answer((), b"", 503, fields + NOT_EXECUTED)
         elif form == "failed":
             data = answer((ident,), body, 503, fields)
@@ -293,25 +295,25 @@
         else:
             idents = (ident, b"r0x") if form == "two ids" else (ident,)
             data = answer(idents, body, 200, fields + (b"" if form == "no seal" else SEAL))
-        wire.says(data, 2 if self._chance(0.2) else 1)
+        wire.respond(data, 2 if self._chance(0.2) else 1)
 
-    def server_turns_away(self, wire: Wire) -> None:
-        """Before it has begun it."""
+    def server_rejects(self, wire: Wire) -> None:
+        """Reject a request before beginning it."""
         wire.server_reads(self._size())
         if wire.received and not wire.running:
             fields = (CLOSE if self._chance(0.2) else b"") + NOT_EXECUTED
             status = self.rng.choice((503, 429, 421))
-            wire.says(answer((wire.received.pop(0),), b"", status, fields), 2 if self._chance(0.2) else 1)
+            wire.respond(answer((wire.received.pop(0),), b"", status, fields), 2 if self._chance(0.2) else 1)
 
     def server_repeats_an_earlier_answer(self, wire: Wire) -> None:
         if wire.said:
             data = self.rng.choice(wire.said)
             if self._chance(0.3) and CLOSE not in data:
                 data = data.replace(b"Content-Length", CLOSE + b"Content-Length")
-            wire.says(data, 1)
+            wire.respond(data, 1)
 
     def client_reads(self, wire: Wire) -> None:
-        """Some bytes, or the first answer and nothing behind it."""
+        """Deliver some bytes, or exactly the first response."""
         first = next((data for data in wire.said if wire.unread.startswith(data)), b"")
         self.world.do(wire.deliver, len(first) if first and self._chance(0.5) else self._size())
 
@@ -325,7 +327,7 @@
             wire.half_closed = True
 
     def end(self) -> None:
-        """The server begins all that has left; what is open is given up."""
+        """The server begins every request that was sent; open requests are cancelled."""
         world = self.world
         for wire in world.wires:
             wire.server_reads(len(wire.sent))
@@ -337,11 +339,11 @@
         world.do(world.pool.close)
 
 
-def walk(histories: int) -> Counter[str]:
-    """Plays that many histories, and counts their outcomes."""
+def run_histories(histories: int) -> Counter[str]:
+    """Run that many histories and count their outcomes."""
     counts: Counter[str] = Counter()
     for seed in range(histories):
-        history = Walk(seed)
+        history = History(seed)
         try:
             history.play()
         except AssertionError as err:
@@ -350,23 +352,23 @@
     return counts
 
 
-class Drawn(unittest.TestCase):
-    def test_every_answer_is_its_requests_own_and_what_did_not_run_never_did(self) -> None:
-        counts = walk(HISTORIES)
+class RandomHistories(unittest.TestCase):
+    def test_each_response_belongs_to_its_request_and_not_run_is_always_true(self) -> None:
+        counts = run_histories(HISTORIES)
         self.assertGreater(min(counts[RAN], counts[NOT_RUN], counts[UNKNOWN]), HISTORIES // 5)
 
 
-class Planted(unittest.TestCase):
-    """Each fault put into the code has to be found."""
+class SeededFaults(unittest.TestCase):
+    """Each fault that is put into the code must be found."""
 
     def found(self, words: str) -> None:
         with self.assertRaisesRegex(AssertionError, words) as caught:
-            walk(PLANTED_HISTORIES)
+            run_histories(SEEDED_FAULT_HISTORIES)
         if os.environ.get("SHOW_FOUND"):
             print(f"{self.id()}: {caught.exception}")
 
-    def test_an_answer_whose_id_is_not_looked_at(self) -> None:
-        def careless(call: UpstreamCall, status: int, said: bool, fields: Any, body: bytes) -> Outcome:
+    def test_a_response_whose_id_is_not_checked(self) -> None:
+        def faulty(call: UpstreamCall, status: int, said: bool, fields: Any, body: bytes) -> Outcome:
             named = (
                 *((n, v) for n, v in fields if n.lower() != b"x-request-id"),
                 (b"X-Request-Id", call.request_id),
@@ -375,25 +377,25 @@
 
         classify_response = upstream_module.classify_response
         with (
-            mock.patch.object(upstream_module, "classify_response", careless),
+            mock.patch.object(upstream_module, "classify_response", faulty),
             mock.patch.object(ServerConnection, "_is_stray", lambda self, call: False),
         ):
             self.found("got the answer|not begun|have not run|never will")
 
-    def test_another_requests_word_that_it_did_not_run(self) -> None:
-        """As the code was: "not run" was believed before the id was looked at."""
+    def test_not_run_taken_from_the_response_to_another_request(self) -> None:
+        """A former bug: "not run" was accepted before the id was checked."""
 
-        def careless(call: UpstreamCall, status: int, said: bool, fields: Any, body: bytes) -> Outcome:
+        def faulty(call: UpstreamCall, status: int, said: bool, fields: Any, body: bytes) -> Outcome:
             if status == 421 or (said and status in (400, 429, 503)):
                 return Outcome(NOT_RUN, status, reason="turned away")
             return classify_response(call, status, said, fields, body)
 
         classify_response = upstream_module.classify_response
-        with mock.patch.object(upstream_module, "classify_response", careless):
+        with mock.patch.object(upstream_module, "classify_response", faulty):
             self.found("have not run|never will")
 
-    def test_never_left_claimed_after_a_partial_write(self) -> None:
-        """As the code was: only the last byte counted as the request's leaving."""
+    def test_not_run_reported_after_a_partial_write(self) -> None:
+        """A former bug: a request counted as sent only with its last byte."""
 
         def send(connection: ServerConnection, attempt: Any) -> None:
             real(connection, attempt)
@@ -403,8 +405,8 @@
         with mock.patch.object(ServerConnection, "send", send):
             self.found("have not run|never will")
 
-    def test_a_field_of_another_protocol_taken_for_the_servers_word(self) -> None:
-        """As the code was: the node's own field counted here, too."""
+    def test_not_run_taken_from_a_header_of_another_protocol(self) -> None:
+        """A former bug: the header X-Unprocessed of the node's protocol counted here, too."""
 
         def on_header(connection: ServerConnection, name: bytes, value: bytes) -> None:
             real(connection, name, value)
@@ -414,8 +416,8 @@
         with mock.patch.object(ServerConnection, "on_header", on_header):
             self.found("have not run")
 
-    def test_an_answer_in_parts_taken_for_whole(self) -> None:
-        """A connection that ends inside an answer ends the answer."""
+    def test_a_truncated_response_taken_as_complete(self) -> None:
+        """The end of the connection is taken as the end of the response."""
 
         def lost(connection: ServerConnection, exc: Exception | None) -> None:
             if connection.headed and not connection.complete and connection.attempt is not None:
--- a/tests/mesh/test_delivery_network.py
+++ b/tests/mesh/test_delivery_network.py
@@ -1,4 +1,4 @@
-"""The simulated network's resets: each end hears a prefix of what was under way, and nothing after it."""
+"""Resets in the simulated network: each end receives a prefix of the bytes in flight, and nothing more."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 SEEDS = 60
 
 
-class Ear(asyncio.Protocol):
-    """Notes what comes, and the connection's end."""
+class RecordingProtocol(asyncio.Protocol):
+    """Records the bytes that arrive, and the end of the connection."""
 
     def __init__(self) -> None:
-        self.heard: list[bytes] = []
+        self.received: list[bytes] = []
         self.lost = 0
         self.transport: Any = None
 
@@ -28,14 +28,14 @@
 
     def data_received(self, data: bytes) -> None:
         assert not self.lost, "bytes after the reset"
-        self.heard.append(data)
+        self.received.append(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.lost += 1
 
 
 class Pair:
-    """Two machines with one connection."""
+    """Two machines with one connection between them."""
 
     def __init__(self, seed: int) -> None:
         self.loop = VirtualLoop(seed)
@@ -43,7 +43,7 @@
         self.near, self.far = Machine("10.0.0.1"), Machine("10.0.0.2")
         for machine in (self.near, self.far):
             self.network.add(machine.name, "a", machine)
-        self.client, self.server = Ear(), Ear()
+        self.client, self.server = RecordingProtocol(), RecordingProtocol()
         self.network.listen(self.far, lambda: self.server, self.far.name, PORT)
         self.loop.on(self.near, self.loop.create_task, self._connect())
         self.loop.run_until(0.1)
@@ -52,49 +52,49 @@
         await self.loop.create_connection(lambda: self.client, self.far.name, PORT)
 
     def write_and_reset(self) -> tuple[bytes, bytes]:
-        """What the server and the client have heard of three writes each, before the reset."""
+        """What the server and the client received of the other's three writes before the reset."""
         for ear in (self.client, self.server):
             for chunk in CHUNKS:
                 ear.transport.write(chunk)
         self.network.reset(self.far)
         self.loop.run_until(1.0)
-        return b"".join(self.server.heard), b"".join(self.client.heard)
+        return b"".join(self.server.received), b"".join(self.client.received)
 
 
-class Resets(unittest.TestCase):
-    def test_any_prefix_and_nothing_but_a_prefix_comes_before_the_reset(self) -> None:
+class ConnectionResets(unittest.TestCase):
+    def test_exactly_a_prefix_of_what_was_sent_arrives_before_the_reset(self) -> None:
         seen = set()
         for seed in range(SEEDS):
             pair = Pair(seed)
-            for heard in pair.write_and_reset():
-                self.assertTrue(SENT.startswith(heard), heard)
-                seen.add(len(heard))
+            for received in pair.write_and_reset():
+                self.assertTrue(SENT.startswith(received), received)
+                seen.add(len(received))
             self.assertEqual((pair.client.lost, pair.server.lost), (1, 1))
-        self.assertLess({0, len(CHUNKS[0]), len(SENT)}, seen, "nothing, a whole write, and all")
-        self.assertGreater(len(seen), len(SENT) // 2, "and parts of writes")
+        self.assertLess({0, len(CHUNKS[0]), len(SENT)}, seen, "nothing, one complete write, and everything")
+        self.assertGreater(len(seen), len(SENT) // 2, "and parts of writes, too")
 
-    def test_the_two_ends_are_cut_independently_and_the_same_seed_cuts_the_same(self) -> None:
-        heard = [Pair(seed).write_and_reset() for seed in range(SEEDS)]
-        self.assertEqual(heard, [Pair(seed).write_and_reset() for seed in range(SEEDS)])
-        self.assertTrue(any(len(server) > len(client) for server, client in heard))
-        self.assertTrue(any(len(server) < len(client) for server, client in heard))
+    def test_the_prefixes_of_both_ends_are_independent_and_reproducible_by_seed(self) -> None:
+        received = [Pair(seed).write_and_reset() for seed in range(SEEDS)]
+        self.assertEqual(received, [Pair(seed).write_and_reset() for seed in range(SEEDS)])
+        self.assertTrue(any(len(server) > len(client) for server, client in received))
+        self.assertTrue(any(len(server) < len(client) for server, client in received))
 
-    def test_what_a_cut_holds_up_never_comes_after_a_reset(self) -> None:
+    def test_bytes_delayed_by_a_partition_never_arrive_after_a_reset(self) -> None:
         for seed in range(SEEDS):
             pair = Pair(seed)
             pair.network.cut(pair.near.name, pair.far.name)
             server, _ = pair.write_and_reset()
             pair.network.heal([(pair.near.name, pair.far.name)])
             pair.loop.run_until(2.0)
-            self.assertEqual((server, pair.server.heard), (b"", []))
+            self.assertEqual((server, pair.server.received), (b"", []))
 
-    def test_no_other_draw_of_the_seed_is_shifted(self) -> None:
+    def test_a_reset_does_not_consume_random_numbers_of_the_loop(self) -> None:
         pair = Pair(1)
         before = pair.loop.random.getstate()
         pair.network.reset(pair.far)
         self.assertEqual(pair.loop.random.getstate(), before)
 
-    def test_a_connection_that_the_other_end_has_not_accepted_is_reset_without_bytes(self) -> None:
+    def test_a_connection_that_is_not_accepted_yet_has_no_bytes_in_flight(self) -> None:
         pair = Pair(1)
         end = End(pair.network, pair.near, pair.near.name)
         self.assertEqual(end.under_way(), b"")
--- a/tests/mesh/test_http.py
+++ b/tests/mesh/test_http.py
@@ -1,4 +1,4 @@
-"""HTTP at both ends: what a server's bytes prove, and which heads of clients are turned away."""
+"""HTTP at both ends: what a server's response proves, and which requests of clients are rejected."""
 
 from __future__ import annotations
 
@@ -12,8 +12,9 @@
 from minthitch.net.callers import Incoming
 
 SEAL = b"X-Server-Seal: s\r\n"
-CUT = b"cut:"  # in front of a reply after which the connection ends
-Reply = bytes | tuple[bytes, bytes] | None  # None: closes; two: the second when the first is passed
+THEN_CLOSE = b"cut:"  # prefix of a reply after which the server closes the connection
+# None: close the connection; a pair: the second follows once the first was skipped.
+Reply = bytes | tuple[bytes, bytes] | None
 
 
 def answer(ident: bytes, body: bytes = b"ok", status: int = 200, more: bytes = SEAL) -> bytes:
@@ -27,46 +28,46 @@
 
 
 class Server:
-    """Answers each request that comes, on whichever connection, with the next of its replies."""
+    """Sends the next of its replies to each request, on any connection."""
 
     def __init__(self, *replies: Reply) -> None:
-        self.replies, self.heard, self.lines = list(replies), list[bytes](), 0
-        self.shelf: ServerPool | None = None
+        self.replies, self.requests, self.connections = list(replies), list[bytes](), 0
+        self.pool: ServerPool | None = None
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.lines += 1
+        self.connections += 1
         try:
             while True:
-                self.heard.append(await reader.readuntil(b"\r\n\r\n"))
+                self.requests.append(await reader.readuntil(b"\r\n\r\n"))
                 reply = self.replies.pop(0)
                 if reply is None:
                     break
                 if isinstance(reply, tuple):
                     writer.write(reply[0])
-                    while self.shelf and not any(vars(c).get("stray_responses") for c in self.shelf.opened):
+                    while self.pool and not any(vars(c).get("stray_responses") for c in self.pool.opened):
                         await asyncio.sleep(0)
                     reply = reply[1]
-                writer.write(reply.removeprefix(CUT))
-                if reply.startswith(CUT):
+                writer.write(reply.removeprefix(THEN_CLOSE))
+                if reply.startswith(THEN_CLOSE):
                     break
         except (asyncio.IncompleteReadError, ConnectionError, IndexError):
             pass
         writer.close()
 
 
-class Upstreams(unittest.IsolatedAsyncioTestCase):
+class UpstreamCalls(unittest.IsolatedAsyncioTestCase):
     async def ask(self, *replies: Reply, asked: int = 1) -> tuple[list[Outcome], Server]:
-        """The outcomes of requests with the ids 1, 2, ... one after the other."""
+        """The outcomes of consecutive requests with the ids 1, 2, ..."""
         server = Server(*replies)
         listener = await asyncio.start_server(server.serve, "127.0.0.1", 0)
         port = listener.sockets[0].getsockname()[1]
-        shelf, upstream = ServerPool(8), Upstream(f"127.0.0.1:{port}")
-        server.shelf = shelf
+        pool, upstream = ServerPool(8), Upstream(f"127.0.0.1:{port}")
+        server.pool = pool
         outcomes = []
         for number in range(1, asked + 1):
             done: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
             ident = b"%d" % number
-            shelf.run(
+            pool.run(
                 UpstreamCall(
                     upstream,
                     Message(b"GET", b"/p", ((b"X-Request-Id", ident),)),
@@ -79,38 +80,38 @@
                 )
             )
             outcomes.append(await asyncio.wait_for(done, 5))
-        shelf.close()
+        pool.close()
         listener.close()
         return outcomes, server
 
     async def kinds(self, *replies: Reply) -> str:
         return (await self.ask(*replies))[0][0].kind
 
-    async def test_a_whole_sealed_answer_with_the_own_id_counts(self) -> None:
+    async def test_complete_sealed_responses_with_the_right_id_are_accepted(self) -> None:
         outcomes, server = await self.ask(answer(b"1"), answer(b"2", b"no", 500, b""), asked=2)
         self.assertEqual(
             [(o.kind, o.status, o.body) for o in outcomes], [(RAN, 200, b"ok"), (RAN, 500, b"no")]
         )
-        self.assertEqual(server.lines, 1)
-        self.assertIn(b"X-Target-Instance: life\r\n", server.heard[0])
-        self.assertIn(b"X-Caller-Service: svc\r\n", server.heard[0])
+        self.assertEqual(server.connections, 1)
+        self.assertIn(b"X-Target-Instance: life\r\n", server.requests[0])
+        self.assertIn(b"X-Caller-Service: svc\r\n", server.requests[0])
 
-    async def test_only_the_servers_own_word_proves_that_it_did_not_run(self) -> None:
-        said = b"X-Not-Executed: 1\r\n"
+    async def test_only_a_statement_of_the_server_proves_that_a_request_did_not_run(self) -> None:
+        not_executed = b"X-Not-Executed: 1\r\n"
         for status in (503, 429, 400):
-            self.assertEqual(await self.kinds(answer(b"1", b"", status, said)), NOT_RUN)
+            self.assertEqual(await self.kinds(answer(b"1", b"", status, not_executed)), NOT_RUN)
         self.assertEqual(await self.kinds(answer(b"1", b"", 421, b"")), NOT_RUN)
         self.assertEqual(await self.kinds(answer(b"1", b"", 503, b"")), RAN)
         self.assertEqual(await self.kinds(None), UNKNOWN)
 
-    async def test_an_answer_cut_short_never_counts_as_whole_and_a_close_after_a_whole_one_does(self) -> None:
-        self.assertEqual(await self.kinds(CUT + answer(b"1")[:-1]), UNKNOWN)
-        self.assertEqual(await self.kinds(CUT + answer(b"1")), RAN)
+    async def test_a_truncated_response_is_unknown_and_a_close_after_a_complete_one_is_not(self) -> None:
+        self.assertEqual(await self.kinds(THEN_CLOSE + answer(b"1")[:-1]), UNKNOWN)
+        self.assertEqual(await self.kinds(THEN_CLOSE + answer(b"1")), RAN)
         closing = answer(b"1", more=SEAL + b"Connection: close\r\n")
         outcomes, server = await self.ask(closing, answer(b"2"), asked=2)
-        self.assertEqual(([o.kind for o in outcomes], server.lines), ([RAN, RAN], 2))
+        self.assertEqual(([o.kind for o in outcomes], server.connections), ([RAN, RAN], 2))
 
-    async def test_spoilt_answers_are_unknown(self) -> None:
+    async def test_invalid_responses_are_unknown(self) -> None:
         for reply in (
             answer(b"1", more=b""),
             b"rubbish\r\n\r\n",
@@ -119,32 +120,32 @@
         ):
             self.assertEqual(await self.kinds(reply), UNKNOWN)
 
-    async def test_a_word_that_it_did_not_run_counts_only_under_the_id_of_its_request(self) -> None:
-        said, closing = b"X-Not-Executed: 1\r\n", b"Connection: close\r\n"
+    async def test_a_statement_that_a_request_did_not_run_counts_only_with_its_id(self) -> None:
+        not_executed, closing = b"X-Not-Executed: 1\r\n", b"Connection: close\r\n"
         for status in (503, 429, 400, 421):
-            self.assertEqual(await self.kinds(answer(b"9", b"", status, said + closing)), UNKNOWN)
-            nameless = answer(b"1", b"", status, said).replace(b"X-Request-Id: 1\r\n", b"")
+            self.assertEqual(await self.kinds(answer(b"9", b"", status, not_executed + closing)), UNKNOWN)
+            nameless = answer(b"1", b"", status, not_executed).replace(b"X-Request-Id: 1\r\n", b"")
             self.assertEqual(await self.kinds(nameless), UNKNOWN)
-            two = answer(b"1", b"", status, said + b"X-Request-Id: 9\r\n")
+            two = answer(b"1", b"", status, not_executed + b"X-Request-Id: 9\r\n")
             self.assertEqual(await self.kinds(two), UNKNOWN)
         self.assertEqual(await self.kinds(answer(b"1", b"", 503, b"X-Unprocessed: 1\r\n")), RAN)
 
-    async def test_a_change_of_protocol_is_no_answer(self) -> None:
+    async def test_a_protocol_switch_is_not_a_response(self) -> None:
         upgrade = SEAL + b"Connection: upgrade\r\nUpgrade: other\r\n"
         self.assertEqual(await self.kinds(answer(b"1", b"", 101, upgrade)), UNKNOWN)
 
-    async def test_a_surplus_answer_before_the_one_that_is_due_is_passed_over(self) -> None:
+    async def test_a_surplus_response_before_the_expected_one_is_skipped(self) -> None:
         parts = answer(b"1", b"again"), answer(b"2", b"mine")
         outcomes, server = await self.ask(answer(b"1"), parts, asked=2)
-        self.assertEqual((outcomes[1].kind, outcomes[1].body, server.lines), (RAN, b"mine", 1))
-        # Where both come in one read, the second can't be told from bytes that nobody asked for.
+        self.assertEqual((outcomes[1].kind, outcomes[1].body, server.connections), (RAN, b"mine", 1))
+        # If both arrive in one read, the second one can't be distinguished from unsolicited bytes.
         outcomes, _ = await self.ask(answer(b"1"), parts[0] + parts[1], asked=2)
         self.assertEqual(outcomes[1].kind, UNKNOWN)
 
-    async def test_nobody_there_is_no_arrival(self) -> None:
+    async def test_a_refused_connection_is_not_run_and_no_arrival(self) -> None:
         done: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
-        shelf = ServerPool(8)
-        shelf.run(
+        pool = ServerPool(8)
+        pool.run(
             UpstreamCall(
                 Upstream("127.0.0.1:9"),
                 Message(b"GET", b"/"),
@@ -157,18 +158,18 @@
             )
         )
         outcome = await asyncio.wait_for(done, 5)
-        shelf.close()
+        pool.close()
         self.assertEqual((outcome.kind, outcome.arrived), (NOT_RUN, False))
 
 
-class Taker:
-    """A desk that serves all that reaches it."""
+class EchoHandler:
+    """Responds to each request with its body."""
 
     def __init__(self) -> None:
-        self.taken: list[Incoming] = []
+        self.handled: list[Incoming] = []
 
     def handle(self, client: ClientConnection, request: Incoming) -> None:
-        self.taken.append(request)
+        self.handled.append(request)
         client.respond(client.token, 200, (), request.body)
 
     def on_client_lost(self, client: ClientConnection) -> None:
@@ -187,10 +188,10 @@
         pass
 
 
-class Clients(unittest.IsolatedAsyncioTestCase):
+class ClientRequests(unittest.IsolatedAsyncioTestCase):
     async def send(self, data: bytes) -> tuple[bytes, list[Incoming]]:
-        desk = Taker()
-        listener = Listener(desk, 16, 0)
+        handler = EchoHandler()
+        listener = Listener(handler, 16, 0)
         await listener.open("127.0.0.1:0")
         assert listener.server is not None
         port = listener.server.sockets[0].getsockname()[1]
@@ -199,17 +200,17 @@
         head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), 5)
         writer.close()
         listener.close()
-        return head.split(b" ", 2)[1], desk.taken
+        return head.split(b" ", 2)[1], handler.handled
 
-    async def test_an_answer_of_a_request_that_is_over_is_written_to_no_other(self) -> None:
-        class Late(Taker):
+    async def test_late_and_duplicate_responses_do_not_reach_another_request(self) -> None:
+        class DuplicatingHandler(EchoHandler):
             def handle(self, client: ClientConnection, request: Incoming) -> None:
-                self.taken.append(request)
+                self.handled.append(request)
                 client.respond(client.token - 1, 200, (), b"another's")
                 client.respond(client.token, 200, (), request.target)
                 client.respond(client.token, 200, (), b"twice")
 
-        listener = Listener(Late(), 16, 0)
+        listener = Listener(DuplicatingHandler(), 16, 0)
         await listener.open("127.0.0.1:0")
         assert listener.server is not None
         port = listener.server.sockets[0].getsockname()[1]
@@ -222,7 +223,7 @@
         writer.close()
         listener.close()
 
-    async def test_heads_that_two_readers_could_read_differently_are_turned_away(self) -> None:
+    async def test_ambiguous_or_malformed_request_headers_are_rejected(self) -> None:
         bad = (
             b"GET /a/ HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n",
             b"GET /a/\r\n\r\n",
@@ -234,23 +235,23 @@
             b"GET /a/ HTTP/1.1\r\nHost: a\r\nX: a\nY: b\r\nbad line\r\n\r\n",
         )
         for data in bad:
-            status, taken = await self.send(data)
-            self.assertEqual((status, taken), (b"400", []), data)
+            status, handled = await self.send(data)
+            self.assertEqual((status, handled), (b"400", []), data)
 
-    async def test_limits_have_answers_of_their_own(self) -> None:
+    async def test_exceeded_limits_have_their_own_status_codes(self) -> None:
         long = b"GET /a/ HTTP/1.1\r\nHost: a\r\nX: " + b"x" * 3_000 + b"\r\n\r\n"
         self.assertEqual((await self.send(long))[0], b"431")
         big = b"POST /a/ HTTP/1.1\r\nHost: a\r\nContent-Length: 100001\r\n\r\n"
         self.assertEqual((await self.send(big))[0], b"413")
 
-    async def test_a_body_in_chunks_is_taken_whole(self) -> None:
+    async def test_a_chunked_body_is_received_completely(self) -> None:
         data = (
             b"POST /a/ HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"
             + b"".join(b"%x\r\n%b\r\n" % (n, b"y" * n) for n in (1, 70, 9_000))
             + b"0\r\n\r\n"
         )
-        status, taken = await self.send(data)
-        self.assertEqual((status, len(taken[0].body)), (b"200", 9_071))
+        status, handled = await self.send(data)
+        self.assertEqual((status, len(handled[0].body)), (b"200", 9_071))
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_pages_ends.py
+++ b/tests/mesh/test_pages_ends.py
@@ -1,4 +1,4 @@
-"""What an ending process must wait for: the last byte of each answer, and not only its writing."""
+"""Before a process ends, the operating system must have taken the last byte of each response."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 from minthitch.mesh.http.listener import ClientConnection, Listener
 
-ANSWER = 8_000_000  # bytes: more than the sockets' buffers hold
+RESPONSE_BYTES = 8_000_000  # more than fits into the sockets' buffers
 
 
 class Handler:
-    """Answers everything at once, and at length."""
+    """Responds to each request at once, with a large body."""
 
     def handle(self, client: ClientConnection, request: Any) -> None:
-        client.respond(client.token, 200, (), b"x" * ANSWER)
+        client.respond(client.token, 200, (), b"x" * RESPONSE_BYTES)
 
     def on_client_lost(self, client: ClientConnection) -> None:
         pass
@@ -33,8 +33,8 @@
         pass
 
 
-class Ends(unittest.IsolatedAsyncioTestCase):
-    async def test_an_answer_counts_until_its_last_byte_has_left(self) -> None:
+class Shutdown(unittest.IsolatedAsyncioTestCase):
+    async def test_a_response_counts_as_unsent_until_its_last_byte_is_written(self) -> None:
         listener = Listener(Handler(), 10, 0)
         await listener.open("127.0.0.1:0")
         assert listener.server is not None
@@ -43,9 +43,9 @@
         writer.write(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
         head = await reader.readuntil(b"\r\n\r\n")
         self.assertIn(b"200", head)
-        self.assertEqual(listener.pending_requests(), 0, "it is answered")
-        self.assertGreater(listener.unsent_bytes(), 0, "and has not left")
-        await reader.readexactly(ANSWER)
+        self.assertEqual(listener.pending_requests(), 0, "the request is answered")
+        self.assertGreater(listener.unsent_bytes(), 0, "but its response is not sent completely")
+        await reader.readexactly(RESPONSE_BYTES)
         self.assertEqual(listener.unsent_bytes(), 0)
         writer.close()
         listener.close()
--- a/tests/mesh/test_pages_sighup.py
+++ b/tests/mesh/test_pages_sighup.py
@@ -1,4 +1,4 @@
-"""SIGHUP says that the settings file has changed: its seeds are taken up, unless it is broken."""
+"""After SIGHUP the seeds are read again from the settings file, unless it is invalid."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 """
 
 
-class Sighup(unittest.TestCase):
-    def test_seeds_as_the_file_has_them_now(self) -> None:
+class SighupReload(unittest.TestCase):
+    def test_seeds_are_read_from_the_current_settings_file(self) -> None:
         with (
             tempfile.NamedTemporaryFile("w+") as file,
             mock.patch.dict("os.environ", {settings.VARIABLE: file.name}),
         ):
-            for text, found in (
+            for text, expected in (
                 (SETTINGS % "10.1.0.14:8306", ("10.1.0.14",)),
                 (SETTINGS % "10.2.0.10:8306,10.3.0.12:8306", ("10.2.0.10", "10.3.0.12")),
                 ("Self.Node", ()),
@@ -35,9 +35,9 @@
                 file.truncate()
                 file.write(text)
                 file.flush()
-                with mock.patch.object(runtime, "log_event") as said:
-                    self.assertEqual(runtime.load_seeds(), found)
-                self.assertEqual(said.called, not found)
+                with mock.patch.object(runtime, "log_event") as log:
+                    self.assertEqual(runtime.load_seeds(), expected)
+                self.assertEqual(log.called, not expected)
 
 
 if __name__ == "__main__":
