--- a/tests/mesh/test_budget.py
+++ b/tests/mesh/test_budget.py
@@ -219,10 +219,10 @@
     def test_control_nodes_unreachable_for_four_and_a_half_seconds(self) -> None:
         world = World(1, 6, even(10.0))
 
-        def partitioned() -> None:
+        def toggle_partition() -> None:
             world.partitioned = not world.partitioned
 
-        world.run(50.0, (20.0, partitioned), (24.5, partitioned))
+        world.run(50.0, (20.0, toggle_partition), (24.5, toggle_partition))
         self.assert_within_bound(world, 0.8)
 
     def test_sidecars_restart_in_turn(self) -> None:
@@ -339,25 +339,28 @@
     """The real programs in simulated time."""
 
     def test_each_extra_arrival_is_charged_once_and_nothing_else_is(self) -> None:
-        paid = [0]
-        charge, back = Budget._charge, Budget.refund
+        charged_count = [0]
+        charge, refund = Budget._charge, Budget.refund
 
-        def counted(budget: Budget, now: float, slack: bool) -> Charge:
-            paid[0] += 1
-            return charge(budget, now, slack)
+        def counting_charge(budget: Budget, now: float, from_allowance: bool) -> Charge:
+            charged_count[0] += 1
+            return charge(budget, now, from_allowance)
 
-        def given(budget: Budget, spent: Charge) -> None:
-            paid[0] -= 1
-            back(budget, spent)
+        def counting_refund(budget: Budget, spent: Charge) -> None:
+            charged_count[0] -= 1
+            refund(budget, spent)
 
-        with mock.patch.object(Budget, "_charge", counted), mock.patch.object(Budget, "refund", given):
+        with (
+            mock.patch.object(Budget, "_charge", counting_charge),
+            mock.patch.object(Budget, "refund", counting_refund),
+        ):
             played = play(3, [], Day(seconds=25.0, rate=10.0, quiet=5.0, failure_rate=0.1))
         self.assertEqual(played.broken, [])
         extra = extra_arrivals(played)
         self.assertGreater(extra, 50)
-        self.assertGreaterEqual(paid[0], extra)
+        self.assertGreaterEqual(charged_count[0], extra)
         # An attempt that is cancelled before it arrives stays charged.
-        self.assertLessEqual(paid[0], 1.1 * extra)
+        self.assertLessEqual(charged_count[0], 1.1 * extra)
 
     def test_a_service_three_times_slower(self) -> None:
         def slow(site: Site, clients: Clients, operators: Operators) -> None:
@@ -375,7 +378,7 @@
         inner = Counter(event.data["repeat"] for event in played.history.of("inner"))
         self.assertGreater(inner[True], 20)
 
-    def test_seeded_fault_nested_calls_of_repeats_not_charged(self) -> None:
+    def test_injected_fault_nested_calls_of_repeats_not_charged(self) -> None:
         with mock.patch.multiple(RetryBudget, _of_repeat=lambda *args: False, may_repeat=lambda *args: True):
             broken = [text for seed in range(4, 8) for text in nested_calls_day(seed).broken]
         self.assertTrue(any(text.startswith("BUDGET: bank") for text in broken), broken)
@@ -414,8 +417,8 @@
     return len(ids) - len(set(ids))
 
 
-class SeededFaults(unittest.TestCase):
-    """Each fault that is put into the code breaks the bound."""
+class InjectedFaults(unittest.TestCase):
+    """Each fault that is injected into the code breaks the bound."""
 
     def broken(self, world: World) -> bool:
         return max_usage(world.request_times, world.extra_times) > 1.0
--- a/tests/mesh/test_capacity.py
+++ b/tests/mesh/test_capacity.py
@@ -59,10 +59,10 @@
 
 
 class Verdict(unittest.TestCase):
-    def _part(self, cpu: float, told: float) -> dict[str, object]:
+    def _part(self, cpu: float, update_s: float) -> dict[str, object]:
         used = dict.fromkeys(COUNTED, 0) | {"cpu_s": cpu, "rss_mb": 1.0}
         calm = {"scenario": "calm", "seconds": 10.0, "sidecar": used}
-        order = {"scenario": "an order of one route", "seconds": 1.0, "sidecar": used, "all_s": told}
+        order = {"scenario": "an order of one route", "seconds": 1.0, "sidecar": used, "all_s": update_s}
         return {"nodes": 30, "rows": [calm, order]}
 
     def test_within_the_limits(self) -> None:
--- a/tests/mesh/test_delivery_http.py
+++ b/tests/mesh/test_delivery_http.py
@@ -33,7 +33,7 @@
 
 DISTANT_DEADLINE = 3600 * 10**9  # nanoseconds; never reached
 HISTORIES, STEPS = 3_000, 60
-SEEDED_FAULT_HISTORIES = 3_000  # in which a seeded fault must be found
+INJECTED_FAULT_HISTORIES = 3_000  # in which an injected fault must be found
 MAX_CONCURRENT = 3  # requests
 HEAD_END = b"\r\n\r\n"
 SEAL = b"X-Server-Seal: s\r\n"
@@ -43,16 +43,16 @@
 
 def answer(idents: tuple[bytes, ...], body: bytes, status: int, fields: bytes) -> bytes:
     """A response that carries these request ids."""
-    told = b"".join(b"X-Request-Id: %s\r\n" % ident for ident in idents)
-    head = b"HTTP/1.1 %d X\r\n%b%bContent-Length: %d\r\n\r\n" % (status, told, fields, len(body))
+    ids = b"".join(b"X-Request-Id: %s\r\n" % ident for ident in idents)
+    head = b"HTTP/1.1 %d X\r\n%b%bContent-Length: %d\r\n\r\n" % (status, ids, fields, len(body))
     return head + body
 
 
 class Wire:
     """Both directions of one connection, and the client's transport at it."""
 
-    def __init__(self, world: World, room: int) -> None:
-        self.world, self.room = world, room
+    def __init__(self, world: World, write_capacity: int) -> None:
+        self.world, self.write_capacity = world, write_capacity
         self.protocol: ServerConnection | None = None
         self.buffer = b""  # written by the client, not yet taken by the operating system
         self.sent = b""  # taken by the operating system, not yet read by the server
@@ -62,14 +62,14 @@
         self.body_left = 0
         self.received: list[bytes] = []  # requests whose head has arrived, not begun
         self.running: list[bytes] = []
-        self.said: list[bytes] = []  # complete responses
+        self.responses: list[bytes] = []  # complete responses
 
     # The transport as the client's connection uses it
 
     def write(self, data: bytes) -> None:
         if self.closing:
             return
-        now, self.buffer = data[: self.room], data[self.room :]
+        now, self.buffer = data[: self.write_capacity], data[self.write_capacity :]
         self.sent += now
         if self.buffer:
             assert self.protocol is not None
@@ -121,7 +121,7 @@
         self.partly_read = b""
 
     def respond(self, data: bytes, times: int) -> None:
-        self.said.append(data)
+        self.responses.append(data)
         self.unread += data * times
 
     def deliver(self, size: int) -> None:
@@ -157,7 +157,7 @@
         self.world = world
 
     async def _open(self, server: Any) -> Any:
-        wire = Wire(self.world, self.world.room)
+        wire = Wire(self.world, self.world.write_capacity)
         connection = wire.protocol = ModelConnection(self, server)
         connection.connection_made(cast(Any, wire))
         self.world.wires.append(wire)
@@ -172,7 +172,7 @@
         self.failures: list[str] = []
         self.loop.failures = lambda who, what: self.failures.append(what)
         self.wires: list[Wire] = []
-        self.room = 1 << 20
+        self.write_capacity = 1 << 20
         self.calls: dict[bytes, UpstreamCall] = {}
         self.outcomes: dict[bytes, Outcome] = {}
         self.begun: dict[bytes, int] = {}
@@ -216,8 +216,8 @@
         ident = wire.received.pop(0)
         self.begun[ident] = self.begun.get(ident, 0) + 1
         assert self.begun[ident] == 1, f"{ident!r} began twice"
-        told = self.outcomes.get(ident)
-        assert told is None or told.kind != NOT_RUN, (
+        outcome = self.outcomes.get(ident)
+        assert outcome is None or outcome.kind != NOT_RUN, (
             f"{ident!r} begins after it was reported that it never will"
         )
         wire.running.append(ident)
@@ -265,7 +265,7 @@
         return self.rng.choice((self.rng.randrange(1, 60), self.rng.randrange(60, 400), 10_000))
 
     def ask(self) -> None:
-        self.world.room = self.rng.choice((40, 200, 1 << 20, 1 << 20))
+        self.world.write_capacity = self.rng.choice((40, 200, 1 << 20, 1 << 20))
         self.world.do(self.world.ask, self.rng.choice((0, 0, 30, 300)), self._chance(0.5))
 
     def bytes_leave(self, wire: Wire) -> None:
@@ -306,15 +306,15 @@
             wire.respond(answer((wire.received.pop(0),), b"", status, fields), 2 if self._chance(0.2) else 1)
 
     def server_repeats_an_earlier_answer(self, wire: Wire) -> None:
-        if wire.said:
-            data = self.rng.choice(wire.said)
+        if wire.responses:
+            data = self.rng.choice(wire.responses)
             if self._chance(0.3) and CLOSE not in data:
                 data = data.replace(b"Content-Length", CLOSE + b"Content-Length")
             wire.respond(data, 1)
 
     def client_reads(self, wire: Wire) -> None:
         """Deliver some bytes, or exactly the first response."""
-        first = next((data for data in wire.said if wire.unread.startswith(data)), b"")
+        first = next((data for data in wire.responses if wire.unread.startswith(data)), b"")
         self.world.do(wire.deliver, len(first) if first and self._chance(0.5) else self._size())
 
     def reset_after_a_prefix(self, wire: Wire) -> None:
@@ -358,41 +358,41 @@
         self.assertGreater(min(counts[RAN], counts[NOT_RUN], counts[UNKNOWN]), HISTORIES // 5)
 
 
-class SeededFaults(unittest.TestCase):
-    """Each fault that is put into the code must be found."""
+class InjectedFaults(unittest.TestCase):
+    """Each fault that is injected into the code must be found."""
 
-    def found(self, words: str) -> None:
+    def assert_found(self, words: str) -> None:
         with self.assertRaisesRegex(AssertionError, words) as caught:
-            run_histories(SEEDED_FAULT_HISTORIES)
+            run_histories(INJECTED_FAULT_HISTORIES)
         if os.environ.get("SHOW_FOUND"):
             print(f"{self.id()}: {caught.exception}")
 
     def test_a_response_whose_id_is_not_checked(self) -> None:
-        def faulty(call: UpstreamCall, status: int, said: bool, fields: Any, body: bytes) -> Outcome:
+        def faulty(call: UpstreamCall, status: int, not_executed: bool, fields: Any, body: bytes) -> Outcome:
             named = (
                 *((n, v) for n, v in fields if n.lower() != b"x-request-id"),
                 (b"X-Request-Id", call.request_id),
             )
-            return classify_response(call, status, said, named, body)
+            return classify_response(call, status, not_executed, named, body)
 
         classify_response = upstream_module.classify_response
         with (
             mock.patch.object(upstream_module, "classify_response", faulty),
             mock.patch.object(ServerConnection, "_is_stray", lambda self, call: False),
         ):
-            self.found("got the answer|not begun|have not run|never will")
+            self.assert_found("got the answer|not begun|have not run|never will")
 
     def test_not_run_taken_from_the_response_to_another_request(self) -> None:
         """A former bug: "not run" was accepted before the id was checked."""
 
-        def faulty(call: UpstreamCall, status: int, said: bool, fields: Any, body: bytes) -> Outcome:
-            if status == 421 or (said and status in (400, 429, 503)):
+        def faulty(call: UpstreamCall, status: int, not_executed: bool, fields: Any, body: bytes) -> Outcome:
+            if status == 421 or (not_executed and status in (400, 429, 503)):
                 return Outcome(NOT_RUN, status, reason="turned away")
-            return classify_response(call, status, said, fields, body)
+            return classify_response(call, status, not_executed, fields, body)
 
         classify_response = upstream_module.classify_response
         with mock.patch.object(upstream_module, "classify_response", faulty):
-            self.found("have not run|never will")
+            self.assert_found("have not run|never will")
 
     def test_not_run_reported_after_a_partial_write(self) -> None:
         """A former bug: a request counted as sent only with its last byte."""
@@ -403,7 +403,7 @@
 
         real = ServerConnection.send
         with mock.patch.object(ServerConnection, "send", send):
-            self.found("have not run|never will")
+            self.assert_found("have not run|never will")
 
     def test_not_run_taken_from_a_header_of_another_protocol(self) -> None:
         """A former bug: the header X-Unprocessed of the node's protocol counted here, too."""
@@ -414,7 +414,7 @@
 
         real = ServerConnection.on_header
         with mock.patch.object(ServerConnection, "on_header", on_header):
-            self.found("have not run")
+            self.assert_found("have not run")
 
     def test_a_truncated_response_taken_as_complete(self) -> None:
         """The end of the connection is taken as the end of the response."""
@@ -427,7 +427,7 @@
 
         real = ServerConnection.connection_lost
         with mock.patch.object(ServerConnection, "connection_lost", lost):
-            self.found("got the answer")
+            self.assert_found("got the answer")
 
 
 if __name__ == "__main__":
