--- a/minthitch/mesh/http/listener.py
+++ b/minthitch/mesh/http/listener.py
@@ -82,10 +82,8 @@
 
     def _check(self, item: Incoming) -> None:
         version = self.parser.get_http_version()
-        if version not in (
-            "1.1",
-            "1.0",
-        ):  # a request line without a version has no headers and no defined end
+        # A request line without a version has no headers and no defined end.
+        if version not in ("1.1", "1.0"):
             raise Rejected(400, f"unsupported HTTP version {version}")
         if b"host" not in item.fields and version == "1.1":
             raise Rejected(400, "missing Host header")
--- a/minthitch/mesh/http/upstream.py
+++ b/minthitch/mesh/http/upstream.py
@@ -16,12 +16,11 @@
 from minthitch.engine.fleet import Server
 from minthitch.net.servers import COPIED, IDLE_PART, Connection, Pool
 
-# Idle limit until the server states one in Keep-Alive. The pool uses half of a limit, well below what the
-# server states.
+# Assumed idle limit of the server until it states one in Keep-Alive. The pool uses half of it, well below
+# what servers state.
 IDLE_CLOSE = 8 * api.SECOND
-CONNECT_TIMEOUT = (
-    api.SECOND // 2
-)  # shorter than callers wait, so that a silent server is noticed; it is local
+# To a server on the same machine. Shorter than callers wait, so that they learn of a silent server.
+CONNECT_TIMEOUT = api.SECOND // 2
 MIN_IDLE_S = 0.25  # an idle connection is kept for at least this long
 REQUEST_ID = b"x-request-id"
 MAX_STRAY_RESPONSES = 8  # responses to other requests on one connection before it is closed
--- a/minthitch/mesh/idempotency/operations.py
+++ b/minthitch/mesh/idempotency/operations.py
@@ -6,9 +6,8 @@
 from collections.abc import Callable
 from enum import StrEnum
 
-MAX_ANSWER_BYTES = (
-    24 * 1024 * 1024
-)  # of stored responses; beyond it the oldest are dropped, and their repeats fail
+# Of stored responses. Beyond it the oldest are dropped, and repeats of their requests fail.
+MAX_ANSWER_BYTES = 24 * 1024 * 1024
 MAX_OPERATIONS = 100_000
 Fields = tuple[tuple[bytes, bytes], ...]
 
--- a/minthitch/mesh/registry/registry.py
+++ b/minthitch/mesh/registry/registry.py
@@ -25,9 +25,8 @@
         self.records: dict[str, SidecarRecord] = {}  # by address
         self.version = 0
         self._last_contact: dict[str, float] = {}
-        self._changed_at: dict[
-            str, int
-        ] = {}  # by address: version of the last change or drop, in ascending order
+        # By address: version of the last change or drop, in ascending order of versions.
+        self._changed_at: dict[str, int] = {}
 
     def update(self, now: float, record: SidecarRecord) -> bool:
         """Apply a report; whether sidecars must be notified."""
--- a/minthitch/mesh/transport/ops.py
+++ b/minthitch/mesh/transport/ops.py
@@ -28,9 +28,7 @@
 CLAIM_STATE = 12  # [id, state, status, headers, body]
 RAFT = 13  # [from, message]: consensus among control nodes
 FORWARD = 14  # [id, kind, data]: ask the leader to propose a command
-RESULT = (
-    15  # [id, done, data]: result of applying it; done False: not proposed, and this request never will be
-)
+RESULT = 15  # [id, done, data]: the result; done False: not proposed, and this request never will be
 JOIN = 16  # [member]: ask to be added to the group
 FETCH = 17  # [id]: ask the leader for its complete configuration
 PEER_FETCH = 18  # [index]: from a sidecar that reaches no control node to another: send anything newer
