--- a/minthitch/mesh/transport/framing.py
+++ b/minthitch/mesh/transport/framing.py
@@ -1,6 +1,8 @@
-"""Messages cut into pieces and put together again, by rank and in turn. No I/O and no clock.
+"""Splits messages into frames and reassembles them, so that many can share a connection. No I/O and no clock.
 
-A piece is a head of 9 bytes (length, message number, whether it is the last) and up to PIECE bytes.
+A frame is a header of 9 bytes (payload length, message number, whether it is the last frame of its message)
+and a payload of up to MAX_FRAME_PAYLOAD bytes. Frames of a higher priority go first; messages of the same
+priority take turns frame by frame.
 """
 
 from __future__ import annotations
@@ -9,104 +11,106 @@
 from collections import deque
 from collections.abc import Iterator
 
-HEAD = struct.Struct("!IIB")
-PIECE = 16 * 1024  # bytes of a piece: a small message waits behind one of them at most
-LONGEST = 80 * 1024 * 1024  # bytes of one message: the longest body that clients may send, and its head
-MOST_OPEN = 512  # messages of which parts have come: a peer that begins more means harm
-RANKS = 3  # 0 goes first
+FRAME_HEADER = struct.Struct("!IIB")
+MAX_FRAME_PAYLOAD = 16 * 1024  # bytes; a small message waits for at most one frame of a larger one
+MAX_MESSAGE_BYTES = 80 * 1024 * 1024  # the largest body that clients may send, plus its headers
+MAX_PARTIAL_MESSAGES = 512  # incomplete messages from one peer; one that begins more is faulty or hostile
+PRIORITY_LEVELS = 3  # 0 is the highest
 
 
-class Broken(ValueError):
-    """Bytes that are no pieces of ours."""
+class ProtocolError(ValueError):
+    """Received bytes violate the protocol, or a message is too long for it."""
 
 
 class OutgoingMessage:
-    """One message on its way out."""
+    """A message that is being sent. `dropped` withdraws it, which works until its first frame is taken."""
 
-    __slots__ = ("number", "data", "at", "dropped")
+    __slots__ = ("number", "data", "offset", "dropped")
 
     def __init__(self, number: int, data: bytes) -> None:
-        self.number, self.data, self.at = number, data, 0
+        self.number, self.data, self.offset = number, data, 0
         self.dropped = False
 
     @property
-    def whole(self) -> bool:
-        """Whether its last piece has been handed on: from then on the other end may act on it."""
-        return self.at >= len(self.data)
+    def fully_sent(self) -> bool:
+        """Whether its last frame has been handed on: from then on the peer may act on it."""
+        return self.offset >= len(self.data)
 
 
 class Outbox:
-    """What waits to go out on one line: by rank, and within a rank each message a piece in turn."""
+    """Messages queued for one connection, by priority; messages of one priority take turns frame by frame."""
 
     def __init__(self) -> None:
-        self.queues: tuple[deque[OutgoingMessage], ...] = tuple(deque() for _ in range(RANKS))
-        self.next, self.size = 1, 0
-
-    def put(self, data: bytes, rank: int) -> OutgoingMessage:
-        """Raises Broken where the message is too long to be taken at the other end."""
-        if len(data) > LONGEST:
-            raise Broken(f"a message of {len(data)} bytes")
-        parcel = OutgoingMessage(self.next, data)
-        self.next = self.next % 0xFFFFFFFF + 1
-        self.queues[rank].append(parcel)
+        self.queues: tuple[deque[OutgoingMessage], ...] = tuple(deque() for _ in range(PRIORITY_LEVELS))
+        self.next_number, self.size = 1, 0  # size: queued bytes of payload
+
+    def put(self, data: bytes, priority: int) -> OutgoingMessage:
+        """Queue a message. Raises ProtocolError if the peer would reject it as too long."""
+        if len(data) > MAX_MESSAGE_BYTES:
+            raise ProtocolError(f"message too long: {len(data)} bytes")
+        outgoing = OutgoingMessage(self.next_number, data)
+        self.next_number = self.next_number % 0xFFFFFFFF + 1
+        self.queues[priority].append(outgoing)
         self.size += len(data)
-        return parcel
+        return outgoing
 
-    def take(self) -> bytes | None:
-        """The next piece with its head; None where nothing waits."""
+    def next_frame(self) -> bytes | None:
+        """The next frame to send, with its header; None if the queue is empty."""
         for queue in self.queues:
             while queue:
-                parcel = queue.popleft()
-                if parcel.dropped and not parcel.at:  # one that has begun is finished: its other end waits
-                    self.size -= len(parcel.data)
+                outgoing = queue.popleft()
+                # One that has begun is sent to its end: the peer holds its first part and waits for the rest.
+                if outgoing.dropped and not outgoing.offset:
+                    self.size -= len(outgoing.data)
                     continue
-                return self._cut(queue, parcel)
+                return self._cut_frame(queue, outgoing)
         return None
 
-    def _cut(self, queue: deque[OutgoingMessage], parcel: OutgoingMessage) -> bytes:
-        part = parcel.data[parcel.at : parcel.at + PIECE]
-        parcel.at += len(part)
+    def _cut_frame(self, queue: deque[OutgoingMessage], outgoing: OutgoingMessage) -> bytes:
+        part = outgoing.data[outgoing.offset : outgoing.offset + MAX_FRAME_PAYLOAD]
+        outgoing.offset += len(part)
         self.size -= len(part)
-        if not parcel.whole:
-            queue.append(parcel)
-        return HEAD.pack(len(part), parcel.number, parcel.whole) + part
+        if not outgoing.fully_sent:
+            queue.append(outgoing)
+        return FRAME_HEADER.pack(len(part), outgoing.number, outgoing.fully_sent) + part
 
 
 class Inbox:
-    """Pieces as they come, and the messages that they make."""
+    """Reassembles the messages of one connection from the bytes that arrive."""
 
     def __init__(self) -> None:
-        self.rest = b""
-        self.open: dict[int, list[bytes]] = {}
-        self.held = 0
+        self.unparsed = b""  # the beginning of a frame whose end has not arrived
+        self.partial: dict[int, list[bytes]] = {}  # payloads of incomplete messages, by message number
+        self.partial_bytes = 0
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Whole messages. Raises Broken."""
-        data = self.rest + data if self.rest else data
-        at, end = 0, len(data)
-        while end - at >= HEAD.size:
-            size, number, last = HEAD.unpack_from(data, at)
-            if size > PIECE or last > 1:
-                raise Broken("a head that is none of ours")
-            if end - at - HEAD.size < size:
+        """Yield the messages that `data` completes. Raises ProtocolError."""
+        data = self.unparsed + data if self.unparsed else data
+        position, end = 0, len(data)
+        while end - position >= FRAME_HEADER.size:
+            size, number, last = FRAME_HEADER.unpack_from(data, position)
+            if size > MAX_FRAME_PAYLOAD or last > 1:
+                raise ProtocolError("invalid frame header")
+            if end - position - FRAME_HEADER.size < size:
                 break
-            at += HEAD.size
-            part = data[at : at + size]
-            at += size
-            if last and number not in self.open:
+            position += FRAME_HEADER.size
+            part = data[position : position + size]
+            position += size
+            if last and number not in self.partial:
                 yield part
             else:
-                yield from self._join(number, part, bool(last))
-        self.rest = data[at:]
+                yield from self._reassemble(number, part, bool(last))
+        self.unparsed = data[position:]
 
-    def _join(self, number: int, part: bytes, last: bool) -> Iterator[bytes]:
-        parts = self.open.setdefault(number, [])
+    def _reassemble(self, number: int, part: bytes, last: bool) -> Iterator[bytes]:
+        parts = self.partial.setdefault(number, [])
         parts.append(part)
-        self.held += len(part)
-        if self.held > LONGEST or len(self.open) > MOST_OPEN:  # danger: the memory would fill
-            raise Broken("more begun than may be")
+        self.partial_bytes += len(part)
+        # Without these limits a peer could exhaust the memory.
+        if self.partial_bytes > MAX_MESSAGE_BYTES or len(self.partial) > MAX_PARTIAL_MESSAGES:
+            raise ProtocolError("too many incomplete messages, or too many bytes of them")
         if last:
-            del self.open[number]
-            whole = b"".join(parts)
-            self.held -= len(whole)
-            yield whole
+            del self.partial[number]
+            message = b"".join(parts)
+            self.partial_bytes -= len(message)
+            yield message
--- a/tests/mesh/test_control_configuration_calls.py
+++ b/tests/mesh/test_control_configuration_calls.py
@@ -25,7 +25,7 @@
     return items(range(3), version)
 
 
-class AtControlNode(FoundedSite):
+class AtControlNode(SiteTestCase):
     def ask(self, site: Site, control: ControlNode, body: bytes, answers: list[Answer]) -> None:
         asked = site.loop.now
         assert control.server is not None
@@ -75,7 +75,7 @@
 
     def test_a_timeout_above_that_of_the_callers_is_found(self) -> None:
         """Planted fault: the timeout exceeds that of the callers."""
-        site = self.site(1)
+        site = self.start_site(1)
         answers: list[Answer] = []
         with mock.patch.object(configuration_calls, "RESULT_TIMEOUT_S", 3.0):
             follower = self.follower(site)
@@ -133,7 +133,7 @@
 
     def test_a_late_result_is_dropped_and_the_repeat_acknowledged(self) -> None:
         """The answers are cut off: the call is committed, but its caller gets "unclear" and repeats it."""
-        site = self.site(2)
+        site = self.start_site(2)
         leader, follower, answers = site.leader(), self.follower(site), list[Answer]()
         other = next(c for c in site.controls if c not in (leader, follower))
         self.disconnect(site, leader, follower, back=False)
@@ -146,7 +146,7 @@
 
     def test_a_repeat_joins_the_pending_call(self) -> None:
         """Otherwise each repeat of a slow call would lengthen the log that it waits for."""
-        site = self.site(3)
+        site = self.start_site(3)
         leader, answers = site.leader(), list[Answer]()
         assert leader.server is not None
         last = leader.server.raft.last_index
@@ -162,7 +162,7 @@
         self.assertEqual(leader.server.proposals.unapplied, {})
 
     def test_each_call_is_answered_once(self) -> None:
-        site = self.site(4)
+        site = self.start_site(4)
         results: list[Any] = []
         open_calls: set[PendingCall] = set()
         first = site.loop.on(site.loop.world, PendingCall, site.loop, open_calls, 0.5, results.append)
--- a/tests/mesh/test_control_shutdown.py
+++ b/tests/mesh/test_control_shutdown.py
@@ -82,7 +82,7 @@
             self.assertEqual(answers, [503], path)
 
 
-class Handover(FoundedSite):
+class Handover(SiteTestCase):
     def seconds_until_leader(self, site: Site, old: ControlNode) -> float:
         """Seconds until another member has the leader's lease."""
         began = site.loop.now
@@ -135,7 +135,7 @@
                 self.assertTrue(server.may_end.is_set())
 
     def test_a_leader_that_shuts_down_accepts_no_new_call(self) -> None:
-        site = self.site(1)
+        site = self.start_site(1)
         leader, answers = site.leader(), list[Any]()
         assert leader.server is not None
         last = leader.server.raft.last_index
