--- a/minthitch/cli/settings.py
+++ b/minthitch/cli/settings.py
@@ -13,7 +13,7 @@
 from minthitch.mesh.sidecar import program as sidecar
 from minthitch.mesh.sidecar.shutdown_schedule import ACCEPT_FRACTION, LINGER_S
 
-NEEDS = {"sidecar": sidecar.needs, "ctl": control.required_settings}  # by what a process serves
+NEEDS = {"sidecar": sidecar.required_settings, "ctl": control.required_settings}  # by what a process serves
 LEAST_GRACE = LINGER_S / ACCEPT_FRACTION  # seconds that a sidecar needs to leave without a refused client
 SEEDS = 3  # machines that found a group
 
--- a/minthitch/mesh/sidecar/handlers.py
+++ b/minthitch/mesh/sidecar/handlers.py
@@ -11,21 +11,21 @@
 from minthitch.mesh.events.events import Event, log_event
 from minthitch.mesh.http.listener import ClientConnection
 from minthitch.mesh.idempotency.operations import MAX_ANSWER_BYTES, MAX_OPERATIONS
-from minthitch.mesh.sidecar.front import Front
+from minthitch.mesh.sidecar.sidecar import Sidecar
 from minthitch.net.callers import Incoming
 
 if TYPE_CHECKING:
     from minthitch.mesh.sidecar.tracing import Tracer
 
-HEAD_BYTES, BODY_BYTES = 16 * 1024, 64 * 1024  # of a beat
+MAX_HEADER_BYTES, MAX_BODY_BYTES = 16 * 1024, 64 * 1024  # of a beat
 JSON = ((b"Content-Type", b"application/json"),)
 
 
-class Counter:
+class AdminHandler:
     """One desk for the calls of the table."""
 
-    def __init__(self, front: Front) -> None:
-        self.front = front
+    def __init__(self, sidecar: Sidecar) -> None:
+        self.sidecar = sidecar
         self.tracer: Tracer | None = None  # from its first call on
 
     def on_client_lost(self, client: ClientConnection) -> None:
@@ -35,10 +35,10 @@
         return True
 
     def max_header_bytes(self) -> int:
-        return HEAD_BYTES
+        return MAX_HEADER_BYTES
 
     def max_body_bytes(self) -> int:
-        return BODY_BYTES
+        return MAX_BODY_BYTES
 
     def log_client_error(self, text: str) -> None:
         log_event(Event.CLIENT_ERROR, text=text)
@@ -51,20 +51,20 @@
             return
         call, ident = found
         if call.handler in ("status", "trace", "explain"):
-            status, table = self._look(call.handler, ident)
-            client.respond(client.token, status, JSON, encode(table))
+            status, answer = self._operator_call(call.handler, ident)
+            client.respond(client.token, status, JSON, encode(answer))
             return
         status = 404
         if call.handler == "ready":
-            status = 200 if self.front.ready() else 503
+            status = 200 if self.sidecar.ready() else 503
         elif call.handler == "beat":
-            status = self._beat(ident, request.body)
+            status = self._heartbeat(ident, request.body)
         elif call.handler == "leave":
-            self.front.admission.leave(ident)
+            self.sidecar.admission.deregister(ident)
             status = 200
         client.respond(client.token, status, JSON, b"{}" if status == 200 else b"")
 
-    def _look(self, handler: str, ident: str) -> tuple[int, dict[str, Any]]:
+    def _operator_call(self, handler: str, ident: str) -> tuple[int, dict[str, Any]]:
         """What operators ask: the status and the body."""
         if handler == "status":
             return 200, self._status()
@@ -72,7 +72,7 @@
             if self.tracer is None:
                 from minthitch.mesh.sidecar.tracing import Tracer  # its memory is paid where it is asked for
 
-                self.tracer = Tracer(self.front)
+                self.tracer = Tracer(self.sidecar)
             if not self.tracer.switch(ident):
                 return 400, {"Err": f"{ident[:40]}: not a number of seconds up to an hour"}
             return 200, self.tracer.status()
@@ -88,25 +88,25 @@
 
     def _status(self) -> dict[str, Any]:
         """The front's, with what its operators ask of budgets, keys and tracing."""
-        front, table = self.front, self.front.status()
-        operations = front.keys.operations
-        table["budgets"] = {
-            name: {**front.retry_budget.status(name), "window_s": front.boot.terms.bounds.retry_win_s}
-            for name in list(front.retry_budget.budgets)
+        sidecar, answer = self.sidecar, self.sidecar.status()
+        operations = sidecar.keys.operations
+        answer["budgets"] = {
+            name: {**sidecar.retry_budget.status(name), "window_s": sidecar.settings.terms.bounds.retry_win_s}
+            for name in list(sidecar.retry_budget.budgets)
         }
-        table["book"] = {
+        answer["book"] = {
             "held": len(operations.by_claim_id),
             "most": MAX_OPERATIONS,
             "bytes": operations.answer_bytes,
             "most_bytes": MAX_ANSWER_BYTES,
             "keep_s": round(operations.retention_s, 1),
         }
-        table["traced"] = self.tracer.status() if self.tracer is not None else {}
-        return table
+        answer["traced"] = self.tracer.status() if self.tracer is not None else {}
+        return answer
 
-    def _beat(self, ident: str, body: bytes) -> int:
+    def _heartbeat(self, ident: str, body: bytes) -> int:
         try:
-            self.front.admission.beat(ident, body)
+            self.sidecar.admission.on_heartbeat(ident, body)
         except ValueError as err:
             self.log_client_error(str(err))
             return 400
--- a/minthitch/mesh/sidecar/offers.py
+++ b/minthitch/mesh/sidecar/offers.py
@@ -14,7 +14,7 @@
 
 Reply = Callable[[ops.Message], None]
 BODY, LEFT, AIM = 10, 3, 4  # positions in a CALL message
-LATE_LEFT = 0.01  # seconds: a call with less time left than this is not sent any more
+MIN_TIME_LEFT_S = 0.01  # seconds: a call with less time left than this is not sent any more
 
 
 class OfferReceiver:
@@ -25,48 +25,48 @@
         self.admission, self.bulk = admission, BulkAdmission()
         self.replies: dict[Hashable, Reply] = {}  # by key, while an offer waits
 
-    def offered(self, origin: Hashable, reply: Reply, message: ops.Message) -> None:
+    def on_offer(self, origin: Hashable, reply: Reply, message: ops.Message) -> None:
         """Answers GRANT or BUSY, now or once it is decided."""
         _, ident, life, left, aim, rank, size, route = message
         now, admission, key = self.loop.time(), self.admission, (origin, ident)
-        if admission.state != "up" or life != admission.life:
-            self._turn_away(reply, ident, "gone")
+        if admission.state != "up" or life != admission.server_id:
+            self._reject(reply, ident, "gone")
             return
         due = now + aim - admission.gate.needs(route, aim)
         if now + admission.gate.wait(rank) > due:
-            self._turn_away(reply, ident, "full")
+            self._reject(reply, ident, "full")
             return
         verdict = self.bulk.offer(now, Offer(key, size, rank, due, now + left))
         if verdict is None:
-            self._turn_away(reply, ident, "full")
+            self._reject(reply, ident, "full")
         elif verdict:
             reply((ops.GRANT, ident))
         else:
             self.replies[key] = reply
 
-    def arrived(self, origin: Hashable, message: ops.Message) -> None:
+    def on_call(self, origin: Hashable, message: ops.Message) -> None:
         """A CALL is here: if it was offered, the next may come."""
         key = (origin, message[1])
         if key in self.bulk.granted:
             self.bulk.arrived(self.loop.time(), key)
-            self._next()
+            self._decide_waiting()
 
-    def withdrawn(self, origin: Hashable, ident: int) -> None:
+    def on_cancel(self, origin: Hashable, ident: int) -> None:
         """The sender needs it no more."""
         self.replies.pop((origin, ident), None)
         self.bulk.withdrawn(self.loop.time(), (origin, ident))
-        self._next()
+        self._decide_waiting()
 
-    def fell(self, origin: Hashable) -> None:
+    def on_connection_lost(self, origin: Hashable) -> None:
         """The connection to the sender is gone, and with it all that it offered."""
         keys = [*self.bulk.granted, *(offer.key for offer in self.bulk.waiting)]
         for key in keys:
             if isinstance(key, tuple) and key[0] == origin:
                 self.replies.pop(key, None)
                 self.bulk.withdrawn(self.loop.time(), key)
-        self._next()
+        self._decide_waiting()
 
-    def _next(self) -> None:
+    def _decide_waiting(self) -> None:
         grants, late = self.bulk.next(self.loop.time())
         for key in late:
             self._answer(key, None)
@@ -78,11 +78,11 @@
         if reply is None:
             return
         if op is None:
-            self._turn_away(reply, key[1], "late")
+            self._reject(reply, key[1], "late")
         else:
             reply((op, key[1]))
 
-    def _turn_away(self, reply: Reply, ident: int, why: str) -> None:
+    def _reject(self, reply: Reply, ident: int, why: str) -> None:
         gate = self.admission.gate
         wait = max(gate.wait(0), self.bulk.wait(0))
         reply((ops.BUSY, ident, why, False, gate.running, gate.queued, wait))
@@ -113,7 +113,7 @@
             return None
         message, since = held
         left = message[LEFT] - (now - since)
-        if left < LATE_LEFT:
+        if left < MIN_TIME_LEFT_S:
             return None
         return (*message[:LEFT], left, message[AIM] - (now - since), *message[AIM + 1 :])
 
--- a/minthitch/mesh/sidecar/retry_budget.py
+++ b/minthitch/mesh/sidecar/retry_budget.py
@@ -12,14 +12,14 @@
 from minthitch.mesh.limits.lease import NOT_NEEDED, Lease, LeaseClient
 from minthitch.mesh.sidecar.admission import Admission
 
-LOOK = 0.25  # seconds between two looks at the time, and
-STALLED = LOOK + COUNTING_S  # between two that tell of a freeze
-STALE_FOR = 0.1  # seconds after one in which what comes may have lain there for long
-MOST_SERVICES = 64  # whose calls by the own server are told apart
-SURPLUS = 0.05  # calls a run, beyond a whole number, that are put down to chance
+CHECK_INTERVAL_S = 0.25  # seconds between two looks at the time, and
+STALL_THRESHOLD_S = CHECK_INTERVAL_S + COUNTING_S  # between two that tell of a freeze
+STALE_S = 0.1  # seconds after one in which what comes may have lain there for long
+MAX_SERVICES = 64  # whose calls by the own server are told apart
+MEAN_TOLERANCE = 0.05  # calls a run, beyond a whole number, that are put down to chance
 
 
-def steady() -> float:
+def monotonic_now() -> float:
     """Seconds, read now: the loop's are those of its last turn, and this machine may have frozen since."""
     return time.monotonic_ns() / 1e9
 
@@ -30,15 +30,15 @@
     def __init__(self, bounds: Bounds, admission: Admission) -> None:
         self.bounds, self.admission = bounds, admission
         self.budgets: dict[str, Budget] = {}
-        self.lease_client = LeaseClient(lambda service, now: self.of(service).allowance_spent(now))
-        self.looked, self.stale_until = steady(), 0.0
-        self.asked = False  # whether the last need said anything
-        self.calls: dict[str, int] = {}  # by service: those that the own server has made
-        self.charged: dict[str, float] = {}  # of them, those charged as calls of repeats
-        admission.may_repeat = self.may_repeat
-        self.timer = admission.loop.call_later(LOOK, self._look)
-
-    def of(self, service: str) -> Budget:
+        self.lease_client = LeaseClient(lambda service, now: self.budget_for(service).allowance_spent(now))
+        self.checked_at, self.stale_until = monotonic_now(), 0.0
+        self.requested_last = False  # whether the last need said anything
+        self.calls_made: dict[str, int] = {}  # by service: those that the own server has made
+        self.calls_charged: dict[str, float] = {}  # of them, those charged as calls of repeats
+        admission.may_run_retry = self.may_run_retry
+        self.timer = admission.loop.call_later(CHECK_INTERVAL_S, self._on_timer)
+
+    def budget_for(self, service: str) -> Budget:
         found = self.budgets.get(service)
         if found is None:
             bounds = self.bounds
@@ -49,67 +49,71 @@
 
     def stale(self, now: float) -> bool:
         """Whether this process may only just have woken, so that nobody knows the age of what it reads."""
-        if now - self.looked > STALLED:
-            self.stale_until = now + STALE_FOR
+        if now - self.checked_at > STALL_THRESHOLD_S:
+            self.stale_until = now + STALE_S
         return now < self.stale_until
 
-    def taken(self, service: str, inner: bool) -> None:
+    def record_request(self, service: str, may_be_nested: bool) -> None:
         """A request for it came; `inner`: it may be a call of the own server."""
-        now = steady()
-        if inner and self._of_repeat(service):
-            self.of(service).charge(now)  # danger: it counts as a repeat, and so it earns nothing
+        now = monotonic_now()
+        if may_be_nested and self._is_retry_call(service):
+            self.budget_for(service).charge(now)  # danger: it counts as a repeat, and so it earns nothing
         elif not self.stale(now):
-            self.of(service).request(now)
+            self.budget_for(service).request(now)
 
     # Calls of repeated runs -----------------------------------------------------------------------
 
-    def _a_run(self, service: str) -> int:
+    def _calls_per_run(self, service: str) -> int:
         """Calls to it that one run at the own server makes, at most by the mean."""
-        return math.ceil(self.calls[service] / max(self.admission.runs, 1) - SURPLUS)
+        return math.ceil(self.calls_made[service] / max(self.admission.runs_started, 1) - MEAN_TOLERANCE)
 
-    def _due(self, service: str) -> float:
+    def _expected_retry_calls(self, service: str) -> float:
         """Calls to it that the repeats which run now may still make."""
-        a_run, house = self._a_run(service), self.admission
-        due = min(a_run * house.repeated - self.charged.get(service, 0.0), a_run * house.repeats)
-        self.charged[service] = a_run * house.repeated - due
-        return due
+        calls_per_run, admission = self._calls_per_run(service), self.admission
+        expected = min(
+            calls_per_run * admission.retries_started - self.calls_charged.get(service, 0.0),
+            calls_per_run * admission.retries_running,
+        )
+        self.calls_charged[service] = calls_per_run * admission.retries_started - expected
+        return expected
 
-    def _of_repeat(self, service: str) -> bool:
+    def _is_retry_call(self, service: str) -> bool:
         """Danger: which run made this call can't be seen; as many as repeats may make count as theirs."""
         if not self.admission.gate.running:
             return False
-        if service in self.calls or len(self.calls) < MOST_SERVICES:
-            self.calls[service] = self.calls.get(service, 0) + 1
-        if not self.admission.repeats or self._due(service) < 1:
+        if service in self.calls_made or len(self.calls_made) < MAX_SERVICES:
+            self.calls_made[service] = self.calls_made.get(service, 0) + 1
+        if not self.admission.retries_running or self._expected_retry_calls(service) < 1:
             return False
-        self.charged[service] += 1
+        self.calls_charged[service] += 1
         return True
 
-    def may_repeat(self) -> bool:
+    def may_run_retry(self) -> bool:
         """Whether one more repeat may run at the own server, with the calls that it will make."""
-        now = steady()
+        now = monotonic_now()
         return not self.stale(now) and all(
-            self.of(service).remaining(now) >= self._due(service) + self._a_run(service)
-            for service in self.calls
-            if self._a_run(service)
+            self.budget_for(service).remaining(now)
+            >= self._expected_retry_calls(service) + self._calls_per_run(service)
+            for service in self.calls_made
+            if self._calls_per_run(service)
         )
 
     # Leases ---------------------------------------------------------------------------------------
 
-    def need(self) -> tuple[Any, ...] | None:
+    def lease_request(self) -> tuple[Any, ...] | None:
         """For the control node that leads, twice a second; None with nothing to ask for or give back."""
-        now = steady()
+        now = monotonic_now()
         wanted = list(self._wanted(now))
         # Once more after the last: the leader is told that nothing is held any more.
-        asks, self.asked = bool(wanted) or self.asked, bool(wanted)
+        asks, self.requested_last = bool(wanted) or self.requested_last, bool(wanted)
         return tuple(self.lease_client.report(now, wanted)) if asks else None
 
-    def _look(self) -> None:
+    def _on_timer(self) -> None:
         """It runs."""
-        self.timer = self.admission.loop.call_later(LOOK, self._look)
-        now = steady()
+        self.timer = self.admission.loop.call_later(CHECK_INTERVAL_S, self._on_timer)
+        now = monotonic_now()
         self.stale(now)
-        self.looked = now
+        self.checked_at = now
 
     def _wanted(self, now: float) -> Iterator[tuple[str, int]]:
         for name, budget in self.budgets.items():
@@ -119,7 +123,7 @@
             elif self.lease_client.amounts.get(name) or budget.allowance_spent(now):
                 yield name, NOT_NEEDED
 
-    def lent(self, lease: tuple[Any, ...]) -> None:
+    def on_lease(self, lease: tuple[Any, ...]) -> None:
         self.lease_client.on_lease(Lease(*lease))
 
     def close(self) -> None:
@@ -127,7 +131,7 @@
 
     def status(self, service: str) -> dict[str, int]:
         """Of one service, for operators."""
-        now, budget = steady(), self.of(service)
+        now, budget = monotonic_now(), self.budget_for(service)
         slack, ratio = budget.allowance_spent(now), budget.ratio_spent(now)
         return {
             "requests": budget.requests(now),
--- a/minthitch/mesh/sidecar/front.py
+++ b/minthitch/mesh/sidecar/sidecar.py
@@ -18,77 +18,79 @@
 from minthitch.mesh.http.upstream import ServerPool
 from minthitch.mesh.limits.nested import Nested
 from minthitch.mesh.sidecar.admission import Admission
-from minthitch.mesh.sidecar.asks import Asks, say_on
-from minthitch.mesh.sidecar.choice import Choice
-from minthitch.mesh.sidecar.copies import Copies
-from minthitch.mesh.sidecar.keys import Keys, digest_of, hashed
+from minthitch.mesh.sidecar.attempt_dispatcher import AttemptDispatcher
+from minthitch.mesh.sidecar.exchange import Exchange
+from minthitch.mesh.sidecar.keys import IdempotencyKeys, digest_request, hashed
 from minthitch.mesh.sidecar.links import ControlLinks
+from minthitch.mesh.sidecar.load_balancer import LoadBalancer
 from minthitch.mesh.sidecar.offers import OfferReceiver
+from minthitch.mesh.sidecar.peer_queries import PeerQueries, send_if_connected
 from minthitch.mesh.sidecar.retry_budget import RetryBudget
 from minthitch.mesh.sidecar.shutdown_schedule import ShutdownSchedule
-from minthitch.mesh.sidecar.trip import Trip
 from minthitch.mesh.transport import ops
 from minthitch.mesh.transport.connection import Connection
 from minthitch.net.callers import Incoming
 
-MOST_SERVER_LINES = 256  # connections to the own server: its slots bound them, this is a guard
-MOST_DEADLINE = 600.0  # seconds: a longer one is cut
-COUNT_FOR = 1.0  # seconds that one line of the log tells of
-COUNTS_SAID = 6  # kinds of answers in one line
-BACK_WHEN_LEAVING = 0.05  # seconds after which one that came too late is to try elsewhere
+MAX_SERVER_CONNECTIONS = 256  # connections to the own server: its slots bound them, this is a guard
+MAX_DEADLINE_S = 600.0  # seconds: a longer one is cut
+COUNT_INTERVAL_S = 1.0  # seconds that one line of the log tells of
+MAX_COUNTS_LOGGED = 6  # kinds of answers in one line
+SHUTDOWN_RETRY_AFTER_S = 0.05  # seconds after which one that came too late is to try elsewhere
 
 
-class Front:
+class Sidecar:
     """Everything that one sidecar holds, on the running loop."""
 
-    def __init__(self, boot: NodeSettings, epoch: int, shelf: ServerPool | None = None) -> None:
+    def __init__(self, settings: NodeSettings, epoch: int, server_pool: ServerPool | None = None) -> None:
         """`epoch` is larger for each life; `shelf` is given by models, else the server's connections."""
-        self.boot, self.epoch = boot, epoch
+        self.settings, self.epoch = settings, epoch
         self.loop = asyncio.get_running_loop()
-        self.port = boot.net.port_range[0]
-        self.caller = boot.own.svc.encode()
-        self.random = random.Random(epoch ^ hash(boot.own.ip))
+        self.port = settings.net.port_range[0]
+        self.caller = settings.own.svc.encode()
+        self.random = random.Random(epoch ^ hash(settings.own.ip))
         self.seq = 0
         self.leaving = False
-        self.last = math.inf  # by when all that is open is answered: this process ends then
-        self.shut = math.inf  # from when on nothing more is taken
-        self.said_ready = False
+        self.answer_by = math.inf  # by when all that is open is answered: this process ends then
+        self.reject_from = math.inf  # from when on nothing more is taken
+        self.logged_ready = False
         self.table: Table | None = None
-        self.choice = Choice(boot.own.az, epoch)
-        self.nodes = 1
-        self.make_trip: Callable[..., Trip] = Trip  # another while its operator traces requests
-        self.trips: set[Trip] = set()
-        self.by_visitor: dict[ClientConnection, Trip] = {}
-        self.copies, self.asks = Copies(self), Asks(self)
+        self.load_balancer = LoadBalancer(settings.own.az, epoch)
+        self.sidecar_count = 1
+        self.make_exchange: Callable[..., Exchange] = Exchange  # another while its operator traces requests
+        self.exchanges: set[Exchange] = set()
+        self.by_client: dict[ClientConnection, Exchange] = {}
+        self.dispatcher, self.peer_queries = AttemptDispatcher(self), PeerQueries(self)
         self.nested_routes = Nested()
-        self.counts: dict[str, int] = {}
-        shelf = shelf or ServerPool(MOST_SERVER_LINES)
-        self.admission = Admission(boot.own.upstream, boot.own.svc, shelf, self.tell)
+        self.error_counts: dict[str, int] = {}
+        server_pool = server_pool or ServerPool(MAX_SERVER_CONNECTIONS)
+        self.admission = Admission(settings.own.upstream, settings.own.svc, server_pool, self.send_report)
         self.offers = OfferReceiver(self.admission)
-        self.retry_budget = RetryBudget(boot.terms.bounds, self.admission)
-        self.name = f"{boot.own.ip}/{epoch}"
+        self.retry_budget = RetryBudget(settings.terms.bounds, self.admission)
+        self.name = f"{settings.own.ip}/{epoch}"
         self.controls = ControlLinks(self, self.port, self.name)
-        self.keys = Keys(self.controls, boot.terms.bounds.key_win_s, self.name, self.asks.ask)
-        self.controls.know(tuple(seed.rpartition(":")[0] for seed in boot.net.seeds))
+        self.keys = IdempotencyKeys(
+            self.controls, settings.terms.bounds.key_win_s, self.name, self.peer_queries.ask_owner
+        )
+        self.controls.connect_to(tuple(seed.rpartition(":")[0] for seed in settings.net.seeds))
 
     # What others are told -------------------------------------------------------------------------
 
-    def tell(self) -> None:
-        self.controls.report()
+    def send_report(self) -> None:
+        self.controls.send_report()
 
-    def need(self) -> tuple[Any, ...] | None:
-        return self.retry_budget.need()
+    def lease_request(self) -> tuple[Any, ...] | None:
+        return self.retry_budget.lease_request()
 
-    def heard_of(self, term: int) -> None:
+    def on_term(self, term: int) -> None:
         self.retry_budget.lease_client.on_term(term)
 
-    def lent(self, lease: tuple[Any, ...]) -> None:
-        self.retry_budget.lent(lease)
+    def on_lease(self, lease: tuple[Any, ...]) -> None:
+        self.retry_budget.on_lease(lease)
 
-    def report(self) -> tuple[Any, ...]:
+    def report_fields(self) -> tuple[Any, ...]:
         self.seq += 1
-        own = self.boot.own
-        life, slots, state, cold = self.admission.record()
+        own = self.settings.own
+        life, slots, state, cold = self.admission.server_fields()
         return (
             own.ip,
             self.port,
@@ -103,20 +105,20 @@
             not self.leaving,
         )
 
-    def changed(self, config: bool, records: bool) -> None:
+    def on_update(self, config: bool, records: bool) -> None:
         if config:
             self.table = Table(self.controls.replica)
             log_event(Event.CONFIG, index=self.table.index, routes=len(self.table.routes))
         if records:
-            self._list()
-        if self.ready() and not self.said_ready:
-            self.said_ready = True
+            self._update_servers()
+        if self.ready() and not self.logged_ready:
+            self.logged_ready = True
             log_event(Event.READY)
 
-    def _list(self) -> None:
+    def _update_servers(self) -> None:
         records = self.controls.views.merged
-        self.nodes = max(len(records), 1)
-        self.choice.listed(
+        self.sidecar_count = max(len(records), 1)
+        self.load_balancer.update_servers(
             self.loop.time(),
             (
                 (r.service, r.server_id, r.ip, r.zone, r.capacity, r.slow_start_s)
@@ -124,10 +126,10 @@
                 if r.serving and r.state == "up" and r.server_id
             ),
         )
-        self.copies.let_go(lambda ip: ip in records)
+        self.dispatcher.close_unused(lambda ip: ip in records)
 
     def ready(self) -> bool:
-        return self.table is not None and self.controls.fresh_seen and not self.leaving
+        return self.table is not None and self.controls.seen_up_to_date and not self.leaving
 
     # Clients --------------------------------------------------------------------------------------
 
@@ -149,8 +151,8 @@
         if self.table is None:
             pause = REPLIES[ErrorKind.NO_CONFIG].retry_after or 0.0
             raise Rejected(503, "no configuration", int(pause * 1e9))
-        if now >= self.shut:  # danger: what is taken now could not be answered before the process ends
-            raise Rejected(503, "leaving", int(BACK_WHEN_LEAVING * 1e9))
+        if now >= self.reject_from:  # danger: what is taken now could not be answered before the process ends
+            raise Rejected(503, "leaving", int(SHUTDOWN_RETRY_AFTER_S * 1e9))
         route = self.table.match(request.fields.get(b"host", b""), request.target)
         if route is None:
             client.respond(client.token, 404, (), b"")
@@ -160,94 +162,98 @@
         if route.kind == "keyed" and not request.fields.get(b"x-idempotency-key"):
             raise Rejected(400, "no X-Idempotency-Key")
         waited = (time.monotonic_ns() - request.heard) / 1e9 if request.heard else 0.0
-        left = _deadline(request.fields.get(b"x-deadline-ms"), route.timeout) - min(waited, 1.0)
+        time_left = _deadline(request.fields.get(b"x-deadline-ms"), route.timeout) - min(waited, 1.0)
         service = route.choose(self.random.random())
         nested = self.nested_routes.record(route.name, self.admission.gate.running)
         # Servers' own calls carry no key.
-        self.retry_budget.taken(service, route.kind != "keyed" and self.nested_routes.may_be(route.name))
-        trip = self.make_trip(self, client, request, route, service, now, left, nested)
-        self.trips.add(trip)
-        self.by_visitor[client] = trip
-        trip.begin()
+        self.retry_budget.record_request(
+            service, route.kind != "keyed" and self.nested_routes.may_be(route.name)
+        )
+        exchange = self.make_exchange(self, client, request, route, service, now, time_left, nested)
+        self.exchanges.add(exchange)
+        self.by_client[client] = exchange
+        exchange.start()
 
     def on_client_lost(self, client: ClientConnection) -> None:
-        trip = self.by_visitor.pop(client, None)
-        if trip is not None and not trip.closed and trip.token == client.token:
-            trip.abandoned()
+        exchange = self.by_client.pop(client, None)
+        if exchange is not None and not exchange.closed and exchange.token == client.token:
+            exchange.on_client_gone()
 
-    def over(self, trip: Trip) -> None:
-        self.trips.discard(trip)
-        if self.by_visitor.get(trip.client) is trip:
-            del self.by_visitor[trip.client]
+    def on_exchange_closed(self, exchange: Exchange) -> None:
+        self.exchanges.discard(exchange)
+        if self.by_client.get(exchange.client) is exchange:
+            del self.by_client[exchange.client]
 
-    def open_key(self, trip: Trip) -> None:
-        item = trip.item
+    def claim_key(self, exchange: Exchange) -> None:
+        item = exchange.request
         self.keys.open(
-            trip, hashed(item.fields[b"x-idempotency-key"]), digest_of(item.method, item.target, item.body)
+            exchange,
+            hashed(item.fields[b"x-idempotency-key"]),
+            digest_request(item.method, item.target, item.body),
         )
 
-    def refused(self, kind: ErrorKind, route: str) -> None:
+    def count_error(self, kind: ErrorKind, route: str) -> None:
         """Counts an answer of our own; a second's counts are one line in the log."""
-        if not self.counts:
-            self.loop.call_later(COUNT_FOR, self._say_counts)
+        if not self.error_counts:
+            self.loop.call_later(COUNT_INTERVAL_S, self._log_error_counts)
         name = f"{kind.value} on {route}"
-        self.counts[name] = self.counts.get(name, 0) + 1
+        self.error_counts[name] = self.error_counts.get(name, 0) + 1
 
-    def _say_counts(self) -> None:
-        counts, self.counts = self.counts, {}
+    def _log_error_counts(self) -> None:
+        counts, self.error_counts = self.error_counts, {}
         if not counts:
             return
-        most = sorted(counts.items(), key=lambda item: -item[1])[:COUNTS_SAID]
-        log_event(Event.REFUSED, kinds=", ".join(f"{number} {name}" for name, number in most))
+        largest = sorted(counts.items(), key=lambda item: -item[1])[:MAX_COUNTS_LOGGED]
+        log_event(Event.REFUSED, kinds=", ".join(f"{number} {name}" for name, number in largest))
 
     # Lines that others opened -----------------------------------------------------------------------
 
     def on_message(self, connection: Connection, message: ops.Message) -> None:
         op = message[0]
         if op == ops.CALL:
-            self.offers.arrived(connection, message)
-            self.admission.call(connection, lambda answer: say_on(connection, answer), message)
+            self.offers.on_call(connection, message)
+            self.admission.call(connection, lambda answer: send_if_connected(connection, answer), message)
         elif op == ops.OFFER:
-            self.offers.offered(connection, lambda answer: say_on(connection, answer), message)
+            self.offers.on_offer(connection, lambda answer: send_if_connected(connection, answer), message)
         elif op == ops.CANCEL:
-            self.offers.withdrawn(connection, message[1])
+            self.offers.on_cancel(connection, message[1])
             self.admission.cancel(connection, message[1])
         else:
-            self.asks.heard(connection, message)
+            self.peer_queries.on_message(connection, message)
 
     def on_connection_lost(self, connection: Connection) -> None:
-        self.offers.fell(connection)
-        self.admission.fell(connection)
+        self.offers.on_connection_lost(connection)
+        self.admission.on_connection_lost(connection)
 
-    def relay(self, message: ops.Message) -> bool:
-        return self.asks.relay(message)
+    def relay_claim(self, message: ops.Message) -> bool:
+        return self.peer_queries.relay_claim(message)
 
-    def beg(self, message: ops.Message) -> None:
-        self.asks.beg(message)
+    def fetch_from_peers(self, message: ops.Message) -> None:
+        self.peer_queries.fetch_from_peers(message)
 
     # The end ----------------------------------------------------------------------------------------
 
-    def leave(self, schedule: ShutdownSchedule) -> None:
+    def begin_shutdown(self, schedule: ShutdownSchedule) -> None:
         """No new clients are wanted; what is open or still accepted is answered in the schedule's time."""
-        self.leaving, self.shut, self.last = True, schedule.reject_from, schedule.answer_by
+        self.leaving, self.reject_from, self.answer_by = True, schedule.reject_from, schedule.answer_by
         # Danger: these have their clients' deadlines, and the end of the process would cut them off.
-        for trip in self.trips:
-            trip.limit_deadline(schedule.answer_by)
+        for exchange in self.exchanges:
+            exchange.limit_deadline(schedule.answer_by)
         self.admission.limit_deadlines(schedule.answer_by)
-        self.tell()
+        self.send_report()
 
-    def open(self) -> int:
-        return len(self.trips) + len(self.admission.jobs)
+    def open_count(self) -> int:
+        return len(self.exchanges) + len(self.admission.jobs)
 
     def log_unanswered(self) -> None:
         """Logs each request whose client still waits, and the replies that are not logged yet."""
         now = self.loop.time()
-        for trip in self.trips:
-            if not trip.answered:
-                request = trip.identity.decode(errors="replace")
-                age, state = now - trip.began, trip.describe(now)
-                log_event(Event.UNANSWERED, request=request, route=trip.route.name, age=age, state=state)
-        self._say_counts()
+        for exchange in self.exchanges:
+            if not exchange.answered:
+                request = exchange.request_id.decode(errors="replace")
+                age, state = now - exchange.started_at, exchange.describe(now)
+                log_event(Event.UNANSWERED, request=request, route=exchange.route.name, age=age, state=state)
+        self._log_error_counts()
 
     def status(self) -> dict[str, Any]:
         """What this sidecar knows and does now, for operators."""
@@ -266,7 +272,7 @@
                 "lines": {ip: link.up for ip, link in self.controls.links.items()},
             },
             "server": {
-                "life": self.admission.life,
+                "life": self.admission.server_id,
                 "state": self.admission.state,
                 "slots": gate.slots,
                 "running": gate.running,
@@ -275,17 +281,17 @@
             },
             "services": {
                 name: {"servers": len(held), "budget": self.retry_budget.status(name)}
-                for name, held in self.choice.targets.items()
+                for name, held in self.load_balancer.endpoints.items()
             },
             "keys": states,
-            "open": len(self.trips),
-            "nodes": self.nodes,
+            "open": len(self.exchanges),
+            "nodes": self.sidecar_count,
             "nested_routes": [name for name in self.nested_routes.seen if self.nested_routes.is_nested(name)],
         }
 
     def close(self) -> None:
         self.controls.close()
-        self.copies.close()
+        self.dispatcher.close()
         self.retry_budget.close()
         self.admission.close()
 
@@ -300,4 +306,4 @@
         raise Rejected(400, "bad X-Deadline-Ms") from None
     if not seconds >= 0.0:  # NaN fails this too
         raise Rejected(400, "bad X-Deadline-Ms")
-    return min(seconds, MOST_DEADLINE)
+    return min(seconds, MAX_DEADLINE_S)
--- a/minthitch/mesh/sidecar/tracing.py
+++ b/minthitch/mesh/sidecar/tracing.py
@@ -1,6 +1,6 @@
 """Requests traced for their operator: loaded, and paid for, only from the call that switches it on.
 
-A traced trip is the same trip with its course noted (minthitch.mesh.sidecar.course). Nothing is decided here.
+A traced trip is the same trip with its course noted (minthitch.mesh.sidecar.trace). Nothing is decided here.
 """
 
 from __future__ import annotations
@@ -12,8 +12,10 @@
 from minthitch.mesh.configuration.errors import ErrorKind
 from minthitch.mesh.events.events import Event, log_event
 from minthitch.mesh.idempotency.operations import Operation
-from minthitch.mesh.sidecar.choice import Target
-from minthitch.mesh.sidecar.course import (
+from minthitch.mesh.sidecar.exchange import Attempt, Exchange, Fields
+from minthitch.mesh.sidecar.load_balancer import Endpoint
+from minthitch.mesh.sidecar.retry_budget import monotonic_now
+from minthitch.mesh.sidecar.trace import (
     ANSWERED,
     CANCELLED,
     CLAIMS,
@@ -29,43 +31,41 @@
     TOOK,
     TURNED_AWAY,
     Candidates,
-    Course,
-    Ring,
-    named,
+    Trace,
+    TraceBuffer,
+    steps_as_dicts,
 )
-from minthitch.mesh.sidecar.retry_budget import steady
-from minthitch.mesh.sidecar.trip import Attempt, Fields, Trip
 
 if TYPE_CHECKING:
     from minthitch.mesh.configuration.routes import Route
     from minthitch.mesh.http.listener import ClientConnection
-    from minthitch.mesh.sidecar.front import Front
+    from minthitch.mesh.sidecar.sidecar import Sidecar
     from minthitch.net.callers import Incoming
 
-LONGEST = 3600  # seconds for which requests can be traced by one call
-KEPT = 300.0  # seconds for which what was traced can still be asked
+MAX_DURATION_S = 3600  # seconds for which requests can be traced by one call
+RETENTION_S = 300.0  # seconds for which what was traced can still be asked
 
 
-class Traced(Trip):
+class TracedExchange(Exchange):
     """A trip that notes its course, and leaves it in the ring when it is over."""
 
-    __slots__ = ("course", "ring")
+    __slots__ = ("trace", "buffer")
 
     def __init__(
         self,
-        ring: Ring,
-        front: Front,
+        buffer: TraceBuffer,
+        sidecar: Sidecar,
         client: ClientConnection,
-        item: Incoming,
+        request: Incoming,
         route: Route,
         service: str,
         now: float,
-        left: float,
+        time_left: float,
         nested: bool,
     ) -> None:
-        super().__init__(front, client, item, route, service, now, left, nested)
-        self.ring, self.course = ring, Course(now)
-        self.course.note(
+        super().__init__(sidecar, client, request, route, service, now, time_left, nested)
+        self.buffer, self.trace = buffer, Trace(now)
+        self.trace.add(
             now,
             TOOK,
             route.name,
@@ -75,143 +75,156 @@
             self.due - now,
             self.deadline - now,
             route.tries,
-            front.nodes,
+            sidecar.sidecar_count,
         )
 
-    def note(self, word: str, *values: Any) -> None:
-        self.course.note(self.front.loop.time(), word, *values)
+    def record_step(self, kind: str, *values: Any) -> None:
+        self.trace.add(self.sidecar.loop.time(), kind, *values)
 
-    def left(self) -> int:
-        return self.front.retry_budget.of(self.service).remaining(steady())
+    def budget_left(self) -> int:
+        return self.sidecar.retry_budget.budget_for(self.service).remaining(monotonic_now())
 
-    def begin(self) -> None:
+    def start(self) -> None:
         if self.route.kind == "keyed":
-            self.note(CLAIMS)
-        super().begin()
+            self.record_step(CLAIMS)
+        super().start()
 
-    def go(self, operation: Operation) -> None:
-        self.note(GRANTED)
-        super().go(operation)
+    def on_claim_granted(self, operation: Operation) -> None:
+        self.record_step(GRANTED)
+        super().on_claim_granted(operation)
 
-    def settle(self, status: int, fields: Fields, body: bytes) -> None:
-        self.note(SETTLED, self.holder)
-        super().settle(status, fields, body)
+    def replay(self, status: int, fields: Fields, body: bytes) -> None:
+        self.record_step(SETTLED, self.claim_owner)
+        super().replay(status, fields, body)
 
     def fail(self, kind: ErrorKind) -> None:
-        self.note(NOT_HELD, kind.value, self.holder)
+        self.record_step(NOT_HELD, kind.value, self.claim_owner)
         super().fail(kind)
 
-    def _send(self, first: bool = True) -> None:
-        choice = self.front.choice
-        choice.seen = self._looked
+    def _send_attempts(self, first: bool = True) -> None:
+        load_balancer = self.sidecar.load_balancer
+        load_balancer.on_candidates = self._on_candidates
         try:
-            super()._send(first)
+            super()._send_attempts(first)
         finally:
-            choice.seen = None
-
-    def _looked(self, wanted: int, candidates: Candidates) -> None:
-        now = self.front.loop.time()
-        self.course.looked(now, wanted, self.due - now, self.left(), candidates)
-
-    def _send_to(self, target: Target, now: float) -> None:
-        repeat = self.arrivals > 0
-        super()._send_to(target, now)
-        self.note(SENT, next(reversed(self.out)), target.life, target.ip, repeat, self.left())
+            load_balancer.on_candidates = None
+
+    def _on_candidates(self, wanted: int, candidates: Candidates) -> None:
+        now = self.sidecar.loop.time()
+        self.trace.add_selection(now, wanted, self.due - now, self.budget_left(), candidates)
+
+    def _send_to(self, endpoint: Endpoint, now: float) -> None:
+        is_retry = self.arrivals > 0
+        super()._send_to(endpoint, now)
+        self.record_step(
+            SENT,
+            next(reversed(self.in_flight)),
+            endpoint.server_id,
+            endpoint.ip,
+            is_retry,
+            self.budget_left(),
+        )
 
-    def _overdue(self) -> None:
-        if not self.answered and self.out:
-            self.note(OVERDUE)
-        super()._overdue()
+    def _hedge(self) -> None:
+        if not self.answered and self.in_flight:
+            self.record_step(OVERDUE)
+        super()._hedge()
 
-    def served(self, attempt: Attempt, status: int, fields: Fields, body: bytes) -> None:
-        self.note(ANSWERED, attempt.ident, status, self.left())
-        super().served(attempt, status, fields, body)
+    def on_answer(self, attempt: Attempt, status: int, fields: Fields, body: bytes) -> None:
+        self.record_step(ANSWERED, attempt.ident, status, self.budget_left())
+        super().on_answer(attempt, status, fields, body)
 
-    def turned_away(self, attempt: Attempt, arrived: bool, wait: float) -> None:
-        self.note(TURNED_AWAY, attempt.ident, str(attempt.word), arrived, self.left())
-        super().turned_away(attempt, arrived, wait)
+    def on_rejected(self, attempt: Attempt, arrived: bool, queue_wait: float) -> None:
+        self.record_step(TURNED_AWAY, attempt.ident, str(attempt.outcome), arrived, self.budget_left())
+        super().on_rejected(attempt, arrived, queue_wait)
 
-    def lost(self, attempt: Attempt) -> None:
-        self.note(LOST, attempt.ident, str(attempt.word), self.left())
-        super().lost(attempt)
+    def on_lost(self, attempt: Attempt) -> None:
+        self.record_step(LOST, attempt.ident, str(attempt.outcome), self.budget_left())
+        super().on_lost(attempt)
 
-    def abandoned(self) -> None:
-        self.note(GONE)
-        super().abandoned()
+    def on_client_gone(self) -> None:
+        self.record_step(GONE)
+        super().on_client_gone()
 
     def _respond_error(self, kind: ErrorKind) -> None:
         if not self.answered:
-            self.note(REFUSED, kind.value)
+            self.record_step(REFUSED, kind.value)
         super()._respond_error(kind)
 
     def _respond(self, status: int, fields: Fields, body: bytes) -> None:
         if not self.answered:
-            self.note(REPLIED, status)
+            self.record_step(REPLIED, status)
         super()._respond(status, fields, body)
 
     def _close(self) -> None:
         if not self.closed:
-            for ident in self.out:
-                self.note(CANCELLED, ident)
-            self.ring.keep(self.identity, self.course.packed())
+            for ident in self.in_flight:
+                self.record_step(CANCELLED, ident)
+            self.buffer.store(self.request_id, self.trace.packed())
         super()._close()
 
 
 class Tracer:
     """Switches tracing on and off at one sidecar, and tells what was traced."""
 
-    def __init__(self, front: Front) -> None:
-        self.front, self.ring = front, Ring()
+    def __init__(self, sidecar: Sidecar) -> None:
+        self.sidecar, self.buffer = sidecar, TraceBuffer()
         self.until = 0.0
         self.timer: asyncio.TimerHandle | None = None
 
     def switch(self, seconds: str) -> bool:
         """Traces all new requests for so long; "0" ends it now. Whether that is a number of seconds."""
-        if not seconds.isdigit() or not 0 <= int(seconds) <= LONGEST:
+        if not seconds.isdigit() or not 0 <= int(seconds) <= MAX_DURATION_S:
             return False
         if self.timer is not None:
             self.timer.cancel()
         if int(seconds) == 0:
-            self._end()
+            self._stop()
             return True
-        loop = self.front.loop
+        loop = self.sidecar.loop
         self.until = loop.time() + int(seconds)
-        self.timer = loop.call_later(int(seconds), self._end)
-        self.front.make_trip = partial(Traced, self.ring)
+        self.timer = loop.call_later(int(seconds), self._stop)
+        self.sidecar.make_exchange = partial(TracedExchange, self.buffer)
         log_event(Event.TRACED, state=f"for {seconds} s")
         return True
 
-    def _end(self) -> None:
+    def _stop(self) -> None:
         self.until = 0.0
-        self.front.make_trip = Trip
-        self.timer = self.front.loop.call_later(KEPT, self._forget)
-        log_event(Event.TRACED, state=f"no longer; {len(self.ring.held)} can be asked for {KEPT:.0f} s")
+        self.sidecar.make_exchange = Exchange
+        self.timer = self.sidecar.loop.call_later(RETENTION_S, self._forget)
+        log_event(
+            Event.TRACED, state=f"no longer; {len(self.buffer.traces)} can be asked for {RETENTION_S:.0f} s"
+        )
 
     def _forget(self) -> None:
-        self.ring = Ring()
+        self.buffer = TraceBuffer()
 
     def status(self) -> dict[str, Any]:
-        left = max(self.until - self.front.loop.time(), 0.0)
+        time_left = max(self.until - self.sidecar.loop.time(), 0.0)
         return {
-            "left_s": round(left, 1),
-            "kept": len(self.ring.held),
-            "bytes": self.ring.size,
-            "left_out": self.ring.left_out,
+            "left_s": round(time_left, 1),
+            "kept": len(self.buffer.traces),
+            "bytes": self.buffer.size,
+            "left_out": self.buffer.left_out,
         }
 
     def explain(self, ident: bytes) -> dict[str, Any] | None:
         """The course of one request, over or still open; None where none is known."""
-        steps: list[Any] | None = self.ring.find(ident)
-        trips = [t for t in self.front.trips if isinstance(t, Traced) and t.identity == ident]
-        if trips:
-            steps = trips[-1].course.rows()
+        steps: list[Any] | None = self.buffer.find(ident)
+        exchanges = [
+            exchange
+            for exchange in self.sidecar.exchanges
+            if isinstance(exchange, TracedExchange) and exchange.request_id == ident
+        ]
+        if exchanges:
+            steps = exchanges[-1].trace.rows()
         if steps is None:
             return None
         return {
-            "sidecar": self.front.name,
+            "sidecar": self.sidecar.name,
             "request": ident.decode("latin-1"),
-            "open": bool(trips),
-            "steps": named(steps),
+            "open": bool(exchanges),
+            "steps": steps_as_dicts(steps),
         }
 
 
--- a/rigs/hollow/crowd.py
+++ b/rigs/hollow/crowd.py
@@ -22,7 +22,7 @@
 from minthitch.mesh.configuration.settings import parse_settings
 from minthitch.mesh.registry.merged_views import MergedViews
 from minthitch.mesh.registry.registry import RegistryDelta
-from minthitch.mesh.sidecar.front import Front
+from minthitch.mesh.sidecar.sidecar import Sidecar
 from rigs.hollow.channel import listen
 from rigs.hollow.meter import Meter
 
@@ -40,7 +40,7 @@
         return False
 
 
-class HollowSidecar(Front):
+class HollowSidecar(Sidecar):
     """Notes when it knows what is waited for."""
 
     before_index = 0  # of the configuration, when the waiting began
@@ -53,8 +53,8 @@
         self.wanted_lives, self.before_index = lives, self.controls.replica.index
         self.knew_at, self.waiting = None, True
 
-    def changed(self, config: bool, records: bool) -> None:
-        super().changed(config, records)
+    def on_update(self, config: bool, records: bool) -> None:
+        super().on_update(config, records)
         if self.waiting and self._knows():
             self.knew_at, self.waiting = time.monotonic(), False
 
@@ -67,11 +67,11 @@
     def beat(self, life: str, seq: int) -> None:
         """What its server would tell it."""
         body = {
-            "Addr": self.boot.own.upstream,
-            "Summary": {"Svc": self.boot.own.svc, "Ver": "1", "Az": self.boot.own.az, "Cap": SLOTS},
+            "Addr": self.settings.own.upstream,
+            "Summary": {"Svc": self.settings.own.svc, "Ver": "1", "Az": self.settings.own.az, "Cap": SLOTS},
             "Stat": {"State": "up", "Seq": seq},
         }
-        self.admission.beat(life, json.dumps(body).encode())
+        self.admission.on_heartbeat(life, json.dumps(body).encode())
 
 
 class ClaimLoad:
@@ -193,7 +193,7 @@
                 if front is not None:
                     for place in range(CALLED):
                         name = services[(number * CALLED + place) % len(services)]
-                        front.retry_budget.taken(name, False)
+                        front.retry_budget.record_request(name, False)
             if self.loop.time() < until:
                 self.loop.call_later(CALL_EVERY, tick)
 
--- a/rigs/simulation/mesh.py
+++ b/rigs/simulation/mesh.py
@@ -20,9 +20,9 @@
 )
 from minthitch.mesh.control.server import ControlServer
 from minthitch.mesh.control.state_machine import StateMachine
-from minthitch.mesh.sidecar.front import Front
-from minthitch.mesh.sidecar.links import Claimed
+from minthitch.mesh.sidecar.links import OnClaimed
 from minthitch.mesh.sidecar.shutdown_schedule import ShutdownSchedule
+from minthitch.mesh.sidecar.sidecar import Sidecar
 from minthitch.mesh.storage.store import Store
 from minthitch.mesh.storage.writer import StorageWriter
 from minthitch.mesh.transport.connection import Connection
@@ -188,7 +188,7 @@
     def __init__(self, site: Site, ip: str, service: str) -> None:
         super().__init__(site, ip)
         self.service = service
-        self.front: Front | None = None
+        self.front: Sidecar | None = None
         self.server = Server(site, self)
         self.clients: dict[Any, None] = {}  # in the order in which they came
 
@@ -205,22 +205,22 @@
         shelf = SimServerPool(self.loop, self.server, self.machine)
         front = self.front = self.site.make_front(self.boot(own), 1_000 + self.starts, shelf)
         front.random.seed(self.loop.random.getrandbits(32))  # its own seed has Python's hash of a text in it
-        told = front.changed
+        told = front.on_update
 
         def changed(config: bool, records: bool) -> None:
             told(config, records)
             if config and front.table is not None:
                 self._table(front)
 
-        front.changed = changed  # type: ignore[method-assign]
+        front.on_update = changed  # type: ignore[method-assign]
         self._watch_claims(front)
         self.site.network.listen(self.machine, lambda: Connection(front), self.ip, PORT)
         self.site.record("start", self.ip)
 
-    def _watch_claims(self, front: Front) -> None:
+    def _watch_claims(self, front: Sidecar) -> None:
         claim, life = front.controls.claim, self.machine.life
 
-        def watched(body: tuple[Any, ...], deadline: float, done: Claimed) -> None:
+        def watched(body: tuple[Any, ...], deadline: float, done: OnClaimed) -> None:
             def told(verdict: str, owner: str, name: bytes, digest: bytes) -> None:
                 self.site.record("claim", self.ip, key=body[0].hex(), verdict=verdict, owner=owner)
                 if self.machine.life == life:  # else it was killed right here
@@ -230,7 +230,7 @@
 
         front.controls.claim = watched  # type: ignore[method-assign]
 
-    def _table(self, front: Front) -> None:
+    def _table(self, front: Sidecar) -> None:
         rows = {
             row.name: (row.version, row.body is not None)
             for row in front.controls.replica._rows.values()
@@ -242,10 +242,10 @@
         """As its program does after SIGTERM; a second one changes nothing."""
         if self.front is not None and not self.front.leaving:
             schedule = ShutdownSchedule(self.loop.now + self.machine.offset, GRACE)
-            self.loop.after(0.0, self.machine, self.front.leave, schedule)
+            self.loop.after(0.0, self.machine, self.front.begin_shutdown, schedule)
 
     def may_end(self, began: float) -> bool:
-        idle = self.front is None or not self.front.open()
+        idle = self.front is None or not self.front.open_count()
         return ShutdownSchedule(began, GRACE).may_end(self.loop.now, idle)
 
     def fallen(self, power: bool) -> None:
@@ -257,7 +257,7 @@
 
 
 MakeControl = Callable[..., ControlServer]
-MakeFront = Callable[..., Front]
+MakeFront = Callable[..., Sidecar]
 
 
 class Site:
@@ -267,7 +267,7 @@
         self,
         seed: int,
         make_control: MakeControl = ControlServer,
-        make_front: MakeFront = Front,
+        make_front: MakeFront = Sidecar,
         controls: tuple[str, ...] = CONTROLS,
         make_network: Callable[[VirtualLoop], Network] = Network,
     ) -> None:
--- a/rigs/simulation/planted_drawn.py
+++ b/rigs/simulation/planted_drawn.py
@@ -18,7 +18,7 @@
 from minthitch.mesh.raft.messages import Message, RequestVote
 from minthitch.mesh.raft.node import RaftNode
 from minthitch.mesh.sidecar.admission import Admission
-from minthitch.mesh.sidecar.keys import Keys
+from minthitch.mesh.sidecar.keys import IdempotencyKeys
 from minthitch.mesh.sidecar.links import GRANTED, ControlLinks
 from minthitch.mesh.transport import ops
 from rigs.simulation import mesh
@@ -117,11 +117,11 @@
 
 
 def _any_life(admission: Admission, origin: Any, reply: Any, message: ops.Message) -> None:
-    own, admission.life = admission.life, message[2]
+    own, admission.server_id = admission.server_id, message[2]
     try:
         _CALL(admission, origin, reply, message)
     finally:
-        admission.life = own
+        admission.server_id = own
 
 
 _CALL = Admission.call
@@ -132,10 +132,10 @@
         _BE(admission, state)
 
 
-_BE = Admission._be
+_BE = Admission._set_state
 
 
-def _asked_free(keys: Keys, ident: int, claim: bytes, reply: Any) -> None:
+def _asked_free(keys: IdempotencyKeys, ident: int, claim: bytes, reply: Any) -> None:
     """What this life knows nothing of is said to be free."""
     if claim in keys.operations.by_claim_id:
         _ASKED(keys, ident, claim, reply)
@@ -143,7 +143,7 @@
         reply((ops.TOLD, ident, "free", 0, (), b""))
 
 
-_ASKED = Keys.asked
+_ASKED = IdempotencyKeys.on_query
 
 
 PLANTED: dict[str, Callable[[], list[Patch]]] = {
@@ -162,7 +162,9 @@
     "a key freed that may have run": lambda: [
         mock.patch.object(OperationTable, "record_unknown", OperationTable.record_not_run)
     ],
-    "a claim of a life before taken for free": lambda: [mock.patch.object(Keys, "asked", _asked_free)],
+    "a claim of a life before taken for free": lambda: [
+        mock.patch.object(IdempotencyKeys, "on_query", _asked_free)
+    ],
     "keys not claimed": lambda: [mock.patch.object(ControlLinks, "claim", _unclaimed)],
     "claims forgotten too soon": lambda: [
         mock.patch.object(mesh, "ROTATE_SLACK", 1.0 - mesh.KEY_WINDOW),
@@ -174,6 +176,6 @@
     ],
     "a replica that takes older state": lambda: [mock.patch.object(Replica, "merge", _older)],
     "a gate that passes calls of another life": lambda: [mock.patch.object(Admission, "call", _any_life)],
-    "a gate that is deaf to draining": lambda: [mock.patch.object(Admission, "_be", _undrained)],
+    "a gate that is deaf to draining": lambda: [mock.patch.object(Admission, "_set_state", _undrained)],
     "slack without a lease": lambda: [mock.patch.object(LeaseClient, "amount", lambda *args: int(SLACK))],
 }
--- a/rigs/simulation/planted_points.py
+++ b/rigs/simulation/planted_points.py
@@ -19,9 +19,9 @@
 from minthitch.mesh.raft.actions import Action
 from minthitch.mesh.raft.messages import AppendEntriesResponse, Message, PreVote, RequestVote
 from minthitch.mesh.raft.node import RaftNode
-from minthitch.mesh.sidecar.copies import Copies
-from minthitch.mesh.sidecar.front import Front
-from minthitch.mesh.sidecar.trip import Attempt
+from minthitch.mesh.sidecar.attempt_dispatcher import AttemptDispatcher
+from minthitch.mesh.sidecar.exchange import Attempt
+from minthitch.mesh.sidecar.sidecar import Sidecar
 from minthitch.mesh.transport import ops
 from minthitch.mesh.transport.control_messages import ForwardedResult
 from rigs.simulation.disk import SimStore
@@ -99,7 +99,7 @@
     done((server.state.items.fetch(), server.state.items.index))
 
 
-def _ready_when_fed(front: Front) -> bool:
+def _ready_when_fed(front: Sidecar) -> bool:
     """With whatever configuration it has, from whomever."""
     return front.table is not None and not front.leaving
 
@@ -125,14 +125,14 @@
     return None if saved is None else structs.replace(saved, entries=saved.entries[:-3])
 
 
-def _any_answer(copies: Copies, message: ops.Message) -> None:
+def _any_answer(copies: AttemptDispatcher, message: ops.Message) -> None:
     """Takes a server's answer for that of the oldest call that is out."""
     if message[0] == ops.ANSWER and copies.attempts:
         message = (message[0], next(iter(copies.attempts)), *message[2:])
     _ANSWER(copies, message)
 
 
-_ANSWER = Copies.answer
+_ANSWER = AttemptDispatcher.handle_reply
 
 
 def _core(make: type[RaftNode]) -> Callable[[], list[Patch]]:
@@ -149,7 +149,7 @@
         "a majority counted without contact": _core(Presuming),
         "a member that leads with old state": _core(Credulous),
         "reads answered by any node": lambda: [mock.patch.object(ControlServer, "fetch", _fetch_anywhere)],
-        "ready with what a peer fed it": lambda: [mock.patch.object(Front, "ready", _ready_when_fed)],
+        "ready with what a peer fed it": lambda: [mock.patch.object(Sidecar, "ready", _ready_when_fed)],
     },
     ONE_ORDER: {
         "both orders confirmed": lambda: [mock.patch.object(Items, "_conflicts", lambda *args: False)],
@@ -169,8 +169,10 @@
         "a restart that forgets its last entries": lambda: [mock.patch.object(SimStore, "load", _short_log)],
     },
     RIGHT_CALLER: {
-        "an answer without its number checked": lambda: [mock.patch.object(Copies, "answer", _any_answer)],
-        "never left, claimed after a write": lambda: [mock.patch.object(Attempt, "left", False)],
+        "an answer without its number checked": lambda: [
+            mock.patch.object(AttemptDispatcher, "handle_reply", _any_answer)
+        ],
+        "never left, claimed after a write": lambda: [mock.patch.object(Attempt, "fully_sent", False)],
         "a key freed that was sent": PLANTED["a key freed that may have run"],
     },
 }
--- a/rigs/simulation/planted_shutdowns.py
+++ b/rigs/simulation/planted_shutdowns.py
@@ -6,7 +6,7 @@
 from unittest import mock
 
 from minthitch.mesh.sidecar import shutdown_schedule
-from minthitch.mesh.sidecar.trip import Trip
+from minthitch.mesh.sidecar.exchange import Exchange
 from rigs.simulation.mesh import GRACE
 from rigs.simulation.planted_drawn import Patch
 
@@ -17,7 +17,7 @@
 
 IN_PLANNED_WORK: dict[str, Callable[[], list[Patch]]] = {
     "open requests keep their deadline in a shutdown": lambda: [
-        mock.patch.object(Trip, "limit_deadline", _without_limit)
+        mock.patch.object(Exchange, "limit_deadline", _without_limit)
     ],
     "requests accepted until the end": lambda: [
         mock.patch.object(shutdown_schedule, "MAX_ACCEPT_S", GRACE),
--- a/rigs/simulation/play.py
+++ b/rigs/simulation/play.py
@@ -16,7 +16,7 @@
 from minthitch.mesh.events.events import LOG
 from minthitch.mesh.raft import leader as leader_module
 from minthitch.mesh.raft import log as log_module
-from minthitch.mesh.sidecar.front import Front
+from minthitch.mesh.sidecar.sidecar import Sidecar
 from rigs.simulation import mesh
 from rigs.simulation.checks import violations
 from rigs.simulation.clients import DEADLINES, TIMEOUT, Clients, Operators
@@ -45,7 +45,7 @@
     timeout: float = TIMEOUT  # of the routes, in seconds
     actions: tuple[tuple[float, Action], ...] = ()
     make_control: MakeControl = ControlServer
-    make_front: MakeFront = Front
+    make_front: MakeFront = Sidecar
     controls: tuple[str, ...] = CONTROLS
     make_network: Callable[[VirtualLoop], Network] = Network
 
--- a/rigs/simulation/servers.py
+++ b/rigs/simulation/servers.py
@@ -148,7 +148,7 @@
         self.heartbeat()
 
     def leave(self) -> None:
-        self.sidecar_call(lambda front: front.admission.leave(self.life))
+        self.sidecar_call(lambda front: front.admission.deregister(self.life))
 
     def _heartbeat_loop(self, number: int) -> None:
         if self.up and number == self.number:
@@ -167,7 +167,7 @@
         ).encode()
 
         def deliver(front: Any) -> None:
-            front.admission.beat(life, body)
+            front.admission.on_heartbeat(life, body)
             self.site.record("beaten", life, state=state)
 
         self.sidecar_call(deliver)
--- a/rigs/simulation/size.py
+++ b/rigs/simulation/size.py
@@ -123,22 +123,22 @@
         self.crowd.network.listen(self.machine, lambda: Connection(self), self.ip, PORT)
         self.controls = ControlLinks(self, PORT, f"{self.ip}/1")
         self.controls.views = _Views(self, self.keeps)
-        self.controls.know(CONTROLS)
+        self.controls.connect_to(CONTROLS)
 
-    def need(self) -> None:
+    def lease_request(self) -> None:
         """At rest nobody needs any slack."""
 
-    def heard_of(self, term: int) -> None:
+    def on_term(self, term: int) -> None:
         pass
 
-    def lent(self, lease: object) -> None:
+    def on_lease(self, lease: object) -> None:
         pass
 
     def be(self, life: int, state: str) -> None:
         """Its server's new word, told at once."""
         self.life, self.state = life, state
         if self.controls is not None:
-            self.crowd.loop.after(0.0, self.machine, self.controls.report)
+            self.crowd.loop.after(0.0, self.machine, self.controls.send_report)
 
     def meet(self) -> None:
         """Asks every other sidecar something, and keeps the lines."""
@@ -157,22 +157,22 @@
     def on_connection_lost(self, connection: Connection) -> None:
         pass
 
-    def answered(self, peer: Peer, message: ops.Message) -> None:
+    def on_peer_message(self, peer: Peer, message: ops.Message) -> None:
         self.answers += 1
 
-    def lost(self, peer: Peer) -> None:
+    def on_peer_lost(self, peer: Peer) -> None:
         self.losses.append(peer.ip)
 
-    def unsent(self, idents: list[int]) -> None:
+    def on_unsent(self, idents: list[int]) -> None:
         self.back += idents
 
     # What Control nodes asks of its host
 
-    def changed(self, config: bool, records: bool) -> None:
+    def on_update(self, config: bool, records: bool) -> None:
         if config and self.controls is not None and self.controls.replica.index >= self.crowd.index > 0:
             self.crowd.note(self.ip, "config")
 
-    def report(self) -> tuple[Any, ...]:
+    def report_fields(self) -> tuple[Any, ...]:
         self.seq += 1
         return (
             self.ip,
@@ -188,10 +188,10 @@
             True,
         )
 
-    def relay(self, message: ops.Message) -> bool:
+    def relay_claim(self, message: ops.Message) -> bool:
         return False
 
-    def beg(self, message: ops.Message) -> None:
+    def fetch_from_peers(self, message: ops.Message) -> None:
         pass
 
 
--- a/tests/mesh/test_budget.py
+++ b/tests/mesh/test_budget.py
@@ -373,7 +373,9 @@
         self.assertGreater(inner[True], 20)
 
     def test_planted_calls_of_repeats_not_charged(self) -> None:
-        with mock.patch.multiple(RetryBudget, _of_repeat=lambda *args: False, may_repeat=lambda *args: True):
+        with mock.patch.multiple(
+            RetryBudget, _is_retry_call=lambda *args: False, may_run_retry=lambda *args: True
+        ):
             broken = [text for seed in range(4, 8) for text in inner_day(seed).broken]
         self.assertTrue(any(text.startswith("BUDGET: bank") for text in broken), broken)
 
@@ -482,23 +484,25 @@
 
     def setUp(self) -> None:
         self.now = 100.0
-        self.enterContext(mock.patch.object(retry_budget_module, "steady", lambda: self.now))
+        self.enterContext(mock.patch.object(retry_budget_module, "monotonic_now", lambda: self.now))
         loop = SimpleNamespace(call_later=lambda *args: None)
         gate = SimpleNamespace(running=0)
-        self.house: Any = SimpleNamespace(loop=loop, gate=gate, runs=0, repeated=0, repeats=0)
+        self.house: Any = SimpleNamespace(
+            loop=loop, gate=gate, runs_started=0, retries_started=0, retries_running=0
+        )
         bounds: Any = SimpleNamespace(retry_ratio=RATIO, retry_slack=SLACK, retry_win_s=WINDOW)
         self.retry_budget = RetryBudget(bounds, cast(Admission, self.house))
 
     def run_one(self, calls: int, repeat: bool) -> None:
         house = self.house
         house.gate.running += 1
-        house.runs += 1
-        house.repeated += repeat
-        house.repeats += repeat
+        house.runs_started += 1
+        house.retries_started += repeat
+        house.retries_running += repeat
         for _ in range(calls):
-            self.retry_budget.taken("deep", True)
+            self.retry_budget.record_request("deep", True)
         house.gate.running -= 1
-        house.repeats -= repeat
+        house.retries_running -= repeat
 
     def test_as_many_as_repeats_make_are_charged_and_others_are_not(self) -> None:
         rng = random.Random(1)
@@ -507,7 +511,7 @@
             counted: list[float] = []
             for _ in range(400):
                 self.now += 0.05
-                self.retry_budget.looked = self.now
+                self.retry_budget.checked_at = self.now
                 repeat = rng.random() < 0.2
                 repeats += repeat
                 self.house.gate.running += 3  # others beside it
@@ -519,15 +523,15 @@
     def test_a_repeat_whose_calls_could_not_be_paid_is_not_begun(self) -> None:
         for _ in range(20):
             self.run_one(2, False)
-        self.assertFalse(self.retry_budget.may_repeat())
+        self.assertFalse(self.retry_budget.may_run_retry())
         self.retry_budget.lease_client._expires_at = self.now + 5.0
         self.retry_budget.lease_client.amounts["deep"] = 2
-        self.assertTrue(self.retry_budget.may_repeat())
-        self.house.repeated = self.house.repeats = 1  # one is begun: its calls are spoken for
-        self.assertFalse(self.retry_budget.may_repeat())
+        self.assertTrue(self.retry_budget.may_run_retry())
+        self.house.retries_started = self.house.retries_running = 1  # one is begun: its calls are spoken for
+        self.assertFalse(self.retry_budget.may_run_retry())
 
     def test_spent_slack_is_told_even_of_a_service_that_nobody_asks_for_any_more(self) -> None:
-        budget = self.retry_budget.of("deep")
+        budget = self.retry_budget.budget_for("deep")
         number = self.retry_budget.lease_client.report(self.now, []).report_number
         self.retry_budget.lease_client.on_lease(Lease(1, 1, number, (("deep", 3),)))
         self.assertIsNotNone(budget.spend(self.now))
@@ -541,9 +545,10 @@
 
     def test_after_a_freeze_nothing_is_earned_and_no_repeat_begun(self) -> None:
         self.now += 3.0
-        self.retry_budget.taken("deep", False)
+        self.retry_budget.record_request("deep", False)
         self.assertEqual(
-            (len(self.retry_budget.of("deep").requests_sent.rows), self.retry_budget.may_repeat()), (0, False)
+            (len(self.retry_budget.budget_for("deep").requests_sent.rows), self.retry_budget.may_run_retry()),
+            (0, False),
         )
 
 
--- a/tests/mesh/test_delivery_links.py
+++ b/tests/mesh/test_delivery_links.py
@@ -22,11 +22,11 @@
 from unittest import mock
 
 from minthitch.mesh.sidecar import links, offers
-from minthitch.mesh.sidecar.asks import say_on
-from minthitch.mesh.sidecar.copies import Copies
+from minthitch.mesh.sidecar.attempt_dispatcher import AttemptDispatcher
+from minthitch.mesh.sidecar.exchange import Attempt
 from minthitch.mesh.sidecar.links import Peer
 from minthitch.mesh.sidecar.offers import OfferSender
-from minthitch.mesh.sidecar.trip import Attempt
+from minthitch.mesh.sidecar.peer_queries import send_if_connected
 from minthitch.mesh.transport import connection as connection_module
 from minthitch.mesh.transport import ops
 from minthitch.mesh.transport.connection import SILENT_MOST, Connection
@@ -52,8 +52,8 @@
     rank = 1
     route = SimpleNamespace(name="r", goal=1.0)
 
-    def __init__(self, walk: Walk, number: int, size: int, once: bool) -> None:
-        self.walk, self.once = walk, once
+    def __init__(self, walk: Walk, number: int, size: int, at_most_once: bool) -> None:
+        self.walk, self.at_most_once = walk, at_most_once
         self.token = b"call %d" % number
         self.body = self.token + b"!" + b"x" * size
         self.begun = 0
@@ -63,9 +63,9 @@
         self.end = ""  # what was told of it last
 
     def send(self, ip: str) -> None:
-        copies = self.walk.copies
-        target = SimpleNamespace(ip=ip, life="life", out=0)
-        attempt = self.attempt = copies.attempt(self, target, copies.loop.time())  # type: ignore[arg-type]
+        dispatcher = self.walk.dispatcher
+        target = SimpleNamespace(ip=ip, server_id="life", in_flight=0)
+        attempt = self.attempt = dispatcher.new_attempt(self, target, dispatcher.loop.time())  # type: ignore[arg-type]
         self.sent_at = self.walk.loop.now
         self.tries.append(ip)
         self.end = ""
@@ -85,12 +85,12 @@
             b"",
             "r",
         )
-        copies.send(attempt, message)
-        copies.loop.call_later(PATIENCE, self._out_of_time, attempt)
+        dispatcher.send(attempt, message)
+        dispatcher.loop.call_later(PATIENCE, self._out_of_time, attempt)
 
     def _out_of_time(self, attempt: Attempt) -> None:
         """As a trip does: what has not left is withdrawn, what has may still be answered."""
-        if attempt is self.attempt and not self.end and not attempt.left:
+        if attempt is self.attempt and not self.end and not attempt.fully_sent:
             self.cancel()
 
     def _ends(self, attempt: Attempt, how: str) -> None:
@@ -99,31 +99,31 @@
         self.end = how
         self.walk.counts[how] += 1
 
-    def served(self, attempt: Attempt, status: int, fields: Any, body: bytes) -> None:
+    def on_answer(self, attempt: Attempt, status: int, fields: Any, body: bytes) -> None:
         self._ends(attempt, "served")
         assert body == b"answer to " + self.token, f"{self.token!r} got the answer {body!r}"
 
-    def turned_away(self, attempt: Attempt, arrived: bool, wait: float) -> None:
+    def on_rejected(self, attempt: Attempt, arrived: bool, wait: float) -> None:
         self._ends(attempt, "turned away" if arrived else "never left")
         assert not self.begun, f"{self.token!r} is told to have not run, and did"
         others = [ip for ip in ANSWERERS if ip not in self.tries]
         if others:
             self.send(others[0])
 
-    def lost(self, attempt: Attempt) -> None:
+    def on_lost(self, attempt: Attempt) -> None:
         self._ends(attempt, "lost")
 
     def cancel(self) -> None:
         """As a trip does; what had not left is counted as never sent."""
         assert self.attempt is not None
-        self.end = "cancelled" if self.attempt.left else "never left"
+        self.end = "cancelled" if self.attempt.fully_sent else "never left"
         self.walk.counts["cancelled"] += 1
-        self.walk.copies.cancel(self.attempt)
+        self.walk.dispatcher.cancel(self.attempt)
 
     def begin(self) -> None:
         self.begun += 1
         assert self.end != "never left", f"{self.token!r} runs, and was told to have never left"
-        if self.once:
+        if self.at_most_once:
             assert self.begun == 1, f"{self.token!r} runs twice"
             age = self.walk.loop.now - self.sent_at
             assert age < AGE_MOST, f"{self.token!r} runs {age:.1f} s after it was sent"
@@ -150,7 +150,9 @@
         if rng.random() < 0.1:
             self.walk.reply(connection, (ops.BUSY, ident, "full", False, 0, 0, 0.0))
         for _ in range(rng.choice((0, 1, 1, 1, 1, 2))):
-            self.loop.call_later(rng.choice((0.0, 0.0, 0.1, 3.0)), say_on, connection, (ops.GRANT, ident))
+            self.loop.call_later(
+                rng.choice((0.0, 0.0, 0.1, 3.0)), send_if_connected, connection, (ops.GRANT, ident)
+            )
 
     def _called(self, connection: Connection, message: ops.Message) -> None:
         ident, rng = message[1], self.walk.rng
@@ -176,7 +178,7 @@
 class Walk:
     """One history."""
 
-    reply = staticmethod(say_on)
+    reply = staticmethod(send_if_connected)
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -202,16 +204,16 @@
         self.network.listen(self.machines[ip], lambda: Connection(host), ip, PORT)
 
     def _asker(self, ip: str) -> None:
-        front: Any = SimpleNamespace(
+        sidecar: Any = SimpleNamespace(
             loop=self.loop,
-            boot=SimpleNamespace(own=SimpleNamespace(ip=ip)),
-            controls=SimpleNamespace(views=SimpleNamespace(merged={}), claimed=None),
+            settings=SimpleNamespace(own=SimpleNamespace(ip=ip)),
+            controls=SimpleNamespace(views=SimpleNamespace(merged={}), on_claimed=None),
             port=PORT,
             name=ip,
-            choice=mock.Mock(spec_set=("sent", "ended", "told", "shut")),
-            asks=mock.Mock(spec_set=("told", "lost")),
+            load_balancer=mock.Mock(spec_set=("on_sent", "on_ended", "on_load_report", "avoid")),
+            peer_queries=mock.Mock(spec_set=("on_owner_answer", "on_peer_lost")),
         )
-        self.copies = Copies(front)
+        self.dispatcher = AttemptDispatcher(sidecar)
 
     # What happens
 
@@ -252,7 +254,7 @@
         self._as_asker(self._cancel)
 
     def _cancel(self) -> None:
-        out = [call for call in self.calls.values() if not call.end and not call.once]
+        out = [call for call in self.calls.values() if not call.end and not call.at_most_once]
         if out:
             self.rng.choice(out).cancel()
 
@@ -292,7 +294,7 @@
 
     def _lose_record(self) -> None:
         """Addresses vanish from the registry and are back at once, with a call right behind."""
-        self.copies.let_go(lambda ip: False)
+        self.dispatcher.close_unused(lambda ip: False)
         number = CALLS + len(self.calls)
         self._begin(Call(self, number, 10, True), self.rng.choice(ANSWERERS))
 
@@ -328,9 +330,9 @@
     call = Call(history, 0, LARGE, False)
     with mock.patch.object(offers, "OFFERED_FROM", LARGE * 2):
         history._as_asker(history._begin, call, ANSWERERS[0])
-        while call.attempt is None or call.attempt.parcel is None:
+        while call.attempt is None or call.attempt.outgoing is None:
             history._run_until(history.loop.now + 0.0001)
-        assert call.attempt.parcel.at and not call.attempt.left, "a part has left"
+        assert call.attempt.outgoing.at and not call.attempt.fully_sent, "a part has left"
         history._as_asker(call.cancel)
         history._run_until(5.0)
     return call
@@ -382,14 +384,14 @@
         self.answer = (ops.ANSWER, self.call.attempt.ident, 200, (), b"another's", 0, 0)
 
     def test_an_answer_of_another_peer_ends_no_call(self) -> None:
-        copies = self.walk.copies
+        dispatcher = self.walk.dispatcher
         with mock.patch("asyncio.get_running_loop", lambda: self.walk.loop):
-            other = copies.peer(ANSWERERS[1])
-        self.walk.loop.on(self.walk.machines[ASKER], copies.answered, other, self.answer)
+            other = dispatcher.peer(ANSWERERS[1])
+        self.walk.loop.on(self.walk.machines[ASKER], dispatcher.on_peer_message, other, self.answer)
         self.assertEqual(self.call.end, "")
 
     def test_an_answer_of_an_older_connection_ends_no_call(self) -> None:
-        asker, link = self.walk.machines[ASKER], self.walk.copies.peer(ANSWERERS[0]).link
+        asker, link = self.walk.machines[ASKER], self.walk.dispatcher.peer(ANSWERERS[0]).link
         older = self.walk.loop.on(asker, self._connection, link)
         self.walk.loop.on(asker, link.on_message, older, self.answer)
         self.assertEqual(self.call.end, "")
@@ -402,17 +404,17 @@
         host, told = mock.Mock(), list[tuple[Any, ...]]()
         with mock.patch("asyncio.get_running_loop", lambda: self.walk.loop):
             controls = links.ControlLinks(host, PORT, "name")
-        host.relay.return_value = True
+        host.relay_claim.return_value = True
         controls.claim((b"key", "name", b"mine", b"digest", b""), 9.0, lambda *row: told.append(row))
-        controls.claimed((ops.CLAIMED, 1, links.GRANTED, "other", b"another's", b"digest"))
+        controls.on_claimed((ops.CLAIMED, 1, links.GRANTED, "other", b"another's", b"digest"))
         self.assertEqual(told, [])
-        controls.claimed((ops.CLAIMED, 1, links.GRANTED, "name", b"mine", b"digest"))
+        controls.on_claimed((ops.CLAIMED, 1, links.GRANTED, "name", b"mine", b"digest"))
         self.assertEqual([row[0] for row in told], [links.GRANTED])
         controls.close()
 
 
-def lowest_free(copies: Copies) -> int:
-    return next(number for number in itertools.count(1) if number not in copies.attempts)
+def lowest_free(dispatcher: AttemptDispatcher) -> int:
+    return next(number for number in itertools.count(1) if number not in dispatcher.attempts)
 
 
 class Planted(unittest.TestCase):
@@ -435,7 +437,7 @@
         self.fail("not found")
 
     def test_never_left_claimed_after_a_whole_call_was_handed_on(self) -> None:
-        with mock.patch.object(Attempt, "left", property(lambda attempt: False)):
+        with mock.patch.object(Attempt, "fully_sent", property(lambda attempt: False)):
             self.found("have not run|never left")
 
     def test_never_left_claimed_until_the_systems_buffer_is_empty(self) -> None:
@@ -443,9 +445,11 @@
 
         def left(attempt: Attempt) -> bool:
             peer = attempt.peer
-            return peer is not None and peer.link.up and attempt.parcel is not None and attempt.parcel.whole
+            return (
+                peer is not None and peer.link.up and attempt.outgoing is not None and attempt.outgoing.whole
+            )
 
-        with mock.patch.object(Attempt, "left", property(left)):
+        with mock.patch.object(Attempt, "fully_sent", property(left)):
             self.found("have not run|never left")
 
     def test_answers_of_an_older_connection_taken_for_new_calls(self) -> None:
@@ -458,33 +462,33 @@
             real(answerer, connection, message)
 
         def reply(connection: Connection, message: ops.Message) -> None:
-            say_on(newest[connection.name], message)
+            send_if_connected(newest[connection.name], message)
 
         with (
             mock.patch.object(Answerer, "on_message", heard),
             mock.patch.object(Answerer, "on_connection_lost", lambda answerer, connection: None),
             mock.patch.object(Walk, "reply", staticmethod(reply)),
             mock.patch.object(Walk, "_cancel", lambda walk: None),  # it is found without these, too
-            mock.patch.object(Copies, "number", lowest_free),
+            mock.patch.object(AttemptDispatcher, "new_ident", lowest_free),
         ):
             self.found("got the answer")
 
     def test_numbers_used_again_when_their_calls_are_cancelled(self) -> None:
         """The answer that comes after its cancel is taken for the next call's."""
-        with mock.patch.object(Copies, "number", lowest_free):
+        with mock.patch.object(AttemptDispatcher, "new_ident", lowest_free):
             self.found("got the answer")
 
     def test_calls_of_a_new_link_lost_with_the_old_one(self) -> None:
         """As the code was: what a link had open was told by its address."""
 
-        def lost(copies: Copies, peer: Peer) -> None:
-            for attempt in copies.attempts.values():
-                if attempt.target.ip == peer.ip:
+        def lost(dispatcher: AttemptDispatcher, peer: Peer) -> None:
+            for attempt in dispatcher.attempts.values():
+                if attempt.endpoint.ip == peer.ip:
                     attempt.peer = peer
-            real(copies, peer)
+            real(dispatcher, peer)
 
-        real = Copies.lost
-        with mock.patch.object(Copies, "lost", lost):
+        real = AttemptDispatcher.on_peer_lost
+        with mock.patch.object(AttemptDispatcher, "on_peer_lost", lost):
             self.found("never left|have not run|runs twice")
 
     def test_a_cancel_that_passes_its_call(self) -> None:
@@ -516,7 +520,7 @@
 
     def test_calls_written_to_a_connection_that_no_process_has_taken(self) -> None:
         """As the code was: they were written as soon as the other system had taken the connection."""
-        with mock.patch.object(Peer, "_connected", lambda peer, link: peer._send_pending()):
+        with mock.patch.object(Peer, "_on_connected", lambda peer, link: peer._send_pending()):
             self.found("s after it was sent")
 
 
--- a/tests/mesh/test_delivery_trips.py
+++ b/tests/mesh/test_delivery_trips.py
@@ -12,13 +12,13 @@
 from minthitch.mesh.configuration.errors import REPLIES, ErrorKind
 from minthitch.mesh.configuration.routes import Route
 from minthitch.mesh.idempotency.operations import OperationState, OperationTable
-from minthitch.mesh.sidecar.trip import Attempt, Trip
+from minthitch.mesh.sidecar.exchange import Attempt, Exchange
 from rigs.simulation.loop import VirtualLoop
 
 DEADLINE = 1.0
 
 
-class Copies:
+class AttemptDispatcher:
     """Takes copies; `whole` tells how much of each has left: nothing (None), a part, or all."""
 
     def __init__(self, whole: bool | None) -> None:
@@ -26,13 +26,13 @@
         self.sent: list[Attempt] = []
         self.cancelled: list[Attempt] = []
 
-    def attempt(self, trip: Trip, target: Any, now: float) -> Attempt:
-        return Attempt(1, trip, target, now)
+    def new_attempt(self, exchange: Exchange, endpoint: Any, now: float) -> Attempt:
+        return Attempt(1, exchange, endpoint, now)
 
     def send(self, attempt: Attempt, message: Any) -> None:
         self.sent.append(attempt)
         if self.whole is not None:
-            attempt.parcel = SimpleNamespace(whole=self.whole)
+            attempt.outgoing = SimpleNamespace(whole=self.whole)
 
     def cancel(self, attempt: Attempt) -> None:
         self.cancelled.append(attempt)
@@ -41,70 +41,71 @@
 class Deadlines(unittest.TestCase):
     def play(self, whole: bool | None, limit: float = DEADLINE) -> None:
         """A keyed request whose claim stands, up to just after its deadline or the `limit` set meanwhile."""
-        loop, self.said = VirtualLoop(1), list[int]()
-        self.copies, operations = Copies(whole), OperationTable(60.0)
+        loop, self.statuses = VirtualLoop(1), list[int]()
+        self.dispatcher, operations = AttemptDispatcher(whole), OperationTable(60.0)
         budget = mock.Mock()
         budget.remaining.return_value = 0
-        front: Any = SimpleNamespace(
-            last=math.inf,
+        sidecar: Any = SimpleNamespace(
+            answer_by=math.inf,
             loop=loop,
             caller=b"svc",
             random=random.Random(1),
-            choice=SimpleNamespace(pick=lambda *_: [SimpleNamespace(life="life", ip="10.0.0.2")]),
-            retry_budget=SimpleNamespace(of=lambda service: budget),
-            copies=self.copies,
+            load_balancer=SimpleNamespace(pick=lambda *_: [SimpleNamespace(server_id="life", ip="10.0.0.2")]),
+            retry_budget=SimpleNamespace(budget_for=lambda service: budget),
+            dispatcher=self.dispatcher,
             keys=SimpleNamespace(operations=operations),
-            refused=lambda kind, route: None,
-            over=lambda trip: None,
-            open_key=lambda trip: trip.go(operations.begin(b"k", b"claim", b"d", 0.0)),
+            count_error=lambda kind, route: None,
+            on_exchange_closed=lambda exchange: None,
+            claim_key=lambda exchange: exchange.on_claim_granted(operations.begin(b"k", b"claim", b"d", 0.0)),
         )
         client: Any = SimpleNamespace(
-            token=1, respond=lambda token, status, fields, body: self.said.append(status)
+            token=1, respond=lambda token, status, fields, body: self.statuses.append(status)
         )
-        item: Any = SimpleNamespace(
+        request: Any = SimpleNamespace(
             fields={b"x-request-id": b"1"}, head=[], method=b"POST", target=b"/", body=b""
         )
-        self.trip = Trip(
-            front, client, item, Route("r", "keyed", 5.0, 0.5, 1, 2, ()), "s", 0.0, DEADLINE, False
+        self.exchange = Exchange(
+            sidecar, client, request, Route("r", "keyed", 5.0, 0.5, 1, 2, ()), "s", 0.0, DEADLINE, False
         )
-        self.trip.begin()
-        self.trip.limit_deadline(limit)
+        self.exchange.start()
+        self.exchange.limit_deadline(limit)
         loop.run_until(min(limit, DEADLINE) + 0.1)
         self.operation = operations.by_claim_id[b"claim"]
 
     def test_one_that_waits_or_has_left_in_part_is_withdrawn_and_refused(self) -> None:
         for whole in (None, False):
             self.play(whole)
-            self.assertEqual(self.said, [REPLIES[ErrorKind.NO_TIME].status])
-            self.assertEqual((self.copies.cancelled, self.trip.closed), (self.copies.sent, True))
-            self.assertEqual((len(self.copies.sent), self.operation.state), (1, OperationState.NOT_RUN))
+            self.assertEqual(self.statuses, [REPLIES[ErrorKind.NO_TIME].status])
+            self.assertEqual((self.dispatcher.cancelled, self.exchange.closed), (self.dispatcher.sent, True))
+            self.assertEqual((len(self.dispatcher.sent), self.operation.state), (1, OperationState.NOT_RUN))
 
     def test_one_that_has_left_stays_open_until_its_outcome(self) -> None:
         self.play(True)
-        self.assertEqual(self.said, [REPLIES[ErrorKind.DEADLINE].status])
-        self.assertEqual((self.copies.cancelled, self.trip.closed), ([], False))
+        self.assertEqual(self.statuses, [REPLIES[ErrorKind.DEADLINE].status])
+        self.assertEqual((self.dispatcher.cancelled, self.exchange.closed), ([], False))
         self.assertEqual(self.operation.state, OperationState.IN_PROGRESS)
-        self.trip.lost(self.copies.sent[0])
+        self.exchange.on_lost(self.dispatcher.sent[0])
         self.assertEqual(
-            (self.operation.state, len(self.said), self.trip.closed), (OperationState.UNKNOWN, 1, True)
+            (self.operation.state, len(self.statuses), self.exchange.closed),
+            (OperationState.UNKNOWN, 1, True),
         )
 
     def test_limit_before_its_deadline_ends_it_then_and_a_later_one_changes_nothing(self) -> None:
         for whole, kind in ((True, ErrorKind.DEADLINE), (None, ErrorKind.NO_TIME)):
             self.play(whole, DEADLINE / 2)
-            self.assertEqual(self.said, [REPLIES[kind].status])
+            self.assertEqual(self.statuses, [REPLIES[kind].status])
         self.play(True, 2 * DEADLINE)
-        self.assertEqual(self.said, [REPLIES[ErrorKind.DEADLINE].status])
+        self.assertEqual(self.statuses, [REPLIES[ErrorKind.DEADLINE].status])
 
     def test_log_tells_where_it_is(self) -> None:
         self.play(True)
-        self.assertEqual(self.trip.describe(1.0), "sent to 10.0.0.2 1.0 s ago")
-        self.copies.sent[0].parcel = None
-        self.assertEqual(self.trip.describe(1.0), "not sent to 10.0.0.2 1.0 s ago")
-        self.trip.out.clear()
-        self.assertEqual(self.trip.describe(1.0), "between attempts, 1 made")
-        self.trip.operation = None
-        self.assertEqual(self.trip.describe(1.0), "waiting for its key, claimed by nobody known")
+        self.assertEqual(self.exchange.describe(1.0), "sent to 10.0.0.2 1.0 s ago")
+        self.dispatcher.sent[0].outgoing = None
+        self.assertEqual(self.exchange.describe(1.0), "not sent to 10.0.0.2 1.0 s ago")
+        self.exchange.in_flight.clear()
+        self.assertEqual(self.exchange.describe(1.0), "between attempts, 1 made")
+        self.exchange.operation = None
+        self.assertEqual(self.exchange.describe(1.0), "waiting for its key, claimed by nobody known")
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_explain.py
+++ b/tests/mesh/test_explain.py
@@ -10,20 +10,20 @@
 
 from minthitch.cli import shown
 from minthitch.mesh.http.listener import ClientConnection
-from minthitch.mesh.sidecar.course import (
-    LONGEST,
-    MOST_LOOKS,
-    MOST_SHOWN,
-    MOST_STEPS,
+from minthitch.mesh.sidecar.exchange import Exchange
+from minthitch.mesh.sidecar.handlers import AdminHandler
+from minthitch.mesh.sidecar.trace import (
+    MAX_SELECTIONS,
+    MAX_SHOWN,
+    MAX_STEPS,
+    MAX_TRACE_BYTES,
     REPLIED,
     SENT,
-    WORDS,
-    Course,
-    Ring,
+    STEP_FIELDS,
+    Trace,
+    TraceBuffer,
 )
-from minthitch.mesh.sidecar.handlers import Counter
 from minthitch.mesh.sidecar.tracing import Tracer, unescaped
-from minthitch.mesh.sidecar.trip import Trip
 from minthitch.net.callers import Incoming
 from rigs.simulation import servers
 from rigs.simulation.clients import Clients, Operators
@@ -88,59 +88,61 @@
         for words in ("(idempotent, rank 1)", "looked at ", "->", "  chance ", "sent to ", "answered 200"):
             self.assertIn(words, watch.lines(1))
         self.assertIn("its key is claimed here", watch.lines(2))
-        owner = watch.tracers[0].front.name
+        owner = watch.tracers[0].sidecar.name
         self.assertIn(f"its key was answered before by sidecar {owner}", watch.lines(3))
         for words in ("turned it away", "its server may have seen it", "answered 503"):
             self.assertIn(words, watch.lines(4))
         self.assertIsNone(watch.told(5))
-        self.assertIs(watch.tracers[0].front.make_trip, Trip)
+        self.assertIs(watch.tracers[0].sidecar.make_exchange, Exchange)
 
 
 class Bounds(unittest.TestCase):
-    def course(self, steps: int) -> Course:
-        held = [(float(n), 0.5, SimpleNamespace(life=f"life{n}")) for n in range(24)]
-        course = Course(0.0)
+    def trace(self, steps: int) -> Trace:
+        held = [(float(n), 0.5, SimpleNamespace(server_id=f"life{n}")) for n in range(24)]
+        trace = Trace(0.0)
         for n in range(steps):
-            course.looked(n * 1e-3, 1, 0.4, 3.0, cast(Any, held))
-            course.note(n * 1e-3, SENT, n, "life20", "10.0.0.1", False, 3.0)
-        course.note(1.0, REPLIED, 503)
-        return course
+            trace.add_selection(n * 1e-3, 1, 0.4, 3.0, cast(Any, held))
+            trace.add(n * 1e-3, SENT, n, "life20", "10.0.0.1", False, 3.0)
+        trace.add(1.0, REPLIED, 503)
+        return trace
 
     def test_the_ring_forgets_the_oldest_and_takes_no_more_memory_than_it_counts(self) -> None:
-        packed = self.course(1).packed()
+        packed = self.trace(1).packed()
         gc.collect()
         tracemalloc.start()
-        ring = Ring(200_000)
+        buffer = TraceBuffer(200_000)
         for n in range(3_000):
-            ring.keep(b"request-%d" % n, bytes(bytearray(packed)))
+            buffer.store(b"request-%d" % n, bytes(bytearray(packed)))
         real = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
-        self.assertLessEqual(ring.size, 200_000)
-        self.assertLessEqual(real, 1.1 * ring.size)
-        self.assertIsNone(ring.find(b"request-0"))
-        self.assertIsNotNone(ring.find(b"request-2999"))
-        ring.keep(b"x" * LONGEST, packed)
-        ring.keep(b"request-2999", packed)
+        self.assertLessEqual(buffer.size, 200_000)
+        self.assertLessEqual(real, 1.1 * buffer.size)
+        self.assertIsNone(buffer.find(b"request-0"))
+        self.assertIsNotNone(buffer.find(b"request-2999"))
+        buffer.store(b"x" * MAX_TRACE_BYTES, packed)
+        buffer.store(b"request-2999", packed)
         self.assertEqual(
-            (ring.left_out, ring.size),
-            (1, sum(len(ident) + len(held) + 300 for ident, held in ring.held.items())),
+            (buffer.left_out, buffer.size),
+            (1, sum(len(ident) + len(held) + 300 for ident, held in buffer.traces.items())),
         )
 
     def test_one_request_has_few_steps_and_shows_those_it_was_sent_to(self) -> None:
-        rows = self.course(40).rows()
-        self.assertEqual((len(rows), rows[-1][1:]), (MOST_STEPS + 1, (REPLIED, 503)))
+        rows = self.trace(40).rows()
+        self.assertEqual((len(rows), rows[-1][1:]), (MAX_STEPS + 1, (REPLIED, 503)))
         looks = [row[-1] for row in rows if row[1] == "looked"]
-        self.assertEqual([len(look) for look in looks[: MOST_LOOKS + 1]], [MOST_SHOWN] * MOST_LOOKS + [0])
+        self.assertEqual(
+            [len(look) for look in looks[: MAX_SELECTIONS + 1]], [MAX_SHOWN] * MAX_SELECTIONS + [0]
+        )
         self.assertEqual((looks[0][0][0], looks[0][0][3], looks[0][1][0]), ("life20", True, "life0"))
 
 
 class Calls(unittest.TestCase):
-    def ask(self, counter: Counter, method: bytes, target: bytes) -> int:
+    def ask(self, admin: AdminHandler, method: bytes, target: bytes) -> int:
         said: list[int] = []
         client = SimpleNamespace(token=1, respond=lambda token, status, fields, body: said.append(status))
         item = Incoming()
         item.method, item.target = method, target
-        counter.handle(cast(ClientConnection, client), item)
+        admin.handle(cast(ClientConnection, client), item)
         return said[0]
 
     def test_what_tracing_loads_is_nothing_of_peoples_commands(self) -> None:
@@ -151,27 +153,27 @@
     def test_off_until_a_call_with_a_stated_end(self) -> None:
         timer = SimpleNamespace(cancel=lambda: None)
         loop = SimpleNamespace(time=lambda: 1.0, call_later=lambda *args: timer)
-        front = SimpleNamespace(loop=loop, trips=set(), make_trip=Trip, name="v/1")
-        counter = Counter(cast(Any, front))
-        self.assertEqual(self.ask(counter, b"GET", b"/Mesh.Explain/a"), 404)
-        self.assertIsNone(counter.tracer)
+        sidecar = SimpleNamespace(loop=loop, exchanges=set(), make_exchange=Exchange, name="v/1")
+        admin = AdminHandler(cast(Any, sidecar))
+        self.assertEqual(self.ask(admin, b"GET", b"/Mesh.Explain/a"), 404)
+        self.assertIsNone(admin.tracer)
         for seconds in (b"x", b"-1", b"3601", b"%C2%B2"):
-            self.assertEqual(self.ask(counter, b"POST", b"/Mesh.Trace/" + seconds), 400)
-        self.assertIs(front.make_trip, Trip)
-        self.assertEqual(self.ask(counter, b"POST", b"/Mesh.Trace/60"), 200)
-        self.assertIsNot(front.make_trip, Trip)
-        assert counter.tracer is not None
-        counter.tracer.ring.keep(b"a/b\xff", Course(0.0).packed())
+            self.assertEqual(self.ask(admin, b"POST", b"/Mesh.Trace/" + seconds), 400)
+        self.assertIs(sidecar.make_exchange, Exchange)
+        self.assertEqual(self.ask(admin, b"POST", b"/Mesh.Trace/60"), 200)
+        self.assertIsNot(sidecar.make_exchange, Exchange)
+        assert admin.tracer is not None
+        admin.tracer.buffer.store(b"a/b\xff", Trace(0.0).packed())
         for ident, status in ((b"a%2Fb%FF", 200), (b"a", 404), (b"%zz", 400)):
-            self.assertEqual(self.ask(counter, b"GET", b"/Mesh.Explain/" + ident), status)
-        self.assertEqual(self.ask(counter, b"POST", b"/Mesh.Trace/0"), 200)
-        self.assertIs(front.make_trip, Trip)
+            self.assertEqual(self.ask(admin, b"GET", b"/Mesh.Explain/" + ident), status)
+        self.assertEqual(self.ask(admin, b"POST", b"/Mesh.Trace/0"), 200)
+        self.assertIs(sidecar.make_exchange, Exchange)
         self.assertEqual(unescaped("plain"), b"plain")
 
 
 class Outcomes(unittest.TestCase):
     def test_each_step_that_a_sidecar_records_has_a_line(self) -> None:
-        self.assertEqual(set(WORDS), set(shown._STEP_LINES))
+        self.assertEqual(set(STEP_FIELDS), set(shown._STEP_LINES))
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_keys.py
+++ b/tests/mesh/test_keys.py
@@ -14,7 +14,7 @@
 from minthitch.mesh.control.state_machine import CLAIM, StateMachine, pack_command
 from minthitch.mesh.idempotency.claims import ClaimCommand
 from minthitch.mesh.idempotency.operations import Operation
-from minthitch.mesh.sidecar.keys import Keys, hashed
+from minthitch.mesh.sidecar.keys import IdempotencyKeys, hashed
 
 
 class ControlLinks:
@@ -39,18 +39,18 @@
         self.world.later(apply)
 
 
-class Trip:
+class FakeExchange:
     """One try. `runs` is noted at the moment it would be sent."""
 
-    def __init__(self, world: World, keys: Keys, key: bytes) -> None:
+    def __init__(self, world: World, keys: IdempotencyKeys, key: bytes) -> None:
         self.world, self.keys, self.key, self.deadline = world, keys, key, 1e9
         self.answer: tuple[int, bytes] | None = None
-        self.holder = ""
+        self.claim_owner = ""
 
-    def give_up_at(self) -> float:
+    def claim_deadline(self) -> float:
         return 1e9
 
-    def go(self, operation: Operation) -> None:
+    def on_claim_granted(self, operation: Operation) -> None:
         fate = self.world.rng.choice(("answered", "answered", "not run", "lost"))
         if fate != "not run":
             self.world.runs.setdefault(self.key, []).append(b"run %d" % self.world.index)
@@ -61,7 +61,7 @@
         if fate == "answered":
             body = self.world.runs[self.key][-1]
             operations.record_answer(operation, 200, (), body)
-            self.settle(200, (), body)
+            self.replay(200, (), body)
         elif fate == "not run":
             operations.record_not_run(operation)
             self.fail(ErrorKind.BUSY)
@@ -69,7 +69,7 @@
             operations.record_unknown(operation)
             self.fail(ErrorKind.MAY_HAVE_RUN)
 
-    def settle(self, status: int, fields: Any, body: bytes) -> None:
+    def replay(self, status: int, fields: Any, body: bytes) -> None:
         assert self.answer is None, "two answers"
         self.answer = status, body
 
@@ -87,17 +87,17 @@
         self.todo: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
         self.runs: dict[bytes, list[bytes]] = {}
         self.keys = {f"v{n}/1": self._keys(f"v{n}/1") for n in range(3)}
-        self.trips: list[Trip] = []
+        self.exchanges: list[FakeExchange] = []
 
-    def _keys(self, name: str) -> Keys:
-        return Keys(ControlLinks(self), 60.0, name, self._ask)  # type: ignore[arg-type]
+    def _keys(self, name: str) -> IdempotencyKeys:
+        return IdempotencyKeys(ControlLinks(self), 60.0, name, self._ask)  # type: ignore[arg-type]
 
     def _ask(self, owner: str, claim: bytes, deadline: float, done: Callable[..., None]) -> None:
         def ask() -> None:
             if self.rng.random() < self.losses or owner not in self.keys:
                 self.later(done, None)
             else:
-                self.keys[owner].asked(1, claim, lambda message: self.later(done, message))
+                self.keys[owner].on_query(1, claim, lambda message: self.later(done, message))
 
         self.later(ask)
 
@@ -116,9 +116,9 @@
             if self.rng.random() < 0.05:
                 self.restart(self.rng.randrange(3))
             key = b"key %d" % self.rng.randrange(keys)
-            trip = Trip(self, self.keys[self.rng.choice(sorted(self.keys))], key)
-            self.trips.append(trip)
-            trip.keys.open(trip, hashed(key), b"digest")
+            exchange = FakeExchange(self, self.keys[self.rng.choice(sorted(self.keys))], key)
+            self.exchanges.append(exchange)
+            exchange.keys.open(exchange, hashed(key), b"digest")
             for _ in range(self.rng.randrange(6)):
                 self.step()
         while self.todo:
@@ -134,10 +134,10 @@
         found = [f"{key!r} ran {len(runs)} times" for key, runs in self.runs.items() if len(runs) > 1]
         found += [
             f"{t.key!r}: success {t.answer}"
-            for t in self.trips
+            for t in self.exchanges
             if t.answer and t.answer[0] == 200 and t.answer[1] not in self.runs.get(t.key, [])
         ]
-        return found + [f"{t.key!r} without an answer" for t in self.trips if t.answer is None]
+        return found + [f"{t.key!r} without an answer" for t in self.exchanges if t.answer is None]
 
 
 def play(seed: int, plant: Callable[[World], None] | None = None) -> World:
@@ -157,7 +157,7 @@
         for seed in range(150):
             world = play(seed)
             self.assertEqual(world.broken(), [], f"seed {seed}")
-            served += sum(1 for t in world.trips if t.answer and t.answer[0] == 200)
+            served += sum(1 for t in world.exchanges if t.answer and t.answer[0] == 200)
         self.assertGreater(served, 1_000)
 
     def _found(self, plant: Callable[[World], None]) -> bool:
@@ -185,7 +185,7 @@
     def test_a_key_that_comes_back_with_another_request_is_turned_away(self) -> None:
         async def inside() -> tuple[Any, Any]:
             world = World(1, losses=0.0)
-            first, second = (Trip(world, world.keys[name], b"k") for name in ("v0/1", "v1/1"))
+            first, second = (FakeExchange(world, world.keys[name], b"k") for name in ("v0/1", "v1/1"))
             first.keys.open(first, hashed(b"k"), b"one")
             while world.todo:
                 world.step()
--- a/tests/mesh/test_names.py
+++ b/tests/mesh/test_names.py
@@ -15,13 +15,7 @@
     "|gatehouse|knock|begg?)(s|es|d|ed|r|er|ing)?"
 )
 # Still to be renamed. Take a name out once that is done, and put none in.
-REMAINING = frozenset(
-    {
-        "minthitch/mesh/sidecar/asks.py: beg",
-        "minthitch/mesh/sidecar/front.py: beg",
-        "minthitch/mesh/sidecar/links.py: beg",
-    }
-)
+REMAINING = frozenset[str]()
 DEFINITIONS = (ast.ClassDef, ast.FunctionDef, ast.AsyncFunctionDef)
 PART = re.compile(r"[A-Z]+(?![a-z])|[A-Z]?[a-z]+")
 
--- a/tests/mesh/test_pages_beats.py
+++ b/tests/mesh/test_pages_beats.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from minthitch.mesh.configuration.calls import decode_heartbeat
-from minthitch.mesh.sidecar.handlers import Counter
+from minthitch.mesh.sidecar.handlers import AdminHandler
 
 MOST_ANSWER = 4 * 1024  # bytes of an answer that still counts as an acknowledgement
 
@@ -58,32 +58,32 @@
         self.answers.append((status, body))
 
 
-class House:
+class FakeAdmission:
     """Takes beats as the admission does, and notes when."""
 
     def __init__(self, client: Client) -> None:
         self.client, self.heard = client, list[tuple[str, int]]()
 
-    def beat(self, life: str, sent: bytes) -> None:
+    def on_heartbeat(self, life: str, sent: bytes) -> None:
         try:
             decode_heartbeat(sent)
         except msgspec.DecodeError as err:
             raise ValueError(str(err)) from None
         self.heard.append((life, len(self.client.answers)))
 
-    def leave(self, life: str) -> None:
+    def deregister(self, life: str) -> None:
         self.heard.append((life, len(self.client.answers)))
 
 
 class Answers(unittest.TestCase):
     def called(self, path: bytes, sent: bytes) -> tuple[list[tuple[int, bytes]], list[tuple[str, int]]]:
         client = Client()
-        house = House(client)
-        counter = Counter(cast(Any, SimpleNamespace(admission=house)))
-        counter.log_client_error = lambda text: None  # type: ignore[method-assign]
+        admission = FakeAdmission(client)
+        admin = AdminHandler(cast(Any, SimpleNamespace(admission=admission)))
+        admin.log_client_error = lambda text: None  # type: ignore[method-assign]
         item = SimpleNamespace(method=b"POST", target=path, body=sent)
-        counter.handle(cast(Any, client), cast(Any, item))
-        return client.answers, house.heard
+        admin.handle(cast(Any, client), cast(Any, item))
+        return client.answers, admission.heard
 
     def test_each_call_of_a_server_is_acted_on_and_then_answered_at_once_and_in_short(self) -> None:
         for path, sent in (
--- a/tests/mesh/test_parts.py
+++ b/tests/mesh/test_parts.py
@@ -11,7 +11,7 @@
 from minthitch.mesh.registry.merged_views import MergedViews
 from minthitch.mesh.registry.records import SidecarRecord
 from minthitch.mesh.registry.registry import EXPIRY_S, Registry, RegistryDelta
-from minthitch.mesh.sidecar.choice import Choice
+from minthitch.mesh.sidecar.load_balancer import LoadBalancer
 from minthitch.mesh.transport.framing import LONGEST, MOST_OPEN, PIECE, Broken, Inbox, Outbox
 
 
@@ -223,45 +223,47 @@
         self.assertEqual(set(views.merged), {"b"})
 
 
-class Choices(unittest.TestCase):
+class LoadBalancerTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.choice = Choice("here", 1)
-        self.choice.listed(
+        self.balancer = LoadBalancer("here", 1)
+        self.balancer.update_servers(
             0.0, [("svc", f"life-{n}", f"ip-{n}", "here" if n < 3 else "there", 9, 0.0) for n in range(6)]
         )
 
     def _learn(self, life: str, took: float, times: int = 30) -> None:
-        target = self.choice.targets["svc"][life]
+        target = self.balancer.endpoints["svc"][life]
         for n in range(times):
-            self.choice.sent(target)
-            self.choice.ended(n * 0.1, target, "r", 0.4, took, ok=True, lost=False)
+            self.balancer.on_sent(target)
+            self.balancer.on_ended(n * 0.1, target, "r", 0.4, took, ok=True, lost=False)
 
     def test_a_quick_one_nearby_is_preferred_and_a_barred_or_shut_one_is_not_asked(self) -> None:
         for n in range(6):
             self._learn(f"life-{n}", 0.1)
-        picked = {self.choice.pick(3.0, "svc", "r", 0.4, 0.4, 1, 0, ())[0].zone for _ in range(20)}
+        picked = {self.balancer.pick(3.0, "svc", "r", 0.4, 0.4, 1, 0, ())[0].zone for _ in range(20)}
         self.assertEqual(picked, {"here"})
         barred = {f"life-{n}" for n in range(5)}
-        chosen = self.choice.pick(3.0, "svc", "r", 0.4, 0.4, 1, 0, barred)
-        self.assertEqual([t.life for t in chosen], ["life-5"])
-        self.choice.shut(3.0, self.choice.targets["svc"]["life-0"], False)
+        chosen = self.balancer.pick(3.0, "svc", "r", 0.4, 0.4, 1, 0, barred)
+        self.assertEqual([t.server_id for t in chosen], ["life-5"])
+        self.balancer.avoid(3.0, self.balancer.endpoints["svc"]["life-0"], False)
         self.assertNotIn(
-            "life-0", {self.choice.pick(3.0, "svc", "r", 0.4, 0.4, 1, 0, ())[0].life for _ in range(30)}
+            "life-0",
+            {self.balancer.pick(3.0, "svc", "r", 0.4, 0.4, 1, 0, ())[0].server_id for _ in range(30)},
         )
 
     def test_one_slow_server_alone_is_not_enough_and_two_are_raced(self) -> None:
         for n in range(6):
             self._learn(f"life-{n}", 0.35, 4)  # few samples: exponential
-        chosen = self.choice.pick(1.0, "svc", "r", 0.4, 0.6, 3, 0, ())
+        chosen = self.balancer.pick(1.0, "svc", "r", 0.4, 0.6, 3, 0, ())
         self.assertGreater(len(chosen), 1)
-        self.assertEqual(len(self.choice.pick(1.0, "svc", "r", 0.4, 0.6, 1, 0, ())), 1)
+        self.assertEqual(len(self.balancer.pick(1.0, "svc", "r", 0.4, 0.6, 1, 0, ())), 1)
 
     def test_a_server_told_to_be_full_is_left_alone(self) -> None:
         for n in range(6):
             self._learn(f"life-{n}", 0.1)
-        self.choice.told(3.0, self.choice.targets["svc"]["life-0"], 9, 20)
+        self.balancer.on_load_report(3.0, self.balancer.endpoints["svc"]["life-0"], 9, 20)
         self.assertNotIn(
-            "life-0", {self.choice.pick(3.0, "svc", "r", 0.4, 0.4, 1, 0, ())[0].life for _ in range(30)}
+            "life-0",
+            {self.balancer.pick(3.0, "svc", "r", 0.4, 0.4, 1, 0, ())[0].server_id for _ in range(30)},
         )
 
     def _asked(self, since: float, seconds: int, seen: bool | None) -> int:
@@ -269,16 +271,16 @@
         count = 0
         for n in range(10 * seconds):
             now = since + n / 10
-            target = self.choice.pick(now, "svc", "r", 0.4, 0.4, 1, 0, ())[0]
-            count += target.life == "life-0"
-            self.choice.sent(target)
-            if target.life != "life-0" or seen is None:
-                self.choice.ended(now, target, "r", 0.4, 0.1, ok=True, lost=False)
+            target = self.balancer.pick(now, "svc", "r", 0.4, 0.4, 1, 0, ())[0]
+            count += target.server_id == "life-0"
+            self.balancer.on_sent(target)
+            if target.server_id != "life-0" or seen is None:
+                self.balancer.on_ended(now, target, "r", 0.4, 0.1, ok=True, lost=False)
             elif seen:
-                target.out -= 1
-                self.choice.shut(now, target, True, seen)
+                target.in_flight -= 1
+                self.balancer.avoid(now, target, True, seen)
             else:
-                self.choice.ended(now, target, "r", 0.4, 0.001, ok=False, lost=True)
+                self.balancer.on_ended(now, target, "r", 0.4, 0.001, ok=False, lost=True)
         return count
 
     def test_a_server_that_fails_or_refuses_at_once_is_left_alone_until_it_serves(self) -> None:
--- a/tests/mesh/test_size.py
+++ b/tests/mesh/test_size.py
@@ -14,7 +14,13 @@
 from minthitch.mesh.registry.records import SidecarRecord, is_newer, published_fields
 from minthitch.mesh.registry.registry import EXPIRY_S, Registry, RegistryDelta
 from minthitch.mesh.sidecar import links
-from minthitch.mesh.sidecar.links import DOUBT_ONCE, HOLD, PROBE, Peer, _acted_on
+from minthitch.mesh.sidecar.links import (
+    HOLD_S,
+    PROBE_AFTER_ONCE_S,
+    PROBE_TIMEOUT_S,
+    Peer,
+    _significant_fields,
+)
 from minthitch.mesh.transport import compression, ops
 from minthitch.mesh.transport.connection import DEAD
 from minthitch.mesh.transport.framing import PIECE, Broken
@@ -71,8 +77,12 @@
         self.assertTrue(registry.expire(9.0))
 
     def test_a_server_is_reported_again_once_it_is_warm(self) -> None:
-        self.assertNotEqual(_acted_on(record("a", 1, 1, cold=0.5)), _acted_on(record("a", 1, 2)))
-        self.assertEqual(_acted_on(record("a", 1, 1, cold=0.5)), _acted_on(record("a", 1, 2, cold=0.4)))
+        self.assertNotEqual(
+            _significant_fields(record("a", 1, 1, cold=0.5)), _significant_fields(record("a", 1, 2))
+        )
+        self.assertEqual(
+            _significant_fields(record("a", 1, 1, cold=0.5)), _significant_fields(record("a", 1, 2, cold=0.4))
+        )
 
     def test_squeezed_bytes_come_back_and_no_more_than_may_be(self) -> None:
         data = b"\x94" + b"routes are alike " * 1_000
@@ -132,7 +142,7 @@
 
     def test_who_says_nothing_new_stays_and_who_is_gone_goes(self) -> None:
         crowd = self.crowd()
-        with mock.patch.object(links, "SURELY", 1e9):
+        with mock.patch.object(links, "MAX_REPORT_INTERVAL_S", 1e9):
             crowd.loop.run_until(crowd.loop.now + 2 * EXPIRY_S)
             self.assertEqual(self.listed(crowd), {COUNT})
             crowd.told[-1].stop(power=True)
@@ -154,7 +164,7 @@
         left: list[str] = []
         for peer in (live, dead):
             crowd.loop.after(0.0, caller.machine, self.ask, peer, left)
-        crowd.loop.run_until(crowd.loop.now + PROBE + 0.1)
+        crowd.loop.run_until(crowd.loop.now + PROBE_TIMEOUT_S + 0.1)
         self.assertEqual((left, caller.answers, caller.losses), ([live.ip], COUNT, [dead.ip]))
 
     def test_a_call_goes_elsewhere_while_a_line_is_doubted_and_what_is_open_on_it_is_not_cut(self) -> None:
@@ -165,13 +175,13 @@
         peer = caller.peers[0]
         left: list[str] = []
         crowd.loop.after(0.0, caller.machine, self.call, peer, 7, left)  # nobody answers it
-        crowd.loop.run_until(crowd.loop.now + DOUBT_ONCE / 2)
+        crowd.loop.run_until(crowd.loop.now + PROBE_AFTER_ONCE_S / 2)
         crowd.network.cut(caller.ip, peer.ip)
-        crowd.loop.run_until(crowd.loop.now + DOUBT_ONCE)
+        crowd.loop.run_until(crowd.loop.now + PROBE_AFTER_ONCE_S)
         crowd.loop.after(0.0, caller.machine, self.call, peer, 8, left)
-        crowd.loop.run_until(crowd.loop.now + HOLD + 0.05)
+        crowd.loop.run_until(crowd.loop.now + HOLD_S + 0.05)
         self.assertEqual((left, caller.back), ([peer.ip], [8]))
-        crowd.loop.run_until(crowd.loop.now + PROBE)
+        crowd.loop.run_until(crowd.loop.now + PROBE_TIMEOUT_S)
         self.assertEqual(caller.losses, [])
         crowd.loop.run_until(crowd.loop.now + 2 * DEAD)
         self.assertEqual(caller.losses, [peer.ip])
@@ -196,7 +206,7 @@
 
     def call(self, peer: Peer, ident: int, left: list[str]) -> None:
         message = (ops.CALL, ident, "no life", 9.0, 9.0, 1, 1, b"POST", b"/", (), b"", b"id", b"a", "route")
-        peer.send(message, 0, lambda parcel: left.append(peer.ip), once=True)
+        peer.send(message, 0, lambda parcel: left.append(peer.ip), at_most_once=True)
 
     def test_a_long_message_on_a_slow_link_keeps_its_line(self) -> None:
         crowd = self.crowd()
