--- a/minthitch/mesh/sidecar/__init__.py
+++ b/minthitch/mesh/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane: one beside each server and its clients."""
+"""The data plane: a proxy beside each server, for its incoming and outgoing calls."""
--- a/minthitch/mesh/sidecar/__main__.py
+++ b/minthitch/mesh/sidecar/__main__.py
@@ -1,4 +1,4 @@
-"""`python3 -m minthitch.mesh.sidecar`: the data plane beside one server, as its settings file tells."""
+"""`python3 -m minthitch.mesh.sidecar`: the data plane beside one server, configured by its settings file."""
 
 from __future__ import annotations
 
--- a/minthitch/mesh/sidecar/admission.py
+++ b/minthitch/mesh/sidecar/admission.py
@@ -1,6 +1,4 @@
-"""The gate in front of the one server beside this sidecar: what the mesh's callers ask of it, and its
-beats.
-"""
+"""Admission to the server beside this sidecar: its health by heartbeats, and the calls that it runs."""
 
 from __future__ import annotations
 
@@ -21,20 +19,21 @@
 from minthitch.mesh.limits.gate import Gate, QueuedRequest
 from minthitch.mesh.transport import ops
 
-MAX_PAST_SERVERS = 16  # lives of servers that are over and remembered: their late beats mean nothing
-LOWEST_RANK = 99  # a rank behind which nobody waits
-LOG_ABANDONED_AFTER_S = 2.0  # seconds after which a call that is given up is worth a line in the log
-DEADLINE_GRACE_S = 0.05  # seconds beyond the deadline in which the server's own word on it may still come
+# Ids of earlier server runs that are remembered, so that their late heartbeats are ignored.
+MAX_PAST_SERVERS = 16
+LOWEST_RANK = 99  # behind every rank in use
+LOG_ABANDONED_AFTER_S = 2.0  # age from which an abandoned call is logged
+DEADLINE_GRACE_S = 0.05  # after the deadline, in which the server's own answer may still come
 CONNECT_FAILED = Status.CONNECT_FAILED.value
-MAX_RETRY_QUEUE_S = (
-    0.5  # seconds in the queue after which a further copy is not begun: it was paid in its window
-)
-AT_MOST_ONCE, RETRY = 1, 2  # flags of a call: it may not run twice; another copy of it went out before
+# Time in the queue after which a retry is not started: it is charged to the budget window in which it was
+# sent.
+MAX_RETRY_QUEUE_S = 0.5
+AT_MOST_ONCE, RETRY = 1, 2  # flags of a call: it must not run twice; an earlier attempt may run too
 Reply = Callable[[ops.Message], None]
 
 
 class Job:
-    """One call at the gate."""
+    """One call that waits for the server or runs there."""
 
     __slots__ = (
         "key",
@@ -71,7 +70,7 @@
 
 
 class Admission:
-    """Knows the server's life by its beats, and runs on it what may run."""
+    """Tracks the server by its heartbeats, and runs calls on it as far as its slots allow."""
 
     def __init__(
         self, upstream: str, service: str, server_pool: ServerPool, on_change: Callable[[], None]
@@ -85,27 +84,26 @@
         self.past_server_ids: deque[str] = deque(maxlen=MAX_PAST_SERVERS)
         self.upstream = Upstream(upstream)
         self.jobs: dict[Hashable, Job] = {}
-        self.runs_started = self.retries_started = (
-            0  # begun at the server, and those of them that are further copies
-        )
-        self.retries_running = 0  # further copies that run now: their calls are repeats too
-        self.end_by = math.inf  # by when all calls have to end: this process ends then
-        self.may_run_retry: Callable[[], bool] = lambda: True  # whether their calls could be paid
+        self.runs_started = self.retries_started = 0  # runs at the server, and those of them that are retries
+        self.retries_running = 0  # calls that these make count as retries too
+        self.end_by = math.inf  # when all calls have to end in a shutdown
+        # Whether the retry budget covers the calls that a retry would make.
+        self.may_run_retry: Callable[[], bool] = lambda: True
 
-    # The server's own word ------------------------------------------------------------------------
+    # Heartbeats -------------------------------------------------------------------------------------
 
     def on_heartbeat(self, server_id: str, body: bytes) -> None:
         """Raises ValueError where it can't be read."""
         try:
             heartbeat = decode_heartbeat(body)
         except msgspec.DecodeError as err:
-            raise ValueError(f"beat of {server_id[:40]}: {err}") from None
+            raise ValueError(f"heartbeat of {server_id[:40]}: {err}") from None
         if server_id in self.past_server_ids:
-            return  # danger: a late beat of a life that is over would open the gate for it again
+            return  # a late heartbeat of a server run that has ended must not open the gate for it again
         if server_id != self.server_id:
             self._on_new_server(server_id, heartbeat)
         elif heartbeat.stat.seq <= self.seq:
-            return  # a late one
+            return  # a late heartbeat
         self.seq = heartbeat.stat.seq
         if heartbeat.summary.cap != self.slots:
             self.slots = self.gate.slots = heartbeat.summary.cap
@@ -116,7 +114,7 @@
         self._reject_queued("another life")
         if self.server_id:
             self.past_server_ids.append(self.server_id)
-        self.upstream.usable = False  # danger: kept connections belong to the life before
+        self.upstream.usable = False  # idle connections belong to the earlier server run
         self.server_pool.hang_up(self.upstream)  # type: ignore[arg-type]
         self.upstream = Upstream(self.address)
         self.server_id, self.state = server_id, "none"
@@ -196,7 +194,7 @@
             and self.state == "up"
             and job.server_id == self.server_id
         ):
-            self._set_state("none")  # no connection to it comes up: its next beat tells otherwise
+            self._set_state("none")  # no connection can be made: its next heartbeat may change that
         self._start_queued()
 
     def _reply(self, job: Job, outcome: Outcome) -> None:
@@ -239,7 +237,7 @@
         self.jobs.pop(job.key, None)
 
     def _on_deadline(self, job: Job) -> None:
-        """Its time is over: the server ceases by itself, and its asker has answered."""
+        """Its time is over: the server stops by itself, and the caller has responded."""
         if job.upstream_call is not None:
             job.upstream_call.cancel()
         elif self.gate.remove(job):
@@ -247,7 +245,7 @@
             self._forget(job)
 
     def cancel(self, origin: Hashable, ident: int) -> None:
-        """The asker needs it no more, and hears no more of it."""
+        """The caller no longer needs the call, and gets no reply to it."""
         job = self.jobs.get((origin, ident))
         if job is None or job.done:
             return
@@ -272,9 +270,10 @@
         log_event(Event.ABANDONED, route=job.route, caller=caller, age=age, state=state)
 
     def on_connection_lost(self, origin: Hashable) -> None:
-        """The asker's line is gone. What may be repeated is given up; what may not runs on to its end."""
+        """The caller's connection is lost: idempotent calls are cancelled, others run on to their end."""
         jobs = [job for key, job in self.jobs.items() if isinstance(key, tuple) and key[0] == origin]
-        # Danger: a slot that one of them frees would go to another of them, which nobody waits for.
+        # Queued calls first: else a slot that is freed would go to another of these calls, for which nobody
+        # waits.
         for job in sorted(jobs, key=lambda job: job.upstream_call is not None):
             if job.upstream_call is None or not job.flags & AT_MOST_ONCE:
                 self.cancel(origin, job.ident)
@@ -282,7 +281,7 @@
                 self._log_if_long(job)
 
     def limit_deadlines(self, end_by: float) -> None:
-        """Calls that have not begun by `latest` are rejected in time: this process ends soon after."""
+        """Rejects calls that have not started by `end_by`: this process ends soon after."""
         self.end_by = end_by
         for waiting in self.gate.queue:
             waiting.deadline = min(waiting.deadline, end_by)
@@ -290,7 +289,7 @@
         self.loop.call_at(end_by, self._reject_queued, "leaving")
 
     def server_fields(self) -> tuple[Any, ...]:
-        """What others are told of the server: life, slots, state, cold seconds."""
+        """What is reported of the server: its id, slots, state, seconds left of its slow start."""
         return self.server_id, self.slots, self.state, max(self.slow_start_until - self.loop.time(), 0.0)
 
     def close(self) -> None:
--- a/minthitch/mesh/sidecar/attempt_dispatcher.py
+++ b/minthitch/mesh/sidecar/attempt_dispatcher.py
@@ -1,4 +1,4 @@
-"""The copies that this sidecar has out, and the lines to the sidecars beside the servers that got them."""
+"""Sends attempts to the sidecars beside the servers, and routes the outcomes back."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
     from minthitch.mesh.sidecar.sidecar import Sidecar
 
 
-OUTCOME_OPS = frozenset((ops.ANSWER, ops.BUSY, ops.LOST))  # what ends a call
+OUTCOME_OPS = frozenset((ops.ANSWER, ops.BUSY, ops.LOST))  # each ends a call
 
 
 class AttemptDispatcher:
-    """Sends copies, and hears what became of each. Tells their trips and the choice."""
+    """Sends attempts, and reports each outcome to its exchange and to the load balancer."""
 
     def __init__(self, sidecar: Sidecar) -> None:
         self.sidecar, self.loop, self.own_ip = sidecar, sidecar.loop, sidecar.settings.own.ip
@@ -30,11 +30,11 @@
         self.offers = OfferSender()
 
     def new_ident(self) -> int:
-        """One that no other question of this sidecar has."""
+        """An id that no other call or query of this sidecar has."""
         self.next_ident += 1
         return self.next_ident - 1
 
-    # Out ------------------------------------------------------------------------------------------
+    # Sending ----------------------------------------------------------------------------------------
 
     def new_attempt(self, exchange: Exchange, endpoint: Endpoint, now: float) -> Attempt:
         attempt = Attempt(self.new_ident(), exchange, endpoint, now)
@@ -51,7 +51,7 @@
         attempt.peer = self.peer(ip)
         offer = self.offers.offer(self.loop.time(), message)
         if offer is not None:
-            attempt.peer.send(offer, 0, lambda parcel: None)
+            attempt.peer.send(offer, 0, lambda outgoing: None)
             return
         self._send_call(attempt, message)
 
@@ -59,7 +59,7 @@
         rank = min(attempt.exchange.rank, 2)
         assert attempt.peer is not None
         attempt.peer.send(
-            message, rank, lambda parcel: _set_outgoing(attempt, parcel), attempt.exchange.at_most_once
+            message, rank, lambda outgoing: _set_outgoing(attempt, outgoing), attempt.exchange.at_most_once
         )
 
     def _on_grant(self, peer: Peer, ident: int) -> None:
@@ -70,7 +70,7 @@
         message = self.offers.granted(self.loop.time(), ident)
         if message is not None:
             self._send_call(attempt, message)
-        else:  # its time is over, and it is held no more
+        else:  # its time is over, and the sender no longer holds it
             del self.attempts[ident]
             peer.link.send((ops.CANCEL, ident), 0)
             self._not_sent(attempt)
@@ -79,6 +79,7 @@
         self.loop.call_soon(self.handle_reply, message)
 
     def peer(self, ip: str) -> Peer:
+        """The connection to the sidecar at this address, made on first use."""
         peer = self.peers.get(ip)
         if peer is None:
             record = self.sidecar.controls.views.merged.get(ip)
@@ -87,17 +88,17 @@
         return peer
 
     def connected_peers(self) -> list[Peer]:
-        """Those that can be reached."""
+        """Sidecars that this one is connected to now."""
         return [peer for peer in self.peers.values() if peer.link.up]
 
     def close_unused(self, is_listed: Callable[[str], bool]) -> None:
-        """Ends the lines to all addresses that are gone, and no copy is out at."""
+        """Closes connections to addresses that are gone and have no attempt in flight."""
         in_use = {attempt.endpoint.ip for attempt in self.attempts.values()}
         for ip in [ip for ip in self.peers if ip not in in_use and not is_listed(ip)]:
             self.peers.pop(ip).close()
 
     def cancel(self, attempt: Attempt) -> None:
-        """Another copy was faster, or nobody waits any more."""
+        """Another attempt was faster, or the client no longer waits."""
         if self.attempts.pop(attempt.ident, None) is None:
             return
         now, route = self.loop.time(), attempt.exchange.route
@@ -110,7 +111,7 @@
         offered = self.offers.forget(attempt.ident)
         if attempt.peer is None:
             return
-        if attempt.outgoing is None:  # it has not left: it must not, now
+        if attempt.outgoing is None:  # not sent yet: it must not be sent now
             if offered:
                 attempt.peer.link.send((ops.CANCEL, attempt.ident), 0)
             attempt.peer.withdraw(attempt.ident)
@@ -118,10 +119,10 @@
             attempt.outgoing.dropped = True
             attempt.peer.link.send((ops.CANCEL, attempt.ident), 0)
 
-    # What becomes of them -------------------------------------------------------------------------
+    # Outcomes ---------------------------------------------------------------------------------------
 
     def on_peer_message(self, peer: Peer, message: ops.Message) -> None:
-        """Of another sidecar. A call's outcome is believed only from the peer that the call was sent to."""
+        """A message of another sidecar. A call's outcome counts only from the peer that it was sent to."""
         if message[0] == ops.GRANT:
             self._on_grant(peer, message[1])
             return
@@ -132,7 +133,7 @@
         self.handle_reply(message)
 
     def handle_reply(self, message: ops.Message) -> None:
-        """Of whichever sidecar, or the own gate."""
+        """A reply of another sidecar, or of the server beside this one."""
         op = message[0]
         if op == ops.TOLD:
             self.sidecar.peer_queries.on_owner_answer(message)
@@ -166,7 +167,7 @@
             _, _, why, arrived, running, queued, queue_wait = message
             load_balancer.on_load_report(now, endpoint, running, queued)
             endpoint.in_flight = max(endpoint.in_flight - 1, 0)
-            if why != "budget":  # it has room for what is no repeat
+            if why != "budget":  # the server still has capacity for calls that are no retries
                 load_balancer.avoid(now, endpoint, why != "gone", arrived)
             exchange.on_rejected(attempt, arrived, queue_wait)
         else:
@@ -176,9 +177,9 @@
             exchange.on_lost(attempt)
 
     def on_peer_lost(self, peer: Peer) -> None:
-        """Its line fell, or did not come up."""
+        """The connection was lost, or could not be made."""
         now, load_balancer = self.loop.time(), self.sidecar.load_balancer
-        # By peer, not by address: the calls of a new link to the same address are not those of the old one.
+        # By peer, not by address: calls of a new link to the same address are not lost with the old one.
         in_flight = [attempt for attempt in self.attempts.values() if attempt.peer is peer]
         if in_flight:
             log_event(Event.PEER_DOWN, ip=peer.ip, open=len(in_flight))
@@ -197,7 +198,7 @@
         self.sidecar.peer_queries.on_peer_lost(peer)
 
     def on_unsent(self, idents: list[int]) -> None:
-        """No line took these in time: their servers are left alone for a while."""
+        """No connection took these in time: their servers are avoided for a while."""
         for attempt in [self.attempts.pop(ident) for ident in idents if ident in self.attempts]:
             self.offers.forget(attempt.ident)
             self.sidecar.load_balancer.avoid(self.loop.time(), attempt.endpoint, False)
@@ -213,7 +214,7 @@
 
 
 class _LocalDelivery:
-    """What stands for a parcel where nothing travels."""
+    """In place of a queued message for calls to the server beside this sidecar: sent at once, as a whole."""
 
     whole, dropped = True, False
 
@@ -221,5 +222,5 @@
 _LOCAL_DELIVERY = _LocalDelivery()
 
 
-def _set_outgoing(attempt: Attempt, parcel: Any) -> None:
-    attempt.outgoing = parcel
+def _set_outgoing(attempt: Attempt, outgoing: Any) -> None:
+    attempt.outgoing = outgoing
--- a/minthitch/mesh/sidecar/exchange.py
+++ b/minthitch/mesh/sidecar/exchange.py
@@ -1,4 +1,9 @@
-"""One request from its client (or the server beside this sidecar) to its one answer."""
+"""One request, from its arrival to its single response.
+
+The request comes from a client or from the server beside this sidecar. It is sent as one or several attempts,
+in parallel (hedged) or in sequence (retried); each attempt after the first that may have reached a server is
+a retry and is charged to the retry budget.
+"""
 
 from __future__ import annotations
 
@@ -20,42 +25,40 @@
     from minthitch.mesh.sidecar.sidecar import Sidecar
     from minthitch.net.callers import Incoming
 
-MAX_PARALLEL_ATTEMPTS = 3  # copies of one call that are sent at once, at most
-MIN_TIME_LEFT_S = 0.01  # seconds below which nothing is sent any more
-RETRY_AFTER_FRACTIONS = (
-    0.04,
-    0.12,
-)  # a refused client comes back after this part of its aim, or when there is room
-MIN_RETRY_AFTER_S = 0.02  # seconds
-CLAIM_WAIT_FRACTION = (
-    0.45  # of what is left: so long a keyed request waits for its claim, and is then refused
-)
-NOT_RUN_STATUSES = frozenset(
-    (408, 421, 429, 503)
-)  # "it has not run and never will": kept only where that is known
-REWRITTEN_HEADERS = frozenset((b"x-caller-service", b"x-deadline-ms", b"x-target-instance"))  # written anew
+MAX_PARALLEL_ATTEMPTS = 3  # of one request, sent at the same time
+MIN_TIME_LEFT_S = 0.01  # to the deadline, below which no further attempt is sent
+# Retry-After of a rejected request: a random fraction of the route's latency target in this range, or the
+# servers' queue wait where that is longer.
+RETRY_AFTER_FRACTIONS = 0.04, 0.12
+MIN_RETRY_AFTER_S = 0.02
+CLAIM_WAIT_FRACTION = 0.45  # of the time left: a keyed request without its claim by then is rejected
+# These tell a client that its request has not run and never will, so they are passed on only where that is
+# known.
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
+# Not forwarded from the client: the sidecar beside the server sets its own.
+REWRITTEN_HEADERS = frozenset((b"x-caller-service", b"x-deadline-ms", b"x-target-instance"))
 Fields = tuple[tuple[bytes, bytes], ...]
 
 
 class Attempt:
-    """One copy at one server."""
+    """One copy of a request, sent to one server."""
 
     __slots__ = ("ident", "exchange", "endpoint", "sent_at", "outgoing", "peer", "ended", "outcome")
 
     def __init__(self, ident: int, exchange: Exchange, endpoint: Endpoint, sent_at: float) -> None:
         self.ident, self.exchange, self.endpoint, self.sent_at = ident, exchange, endpoint, sent_at
-        self.outgoing: Any = None
-        self.peer: Peer | None = None  # whose link it was given to; None at the own gate
+        self.outgoing: Any = None  # the queued message; None until it is handed to a connection
+        self.peer: Peer | None = None  # that it was given to; None for the server beside this sidecar
         self.ended = False
-        self.outcome: int | str = "line fell"  # its status, or why there is none
+        self.outcome: int | str = "line fell"  # its status, or the reason why there is none
 
     @property
     def fully_sent(self) -> bool:
-        """Whether the other end may have it whole."""
+        """Whether the receiver may have all of it, and so may run it."""
         return self.outgoing is not None and bool(self.outgoing.whole)
 
     def describe(self, now: float) -> str:
-        """Where it is, for the log."""
+        """Its state, for the log."""
         return (
             f"{'sent' if self.fully_sent else 'not sent'} to {self.endpoint.ip} "
             f"{now - self.sent_at:.1f} s ago"
@@ -63,7 +66,10 @@
 
 
 class Exchange:
-    """Sends, hears outcomes, answers once. Times are the loop's seconds."""
+    """Sends the attempts of one request, collects their outcomes and responds once.
+
+    Times are seconds of the loop's clock.
+    """
 
     __slots__ = (
         "sidecar",
@@ -100,13 +106,13 @@
         route: Route,
         service: str,
         now: float,
-        left: float,
+        time_left: float,
         nested: bool,
     ) -> None:
         self.sidecar, self.client, self.token, self.request = sidecar, client, client.token, request
         self.route, self.service, self.started_at = route, service, now
-        self.deadline = min(now + min(left, route.timeout), sidecar.answer_by)
-        self.due = now + route.goal
+        self.deadline = min(now + min(time_left, route.timeout), sidecar.answer_by)
+        self.due = now + route.goal  # the end of the latency target
         self.request_id = request.fields[b"x-request-id"]
         hop_by_hop = {part.strip().lower() for part in request.fields.get(b"connection", b"").split(b",")}
         self.fields: Fields = tuple(
@@ -115,17 +121,18 @@
             if field[0].lower() not in REWRITTEN_HEADERS and field[0].lower() not in hop_by_hop
         )
         self.in_flight: dict[int, Attempt] = {}
-        self.tried: set[str] = set()
-        self.arrivals = 0  # servers that it may have reached
-        self.charges: list[Charge] = []  # for those after the first
+        self.tried: set[str] = set()  # ids of servers that got an attempt
+        self.arrivals = 0  # attempts that may have reached their server
+        self.charges: list[Charge] = []  # for the attempts after the first
         self.operation: Operation | None = None
         self.answered = self.closed = False
-        self.claim_owner = ""  # the sidecar that has claimed its key before
-        self.fallback: tuple[int, Fields, bytes] | None = None  # a server's failure, told for want of better
+        self.claim_owner = ""  # the sidecar that claimed its key before
+        self.fallback: tuple[int, Fields, bytes] | None = None  # a 5xx, for when nothing better comes
         self.timers: list[asyncio.TimerHandle] = []
         self.at_most_once = route.kind != "idempotent"
-        self.queue_wait = 0.0
-        # What a run waits for goes first: its slot is held until then, and fails with it.
+        self.queue_wait = 0.0  # seconds: the shortest that a server which rejected it has stated
+        # Calls that a server makes while it runs a request go first: that run holds its slot until they end,
+        # and fails with them.
         self.rank = 0 if nested else 1 + route.priority
 
     def start(self) -> None:
@@ -136,20 +143,20 @@
             self._send_attempts()
 
     def limit_deadline(self, latest: float) -> None:
-        """It is answered by `latest`, where its own deadline is later."""
+        """Moves the deadline to `latest` where it is later."""
         if latest < self.deadline:
             self.deadline = latest
             self.timers.append(self.sidecar.loop.call_at(latest, self._on_deadline))
 
-    # Keyed ----------------------------------------------------------------------------------------
+    # Idempotency key --------------------------------------------------------------------------------
 
     def claim_deadline(self) -> float:
-        """Until when it waits for its claim."""
+        """Until when it waits for the claim on its key."""
         now = self.sidecar.loop.time()
         return now + CLAIM_WAIT_FRACTION * (self.deadline - now)
 
     def on_claim_granted(self, operation: Operation) -> None:
-        """The key is its own."""
+        """This sidecar owns the key: the request may be sent."""
         self.operation = operation
         if self.answered or self.sidecar.loop.time() > self.deadline - MIN_TIME_LEFT_S:
             self._reject(ErrorKind.NO_TIME)
@@ -157,7 +164,7 @@
             self._send_attempts()
 
     def replay(self, status: int, fields: Fields, body: bytes) -> None:
-        """A repeat's answer: the first one's, under the id of this try."""
+        """Responds with the stored answer of an earlier request with this key, under the id of this one."""
         own = tuple(
             (name, self.request_id if name.lower() == b"x-request-id" else value) for name, value in fields
         )
@@ -165,13 +172,13 @@
         self._close()
 
     def fail(self, kind: ErrorKind) -> None:
-        """It was not sent and is not sent any more."""
+        """It was not sent and will not be."""
         self._reject(kind)
 
     # Sending --------------------------------------------------------------------------------------
 
     def _send_attempts(self, first: bool = True) -> None:
-        """Sends to the servers chosen, or ends it where there are none or no copy can be paid."""
+        """Sends to the selected servers; gives up where there are none or the budget allows none."""
         sidecar, now = self.sidecar, self.sidecar.loop.time()
         if now > self.deadline - MIN_TIME_LEFT_S:
             self._give_up(ErrorKind.NO_TIME)
@@ -204,7 +211,9 @@
             self.timers.append(sidecar.loop.call_later(hedge_delay, self._hedge))
 
     def _charge_retries(self) -> bool:
-        """Whether one more copy may go out: each after one that may have arrived is paid, and paid once."""
+        """Whether one more attempt may be sent: each one after an attempt that may have arrived is charged
+        once.
+        """
         budget = self.sidecar.retry_budget.budget_for(self.service)
         while len(self.charges) < self.arrivals:
             charge = budget.spend(monotonic_now())
@@ -214,7 +223,8 @@
         return True
 
     def _send_to(self, endpoint: Endpoint, now: float) -> None:
-        is_retry = self.arrivals > 0  # another copy may run: what this one's run calls counts as repeats
+        # An earlier attempt may run too: calls that this run makes count as retries.
+        is_retry = self.arrivals > 0
         attempt = self.sidecar.dispatcher.new_attempt(self, endpoint, now)
         self.in_flight[attempt.ident] = attempt
         self.tried.add(endpoint.server_id)
@@ -242,12 +252,12 @@
         )
 
     def _hedge(self) -> None:
-        """Nothing has come for longer than such calls take: one more copy, if the budget has it."""
+        """Sends one more attempt when none has been answered for unusually long and the budget allows it."""
         if not self.answered and self.in_flight and self._may_retry():
             self._send_attempts(False)
 
     def _may_retry(self) -> bool:
-        """Whether another copy of what may have run may go out, and could be paid."""
+        """Whether a further attempt of what may have run is allowed and the budget could cover it."""
         sidecar = self.sidecar
         now = sidecar.loop.time()
         if self.at_most_once or self.arrivals >= self.route.tries or now > self.deadline - MIN_TIME_LEFT_S:
@@ -264,11 +274,11 @@
     # Outcomes -------------------------------------------------------------------------------------
 
     def on_answer(self, attempt: Attempt, status: int, fields: Fields, body: bytes) -> None:
-        """A server's whole answer."""
+        """A server's complete response."""
         self.in_flight.pop(attempt.ident, None)
         if self.closed:
             return
-        if self.at_most_once and status in NOT_RUN_STATUSES:  # danger: it ran, and its client would ask anew
+        if self.at_most_once and status in NOT_RUN_STATUSES:  # it did run, and the client would send it again
             self._end_unknown(ErrorKind.MAY_HAVE_RUN)
             return
         if status >= 500 and not self.at_most_once:
@@ -285,7 +295,7 @@
         return not self.closed
 
     def on_rejected(self, attempt: Attempt, arrived: bool, queue_wait: float) -> None:
-        """It did not run there and never will."""
+        """The attempt did not run and never will."""
         self.in_flight.pop(attempt.ident, None)
         self.queue_wait = min(self.queue_wait, queue_wait) if self.queue_wait else queue_wait
         if not arrived:
@@ -299,12 +309,11 @@
         if self.arrivals >= self.route.tries:
             self._give_up(ErrorKind.BUSY)
             return
-        self._send_attempts(
-            False
-        )  # what was turned away unseen is no arrival, and what was paid for it pays for this
+        # A rejection before arrival counts as no arrival, so what was charged for it covers the next attempt.
+        self._send_attempts(False)
 
     def on_lost(self, attempt: Attempt) -> None:
-        """No answer will come of it, and it may have run."""
+        """The attempt gets no answer, and it may have run."""
         self.in_flight.pop(attempt.ident, None)
         if self.closed or self.in_flight:
             return
@@ -314,7 +323,7 @@
         self._end_unknown(ErrorKind.MAY_HAVE_RUN)
 
     def _give_up(self, kind: ErrorKind) -> None:
-        """No server may take it now. What may not be repeated comes here only when nobody ran it."""
+        """No server can take it now. One that must run at most once comes here only when none has run it."""
         if self.in_flight:
             return
         if self.fallback is not None:
@@ -333,10 +342,10 @@
             self._end_unknown(ErrorKind.DEADLINE)
             return
         if not any(attempt.fully_sent for attempt in self.in_flight.values()):
-            # Its copy waits for a connection or a grant, or has left in part: closing withdraws it.
+            # Its attempt waits for a connection or a grant, or was sent only in part: closing withdraws it.
             self._reject(ErrorKind.NO_TIME)
             return
-        # What may not be repeated runs on to its outcome, which its repeats are told.
+        # A non-idempotent request runs on, so that its outcome can be given to repeats with the same key.
         self._respond_error(ErrorKind.DEADLINE)
 
     # The end --------------------------------------------------------------------------------------
@@ -386,7 +395,7 @@
         self.sidecar.on_exchange_closed(self)
 
     def describe(self, now: float) -> str:
-        """Where it is, for the log."""
+        """Its state, for the log."""
         if self.in_flight:
             return ", ".join(attempt.describe(now) for attempt in self.in_flight.values())
         if self.route.kind == "keyed" and self.operation is None:
@@ -394,7 +403,7 @@
         return f"between attempts, {self.arrivals} made"
 
     def on_client_gone(self) -> None:
-        """Its client has gone: what may be repeated is given up, what may not runs to its outcome."""
+        """Cancels an idempotent request; any other runs on to its outcome."""
         self.answered = True
         if not self.at_most_once:
             self._close()
--- a/minthitch/mesh/sidecar/handlers.py
+++ b/minthitch/mesh/sidecar/handlers.py
@@ -1,4 +1,6 @@
-"""What a sidecar answers at `Readyz` and `Ctl`: the platform's look, and the beats of its own server."""
+"""HTTP handler for the addresses `Readyz` and `Ctl`: readiness, heartbeats of the own server, operators'
+calls.
+"""
 
 from __future__ import annotations
 
@@ -17,16 +19,16 @@
 if TYPE_CHECKING:
     from minthitch.mesh.sidecar.tracing import Tracer
 
-MAX_HEADER_BYTES, MAX_BODY_BYTES = 16 * 1024, 64 * 1024  # of a beat
+MAX_HEADER_BYTES, MAX_BODY_BYTES = 16 * 1024, 64 * 1024  # of a heartbeat
 JSON = ((b"Content-Type", b"application/json"),)
 
 
 class AdminHandler:
-    """One desk for the calls of the table."""
+    """Answers the calls of the call table (minthitch.mesh.configuration.calls)."""
 
     def __init__(self, sidecar: Sidecar) -> None:
         self.sidecar = sidecar
-        self.tracer: Tracer | None = None  # from its first call on
+        self.tracer: Tracer | None = None  # made when tracing is first switched on
 
     def on_client_lost(self, client: ClientConnection) -> None:
         pass
@@ -65,12 +67,12 @@
         client.respond(client.token, status, JSON, b"{}" if status == 200 else b"")
 
     def _operator_call(self, handler: str, ident: str) -> tuple[int, dict[str, Any]]:
-        """What operators ask: the status and the body."""
+        """Status code and body for a call of an operator."""
         if handler == "status":
             return 200, self._status()
         if handler == "trace":
             if self.tracer is None:
-                from minthitch.mesh.sidecar.tracing import Tracer  # its memory is paid where it is asked for
+                from minthitch.mesh.sidecar.tracing import Tracer  # saves its memory where it is not used
 
                 self.tracer = Tracer(self.sidecar)
             if not self.tracer.switch(ident):
@@ -87,7 +89,7 @@
         return (200, found) if found is not None else (404, {"Err": "no such request was traced here"})
 
     def _status(self) -> dict[str, Any]:
-        """The front's, with what its operators ask of budgets, keys and tracing."""
+        """The sidecar's status with its budgets, keys and tracing."""
         sidecar, answer = self.sidecar, self.sidecar.status()
         operations = sidecar.keys.operations
         answer["budgets"] = {
--- a/minthitch/mesh/sidecar/keys.py
+++ b/minthitch/mesh/sidecar/keys.py
@@ -1,4 +1,8 @@
-"""Keyed requests at the sidecar that takes them: claim before the first send, one answer for every repeat."""
+"""Keyed requests at the sidecar that accepts them.
+
+A key is claimed at the control nodes before the first attempt is sent, and each repeat of the request gets
+the same answer.
+"""
 
 from __future__ import annotations
 
@@ -13,13 +17,13 @@
 from minthitch.mesh.sidecar.links import GRANTED, HELD, ControlLinks
 from minthitch.mesh.transport import ops
 
-RETENTION_WINDOWS = 2.2  # windows for which an operation is kept here: longer than any repeat can come
-MAX_TAKEOVERS = 3  # times a key may be free elsewhere and taken by others before this one gives up
-ASK_AGAIN_S = 0.25  # seconds before an owner that could not be reached is asked once more
+RETENTION_WINDOWS = 2.2  # for which an operation is kept: longer than any repeat can come
+MAX_TAKEOVERS = 3  # of claims whose request did not run, before this request gives up
+ASK_AGAIN_S = 0.25  # before an unreachable owner is asked once more
 
 
 class KeyedExchange(Protocol):
-    """A trip on a keyed route."""
+    """A request on a keyed route."""
 
     deadline: float
     claim_owner: str
@@ -38,7 +42,9 @@
 
 
 class IdempotencyKeys:
-    """Operations of this sidecar and the way to those of others. `ask(owner, claim, deadline, done)`."""
+    """The operations of this sidecar, and access to those of others by `ask_owner(owner, claim, deadline,
+    done)`.
+    """
 
     def __init__(self, controls: ControlLinks, window: float, owner: str, ask_owner: AskOwner) -> None:
         self.controls, self.owner, self.ask_owner = controls, owner, ask_owner
@@ -48,7 +54,7 @@
     def open(
         self, exchange: KeyedExchange, key: bytes, digest: bytes, takeovers_left: int = MAX_TAKEOVERS
     ) -> None:
-        """Leads to one of the trip's `go`, `settle` and `fail`."""
+        """Ends in one call of the exchange's `on_claim_granted`, `replay` or `fail`."""
         held = self.operations.by_key.get(key)
         if held is not None:
             self._join_local(exchange, held, digest)
@@ -78,11 +84,11 @@
     def _follow_owner(
         self, exchange: KeyedExchange, operation: Operation, owner: str, claim: bytes, takeovers_left: int
     ) -> None:
-        """Another has claimed it: its word decides."""
+        """Another sidecar owns the key: its outcome decides."""
         exchange.claim_owner = owner
 
         def on_answer(message: ops.Message | None) -> None:
-            if message is None:  # its owner can't be reached: perhaps the next repeat can
+            if message is None:  # the owner can't be reached: a later repeat may reach it
                 self.operations.record_not_run(operation)
                 exchange.fail(ErrorKind.KEY_UNKNOWN)
                 return
@@ -99,14 +105,14 @@
             elif state == OperationState.NOT_RUN:
                 self.operations.record_not_run(operation)
                 exchange.fail(ErrorKind.BUSY)
-            else:  # danger: it may have run, and must not run again
+            else:  # it may have run, and must not run again
                 self.operations.record_unknown(operation)
                 exchange.fail(ErrorKind.KEY_UNKNOWN)
 
         self.ask_owner(owner, claim, exchange.deadline, on_answer)
 
     def _join_local(self, exchange: KeyedExchange, operation: Operation, digest: bytes) -> None:
-        """It is this sidecar's own, at work or over."""
+        """This sidecar owns the key: its operation is in progress or over."""
         if operation.request_digest != digest:
             exchange.fail(ErrorKind.KEY_DIFFERS)
         elif operation.state is OperationState.IN_PROGRESS:
@@ -123,13 +129,13 @@
             exchange.fail(ErrorKind.KEY_UNKNOWN)
 
     def on_query(self, ident: int, claim: bytes, reply: Callable[[ops.Message], None]) -> None:
-        """Another sidecar asks what became of a claim of ours: answered when that is known."""
+        """Another sidecar asks for the outcome of a claim of this one: answered once that is known."""
         operation = self.operations.by_claim_id.get(claim)
 
         def tell(op: Operation) -> None:
             reply((ops.TOLD, ident, op.state, op.status, op.fields, op.body))
 
-        if operation is None:  # danger: a claim of a life before this one may have run
+        if operation is None:  # a claim of an earlier run of this process may have run
             reply((ops.TOLD, ident, OperationState.UNKNOWN, 0, (), b""))
         elif operation.state is OperationState.IN_PROGRESS:
             operation.listeners.append(tell)
@@ -138,5 +144,5 @@
 
 
 def digest_request(method: bytes, target: bytes, body: bytes) -> bytes:
-    """What was asked, in 8 bytes."""
+    """Identifies the content of a request, in 8 bytes."""
     return hashed(method + b" " + target + b"\0" + body, 8)
--- a/minthitch/mesh/sidecar/links.py
+++ b/minthitch/mesh/sidecar/links.py
@@ -1,6 +1,4 @@
-"""The lines of a sidecar: to every control node it knows of, and to the sidecars beside the servers that it
-calls.
-"""
+"""A sidecar's outgoing connections: to the control nodes, and to other sidecars."""
 
 from __future__ import annotations
 
@@ -20,32 +18,31 @@
 from minthitch.mesh.transport.connection import Connection
 from minthitch.mesh.transport.link import Link
 
-REPORT_CHECK_S = 0.5  # seconds between two looks at what this sidecar would report
-MAX_REPORT_INTERVAL_S = (
-    2.0  # seconds after which it is reported unchanged, too: the line's beat says that it is alive
-)
-CLAIM_RESEND_S = 0.4  # seconds after which an unanswered claim is sent again, to whoever leads then
-CLAIM_CHECK_S = 0.1  # seconds between two looks at claims
-MAX_CONTROLS = 64  # control nodes kept lines to
+REPORT_CHECK_S = 0.5  # between two checks whether there is something new to report
+# After which an unchanged report is sent too. Heartbeats of the connection show that the sidecar is alive.
+MAX_REPORT_INTERVAL_S = 2.0
+CLAIM_RESEND_S = 0.4  # after which an unanswered claim is sent again, to the leader of that time
+CLAIM_CHECK_S = 0.1  # between two checks of open claims
+MAX_CONTROLS = 64  # control nodes that it stays connected to
 OnClaimed = Callable[[str, str, bytes, bytes], None]  # verdict, owner, claim, digest
-PROBE_AFTER_S = 1.0  # seconds of silence after which a line to another sidecar is asked before it is used,
-PROBE_AFTER_ONCE_S = (
-    0.2  # and by what may not be repeated: what is written to a dead one may have run, and is over
-)
-HOLD_S = 0.15  # seconds that a call waits for a line or its answer before it is to go elsewhere, or
-HOLD_ROUND_TRIPS = 4.0  # so many times what an answer took there: on a thin link it comes behind uploads
-PROBE_TIMEOUT_S = 1.5  # seconds for the answer, then a line with nothing open is given up
-MAX_CALL_AGE_S = (
-    PROBE_TIMEOUT_S + 0.5
-)  # seconds for which a call can wait only where this process was stopped
-ROUND_TRIP_DECAY = 0.7  # weight of what is known when an answer came quicker; a slower one counts at once
-HELD_OPS = (ops.CALL, ops.OFFER)  # these go elsewhere when no connection takes them in time
-PEER_VIEW = "another sidecar"  # whose view stands in where no control node can be reached
+PROBE_AFTER_S = 1.0  # of silence, after which a connection to another sidecar is probed before it is used
+# The same for a request that must run at most once: what is written to a dead connection may have run, and is
+# lost.
+PROBE_AFTER_ONCE_S = 0.2
+HOLD_S = 0.15  # for which a call waits for a connection or a probe's answer before it goes to another server
+# The same in round trips of earlier probes, where that is longer: on a slow link the answer queues behind
+# uploads.
+HOLD_ROUND_TRIPS = 4.0
+PROBE_TIMEOUT_S = 1.5  # after which a connection without open calls is given up
+MAX_CALL_AGE_S = PROBE_TIMEOUT_S + 0.5  # a call waits for longer only where this process was stopped
+ROUND_TRIP_DECAY = 0.7  # weight of the known round trip when a probe is faster; a slower one counts in full
+HELD_OPS = (ops.CALL, ops.OFFER)  # go to another server when no connection takes them in time
+PEER_VIEW = "another sidecar"  # source name of the view that is used while no control node can be reached
 GRANTED, HELD, FULL, NO_LEADER = "granted", "held", "full", "no leader"
 
 
 class ControlHost(Protocol):
-    """Who hears what the control nodes tell."""
+    """Receives what the control nodes send, and provides what is reported to them."""
 
     def on_update(self, config: bool, records: bool) -> None: ...
     def report_fields(self) -> tuple[Any, ...]: ...
@@ -65,12 +62,12 @@
 
     @property
     def claim_id(self) -> bytes:
-        """What tells this claim from all others, as its body holds it: key, owner, name, digest, over."""
+        """The id of this claim, from its body: key, owner, claim id, digest, replaced claim."""
         return bytes(self.body[2])
 
 
 class ControlLinks:
-    """What the control nodes told, and the claims that wait for them."""
+    """Connections to all known control nodes, their last state, and the claims that wait for them."""
 
     def __init__(self, host: ControlHost, port: int, name: str) -> None:
         self.host, self.port, self.name = host, port, name
@@ -79,19 +76,17 @@
         self.ip_by_connection: dict[Connection, str] = {}
         self.replica, self.views = Replica(), MergedViews()
         self.leader, self.term = "", 0
-        self.seen_up_to_date = False  # whether a control node that knows the newest has told us all it knows
-        self.up_to_date_at: dict[str, float] = {}  # when each last spoke as one that knows the newest
+        self.seen_up_to_date = False  # whether an up-to-date control node has sent its whole state
+        self.up_to_date_at: dict[str, float] = {}  # when each control node last spoke as up to date
         self.claims: dict[int, _Claim] = {}
         self.next_ident = 1
-        self.reported: tuple[tuple[Any, ...], float] = (
-            (),
-            0.0,
-        )  # what all control nodes were last told, and when
+        # What all control nodes were last told, and when.
+        self.reported: tuple[tuple[Any, ...], float] = ((), 0.0)
         self.report_timer = self.loop.call_later(0.0, self._on_report_timer)
-        self.claim_timer: asyncio.TimerHandle | None = None  # while claims wait
+        self.claim_timer: asyncio.TimerHandle | None = None  # set while claims are open
 
     def connect_to(self, ips: tuple[str, ...]) -> None:
-        """Keeps a line to each of these from here on."""
+        """Stays connected to each of these from now on."""
         for ip in ips:
             if ip not in self.links and len(self.links) < MAX_CONTROLS:
                 link = Link(self, (ip, self.port), (ops.HELLO, "sidecar", self.name))
@@ -123,7 +118,7 @@
     def reachable(self) -> bool:
         return any(link.up for link in self.links.values())
 
-    # What they tell -------------------------------------------------------------------------------
+    # Messages from control nodes --------------------------------------------------------------------
 
     def on_message(self, connection: Connection, message: ops.Message) -> None:
         if message[0] == ops.STATE:
@@ -142,10 +137,10 @@
         if delta is not None:
             if self.replica.merge(opened(delta)):
                 config = self.replica.index > before
-            else:  # it believes that we have more than we have
+            else:  # the control node assumes a newer state here than there is
                 self._report_to(ip)
         records = whole or bool(changed) or bool(dropped)
-        if records:  # of several control nodes that tell the same, the first one's word is news
+        if records:  # of several control nodes with the same news, only the first changes something
             rows = [SidecarRecord(*row) for row in changed]
             records = self.views.update(self.loop.time(), ip, RegistryDelta(whole, rows, list(dropped)))
             records = self.views.disconnect(PEER_VIEW) or records
@@ -165,7 +160,7 @@
             self._resend_claims()
 
     def on_peer_state(self, message: ops.Message) -> None:
-        """What another sidecar knows, while no control node can be reached from here."""
+        """State of another sidecar, used only while no control node can be reached from here."""
         _, delta, records = message
         if self.reachable():
             return
@@ -190,7 +185,7 @@
             self.host.fetch_from_peers((ops.PEER_FETCH, self.replica.index))
 
     def send_report(self) -> None:
-        """Tells all control nodes now."""
+        """Reports to all control nodes now."""
         self._send_report(self.host.report_fields())
 
     def _send_report(self, row: tuple[Any, ...]) -> None:
@@ -213,7 +208,7 @@
     # Claims ---------------------------------------------------------------------------------------
 
     def claim(self, body: tuple[Any, ...], deadline: float, done: OnClaimed) -> None:
-        """`done` is called once: with whose the key is, or NO_LEADER where nobody could say by `deadline`."""
+        """Claims a key. `done` is called once: with the key's owner, or with NO_LEADER after `deadline`."""
         claim = _Claim(self.next_ident, body, done)
         self.next_ident += 1
         self.claims[claim.ident] = claim
@@ -235,7 +230,7 @@
             claim.sent_to, claim.sent_at = self.leader, now
             first.send(message, 0)
             return
-        # Danger: the leader may be behind a cut of our own; the others can hand it on.
+        # The leader may be unreachable from here only: the other control nodes can forward the claim to it.
         for ip in sorted(self.links, key=lambda ip: -self.up_to_date_at.get(ip, 0.0)):
             if self.links[ip].up:
                 claim.sent_to, claim.sent_at = ip, now
@@ -254,9 +249,8 @@
     def on_claimed(self, message: ops.Message) -> None:
         _, ident, verdict, owner, name, digest = message
         claim = self.claims.get(ident)
-        if claim is None or (
-            verdict == GRANTED and name != claim.claim_id
-        ):  # another claim's grant is not ours
+        # A grant of another claim on this key is not for this one.
+        if claim is None or (verdict == GRANTED and name != claim.claim_id):
             return
         if verdict == NO_LEADER:
             claim.sent_at = min(claim.sent_at, self.loop.time() - CLAIM_RESEND_S + CLAIM_CHECK_S)
@@ -277,13 +271,16 @@
 
 
 def _significant_fields(row: tuple[Any, ...]) -> tuple[Any, ...]:
-    """What others act on, and whether the server is slow still: who hears of it later must not believe it."""
+    """The fields that others act on, and whether the server is in slow start.
+
+    Without the latter, whoever hears of it later would take an old slow start for a current one.
+    """
     record = SidecarRecord(*row)
     return *published_fields(record), record.slow_start_s > 0
 
 
 class PeerHost(Protocol):
-    """Who hears what other sidecars answer."""
+    """Receives what other sidecars answer."""
 
     def on_peer_message(self, peer: Peer, message: ops.Message) -> None: ...
     def on_peer_lost(self, peer: Peer) -> None: ...
@@ -310,24 +307,27 @@
 
 
 class Peer:
-    """The line to one sidecar, opened with the first call. What could not leave is told as `lost`."""
+    """The connection to one other sidecar, opened with the first call.
+
+    What is still unsent when the connection is lost is reported with `on_peer_lost`.
+    """
 
     def __init__(self, host: PeerHost, ip: str, port: int, name: str) -> None:
         self.host, self.ip = host, ip
         self.link = Link(self, (ip, port), (ops.HELLO, ops.PEER, name))
         self.link.on_up, self.link.on_down = self._on_connected, self._on_link_down
         self.loop = asyncio.get_running_loop()
-        self.probe_timer: asyncio.TimerHandle | None = None  # while the line is asked
-        self.hold_timer: asyncio.TimerHandle | None = None  # while calls wait
-        self.probed_at, self.round_trip = 0.0, 0.0  # when the line was asked; seconds that its answers take
+        self.probe_timer: asyncio.TimerHandle | None = None  # set while the connection is probed
+        self.hold_timer: asyncio.TimerHandle | None = None  # set while calls wait
+        self.probed_at, self.round_trip = 0.0, 0.0  # time of the last probe; round trip in seconds
         self.pending: list[_PendingMessage] = []
 
     def send(
         self, message: ops.Message, rank: int, on_sent: Callable[[Any], None], at_most_once: bool = False
     ) -> None:
-        """`left` is given the parcel once it is handed to a line: until then it surely is not there.
+        """`on_sent` gets the queued message once a connection has it; before that it surely was not sent.
 
-        `once`: it may not be repeated, and is lost with a line that proves dead.
+        `at_most_once`: it must not be sent again, so it would be lost with a connection that proves dead.
         """
         connection = self.link.connection if self.link.up else None
         max_silence = PROBE_AFTER_ONCE_S if at_most_once else PROBE_AFTER_S
@@ -348,9 +348,9 @@
             self._probe(connection)
 
     def _on_connected(self, link: Link) -> None:
-        """Nothing is sent before the other process has said a word.
+        """Sends nothing before the other process has answered a probe.
 
-        The system takes connections, and all that is written to them, for a process that is stopped.
+        The kernel accepts connections, and what is written to them, also for a process that is stopped.
         """
         if link.connection is not None:
             self._probe(link.connection)
@@ -368,7 +368,7 @@
         self._send_pending()
 
     def _on_hold_timeout(self) -> None:
-        """Calls that no line has taken go elsewhere; what else waits goes on waiting."""
+        """Calls that no connection has taken go to another server; other messages go on waiting."""
         self.hold_timer = None
         calls = [row.ident for row in self.pending if row.is_call]
         self.pending = [row for row in self.pending if not row.is_call]
@@ -376,15 +376,14 @@
             self.host.on_unsent(calls)
 
     def withdraw(self, ident: int) -> None:
-        """That message must not leave any more."""
+        """Drops a message that is not sent yet."""
         self.pending = [row for row in self.pending if row.ident != ident]
 
     def _on_probe_timeout(self, connection: Connection) -> None:
         self.probe_timer = None
-        if (
-            not connection.open
-        ):  # what is open may have run and be answered yet: there the line's own beat decides
-            connection.close()  # danger: a new try might wait behind a cut for as long again
+        # An open call may have run and still be answered: there the connection's own heartbeats decide.
+        if not connection.open:
+            connection.close()  # else the next call might wait as long behind the same cut
 
     def _cancel_timers(self) -> None:
         for timer in (self.probe_timer, self.hold_timer):
@@ -398,7 +397,8 @@
         stale = []
         for row in pending:
             if row.is_call and self.loop.time() - row.queued_at > MAX_CALL_AGE_S:
-                # This process was stopped: the time that the call states, and its claim, may be over.
+                # This process was stopped: the time that the call states may be over, and the claim on its
+                # key too.
                 stale.append(row.ident)
             else:
                 row.on_sent(self.link.send(row.message, row.rank))
@@ -407,9 +407,9 @@
 
     def _on_link_down(self, link: Link) -> None:
         self._cancel_timers()
-        self.pending.clear()  # what is lost with the link is told to have never left, and so must not
+        self.pending.clear()  # what is lost with the link is reported as never sent, so it must not be sent
         self.host.on_peer_lost(self)
-        if link.timer is not None:  # it is tried again when there is something to send
+        if link.timer is not None:  # the next message connects again
             link.timer.cancel()
             link.timer = None
 
@@ -417,7 +417,7 @@
         self.host.on_peer_message(self, message)
 
     def on_connection_lost(self, connection: Connection) -> None:
-        pass  # `_down` follows
+        pass  # `_on_link_down` follows
 
     def close(self) -> None:
         self._cancel_timers()
--- a/minthitch/mesh/sidecar/load_balancer.py
+++ b/minthitch/mesh/sidecar/load_balancer.py
@@ -1,8 +1,10 @@
-"""The mesh's choice, for each call: which servers of the service receive a copy (Request Replication).
+"""Selects the servers that a request is sent to.
 
-One latency curve per server and route, fitted to this node's own outcomes: the mean m and the share p of
-calls within the reference time give a Gamma (minthitch.decisions.gamma). The set is the cheapest whose joint
-chance to answer within what is left of the route's aim reaches TARGET. Times are seconds, given in.
+Requests may be hedged: sent to several servers at once (Request Replication). The balancer keeps one latency
+curve per server and route, fitted to the outcomes that this sidecar has seen: the mean m and the share p of
+calls within the reference time give a Gamma distribution (minthitch.decisions.gamma). It selects the cheapest
+set of servers whose joint probability of an answer within what is left of the route's latency target reaches
+TARGET_PROBABILITY. Times are seconds and are passed in.
 """
 
 from __future__ import annotations
@@ -15,27 +17,27 @@
 from minthitch.decisions.gamma import REFERENCE, fit_curve, gammainc
 from minthitch.decisions.sets import cheapest_set
 
-TARGET_PROBABILITY = 0.9  # p_req: chance of an answer within what is left of the aim that a set must reach
-INITIAL_MEAN_FRACTION = 0.3  # expected time of a route before any outcome, in aims
-MIN_SAMPLE_WEIGHT = 0.05  # weight of the newest answer in what a route's calls take
-CROSS_ZONE_FACTOR = 1.5  # price of a server in another zone, as a multiple,
-CROSS_ZONE_BYTES = 16 * 1024  # which grows by 1 for each so many bytes that cross,
-MAX_CROSS_ZONE_FACTOR = 6.0  # up to this
-LOAD_HALF_LIFE_S = 0.5  # seconds after which what a server was told to have in hand counts half
-UNREACHABLE_AVOID_S = 0.5  # seconds for which a server that could not be reached is not asked
-BUSY_AVOID_S = 0.05  # the same for one that turned a call away for want of room
-MAX_CANDIDATES = 24  # servers looked at for one call, drawn at random: more cost time and are hardly better
-MAX_CURVES = 2_000  # curves kept
+TARGET_PROBABILITY = 0.9  # p_req: of an answer within the time left, that a set of servers must reach
+INITIAL_MEAN_FRACTION = 0.3  # of the latency target: the mean latency of a route before any outcome
+MIN_SAMPLE_WEIGHT = 0.05  # of the newest answer in a route's mean latency
+CROSS_ZONE_FACTOR = 1.5  # by which the price of a server in another zone is multiplied
+CROSS_ZONE_BYTES = 16 * 1024  # of body, for each of which that factor grows by 1
+MAX_CROSS_ZONE_FACTOR = 6.0
+LOAD_HALF_LIFE_S = 0.5  # of the load that a server has reported
+UNREACHABLE_AVOID_S = 0.5  # for which a server that could not be reached gets no requests
+BUSY_AVOID_S = 0.05  # the same for one that rejected a request for lack of capacity
+MAX_CANDIDATES = 24  # drawn at random for each request: more take longer and are hardly better
+MAX_CURVES = 2_000  # that are cached
 MAX_HEDGE_LOAD = (
-    0.6  # part of its slots in use up to which a server takes part in a race: copies cost the others
+    0.6  # of its slots, up to which a server gets hedged requests, which cost the others capacity
 )
-FAILURE_HALF_LIFE_S = 3.0  # seconds after which a call counts half in the part of a server's calls that fail
-FAILURE_PRIOR = 2.0  # answers that stand for a server's calls before any outcome
-SLOW_START_CAPACITY = 0.5  # part of its slots that a cold server is taken to have
+FAILURE_HALF_LIFE_S = 3.0  # of a call in a server's failure rate
+FAILURE_PRIOR = 2.0  # successful calls that a server is assumed to have had before any outcome
+SLOW_START_CAPACITY = 0.5  # of its slots, that a server in slow start is assumed to have
 
 
 class Endpoint:
-    """One server of a service as this node sees it."""
+    """One server of a service as this sidecar sees it."""
 
     __slots__ = (
         "ip",
@@ -62,16 +64,16 @@
             slow_start_until,
         )
         self.curves: dict[str, Evidence] = {}  # by route
-        self.in_flight = 0  # this node's calls that are out
-        self.reported_load, self.reported_at = 0.0, 0.0  # what it was told to have in hand, and when
+        self.in_flight = 0  # calls of this sidecar
+        # Its running and queued calls, and when it stated them.
+        self.reported_load, self.reported_at = 0.0, 0.0
         self.avoided_until = 0.0
-        self.calls = self.failures = (
-            0.0  # fading, on all routes: that ended by themselves; that failed at once
-        )
-        self.counted_at = 0.0  # when they were counted last
+        # On all routes, decaying: calls that ended by themselves, and those of them that failed at once.
+        self.calls = self.failures = 0.0
+        self.counted_at = 0.0  # when they were last updated
 
     def estimated_load(self, now: float) -> float:
-        """Calls that it has in hand, about: this node's own, and what others had there when it last spoke."""
+        """Calls that it has in hand: the larger of this sidecar's own and its reported load, which decays."""
         faded = self.reported_load * math.exp2((self.reported_at - now) / LOAD_HALF_LIFE_S)
         return max(float(self.in_flight), faded)
 
@@ -81,7 +83,7 @@
         self.calls, self.failures = self.calls * decay + 1.0, self.failures * decay + failed
 
     def failure_rate(self, now: float) -> float:
-        """The part of its calls that fails at once, whatever the time they have."""
+        """The share of its calls that fail at once, independent of the time they have."""
         decay = math.exp2((self.counted_at - now) / FAILURE_HALF_LIFE_S)
         return self.failures * decay / (self.calls * decay + FAILURE_PRIOR)
 
@@ -90,7 +92,7 @@
 
 
 class RouteLatency:
-    """What calls of one route take, in seconds, over all servers."""
+    """Mean latency of one route over all servers, in seconds."""
 
     __slots__ = ("mean", "count")
 
@@ -103,18 +105,20 @@
 
 
 class LoadBalancer:
-    """All services' servers, and the choice among them."""
+    """All servers by service, and the selection among them."""
 
     def __init__(self, zone: str, seed: int) -> None:
         self.zone, self.random = zone, random.Random(seed)
-        self.endpoints: dict[str, dict[str, Endpoint]] = {}  # service -> life -> server
+        self.endpoints: dict[str, dict[str, Endpoint]] = {}  # service -> server id -> endpoint
         self.latencies: dict[str, RouteLatency] = {}
         self.fitted_curves: dict[tuple[int, int], tuple[float, float]] = {}
-        # Told how many are wanted and whom it weighs, while an operator traces requests.
+        # Called with the number of servers wanted and the candidates while requests are traced.
         self.on_candidates: Callable[[int, list[tuple[float, float, Endpoint]]], None] | None = None
 
     def update_servers(self, now: float, servers: Iterable[tuple[str, str, str, str, int, float]]) -> None:
-        """(service, life, ip, zone, slots, cold seconds) of all that take calls; others are forgotten."""
+        """Replaces the servers by (service, server id, ip, zone, slots, slow start seconds) of all that
+        serve.
+        """
         listed: dict[str, dict[str, Endpoint]] = {}
         for service, server_id, ip, zone, slots, slow_start_s in servers:
             endpoint = self.endpoints.get(service, {}).get(server_id)
@@ -141,9 +145,9 @@
         body_bytes: int,
         excluded: Collection[str],
     ) -> list[Endpoint]:
-        """Servers to send to, at most `most`, none of the lives in `barred`; [] where there is none.
+        """Servers to send to, at most `max_servers`, without those `excluded`; [] where there is none.
 
-        `left`: seconds that are left of the aim; `size`: bytes that would cross zones.
+        `time_left` is what is left of the latency target; `body_bytes` would cross zones.
         """
         pool = [
             t
@@ -157,7 +161,7 @@
         if len(pool) > MAX_CANDIDATES:
             pool = self.random.sample(pool, MAX_CANDIDATES)
         else:
-            self.random.shuffle(pool)  # danger: ties would send every node to the same server
+            self.random.shuffle(pool)  # else ties would send every sidecar to the same server
         base = self.route_latency(route, latency_target).mean
         candidates = [
             (self._price(now, t, body_bytes), self._chance(now, t, route, base, time_left), t) for t in pool
@@ -173,7 +177,8 @@
         chosen = cheapest_set(candidates, TARGET_PROBABILITY, 1)
         if _reaches(chosen):
             return [chosen[0][2]]
-        # Nobody is likely enough: the best chance for its price, since the quickest would get all calls.
+        # No server reaches the target: take the best chance for its price. The fastest one alone would get
+        # all calls.
         return [max(candidates, key=lambda c: (c[1] + 0.01) / c[0])[2]]
 
     def _price(self, now: float, endpoint: Endpoint, body_bytes: int) -> float:
@@ -189,7 +194,8 @@
             time_left -= excess * mean * base / max(endpoint.capacity(now), 1.0)
         if time_left <= 0:
             return 0.0
-        # Danger: who fails at once is idle, so cheap, and quick: with the curve alone all would go there.
+        # A server that fails at once is idle, so it is cheap, and fast: by its latency alone it would get all
+        # calls.
         return (1.0 - endpoint.failure_rate(now)) * gammainc(shape, shape * time_left / (mean * base))
 
     def _curve(self, now: float, evidence: Evidence | None) -> tuple[float, float]:
@@ -221,10 +227,10 @@
         ok: bool,
         lost: bool,
     ) -> None:
-        """An attempt is over: `ok` with an answer of worth, `lost` without one (error, reset, silence)."""
+        """An attempt has ended: `ok` with a useful answer, `lost` without one (error, reset, silence)."""
         endpoint.in_flight = max(endpoint.in_flight - 1, 0)
         latency = self.route_latency(route, latency_target)
-        if ok or (lost and took <= REFERENCE * latency.mean):  # slower ones tell by their time
+        if ok or (lost and took <= REFERENCE * latency.mean):  # slower failures show in the latency curve
             endpoint.count_outcome(now, lost)
         if ok:
             latency.record(took)
@@ -234,17 +240,20 @@
         evidence.note(int(now * SECOND), took / latency.mean, ok, lost)
 
     def on_load_report(self, now: float, endpoint: Endpoint, running: int, queued: int) -> None:
-        """What the gate beside it had in hand when it spoke."""
+        """Load that the sidecar beside the server has stated in a reply."""
         endpoint.reported_load, endpoint.reported_at = float(running + queued), now
 
     def avoid(self, now: float, endpoint: Endpoint, busy: bool, by_server: bool = False) -> None:
-        """It could not be reached, or (`busy`) turned a call away; `seen`: the server did, not its gate."""
-        if by_server:  # danger: nothing else is learned of it, and it is quick
+        """Sends it nothing for a while: it was unreachable, or `busy`.
+
+        `by_server`: the server itself rejected the call, not the sidecar beside it.
+        """
+        if by_server:  # nothing else is learned of it, and a fast rejection would look like a fast server
             endpoint.count_outcome(now, True)
         endpoint.avoided_until = now + (BUSY_AVOID_S if busy else UNREACHABLE_AVOID_S)
 
     def hedge_delay(self, route: str, latency_target: float) -> float:
-        """Seconds after which a call is out for longer than such calls are."""
+        """Seconds after which an attempt has taken longer than is usual on its route."""
         return (REFERENCE + 1.0) * self.route_latency(route, latency_target).mean
 
 
--- a/minthitch/mesh/sidecar/offers.py
+++ b/minthitch/mesh/sidecar/offers.py
@@ -1,6 +1,4 @@
-"""Calls with large bodies are offered to the receiving sidecar before their bodies are sent: both sides of
-it.
-"""
+"""Calls with large bodies are offered to the receiving sidecar before the body is sent: both sides."""
 
 from __future__ import annotations
 
@@ -14,11 +12,11 @@
 
 Reply = Callable[[ops.Message], None]
 BODY, LEFT, AIM = 10, 3, 4  # positions in a CALL message
-MIN_TIME_LEFT_S = 0.01  # seconds: a call with less time left than this is not sent any more
+MIN_TIME_LEFT_S = 0.01  # a call with less time left is not sent
 
 
 class OfferReceiver:
-    """Decides which offered bodies may come to the server beside this sidecar."""
+    """Decides which offered bodies may be sent to the server beside this sidecar."""
 
     def __init__(self, admission: Admission) -> None:
         self.loop = asyncio.get_running_loop()
@@ -26,7 +24,7 @@
         self.replies: dict[Hashable, Reply] = {}  # by key, while an offer waits
 
     def on_offer(self, origin: Hashable, reply: Reply, message: ops.Message) -> None:
-        """Answers GRANT or BUSY, now or once it is decided."""
+        """Answers GRANT or BUSY, at once or when it is decided."""
         _, ident, life, left, aim, rank, size, route = message
         now, admission, key = self.loop.time(), self.admission, (origin, ident)
         if admission.state != "up" or life != admission.server_id:
@@ -45,20 +43,20 @@
             self.replies[key] = reply
 
     def on_call(self, origin: Hashable, message: ops.Message) -> None:
-        """A CALL is here: if it was offered, the next may come."""
+        """A CALL has arrived: if it was offered, the next one may be granted."""
         key = (origin, message[1])
         if key in self.bulk.granted:
             self.bulk.arrived(self.loop.time(), key)
             self._decide_waiting()
 
     def on_cancel(self, origin: Hashable, ident: int) -> None:
-        """The sender needs it no more."""
+        """The sender no longer needs the call."""
         self.replies.pop((origin, ident), None)
         self.bulk.withdrawn(self.loop.time(), (origin, ident))
         self._decide_waiting()
 
     def on_connection_lost(self, origin: Hashable) -> None:
-        """The connection to the sender is gone, and with it all that it offered."""
+        """The connection to the sender is lost, and with it all its offers."""
         keys = [*self.bulk.granted, *(offer.key for offer in self.bulk.waiting)]
         for key in keys:
             if isinstance(key, tuple) and key[0] == origin:
@@ -92,10 +90,10 @@
     """Holds calls with large bodies until the receiver grants them."""
 
     def __init__(self) -> None:
-        self.held: dict[int, tuple[ops.Message, float]] = {}  # by call: the message, and when it was made
+        self.held: dict[int, tuple[ops.Message, float]] = {}  # by call id: the message, and when it was made
 
     def offer(self, now: float, message: ops.Message) -> ops.Message | None:
-        """What to send in place of this CALL; None where its body is small and it goes as it is."""
+        """The offer to send in place of this CALL; None where its body is small and it is sent directly."""
         if len(message[BODY]) < OFFERED_FROM:
             return None
         _, ident, life, left, aim, rank, *_ = message
@@ -107,7 +105,7 @@
         return ident in self.held
 
     def granted(self, now: float, ident: int) -> ops.Message | None:
-        """The call to send now, with the times that are left of it; None where it is needed no more."""
+        """The call to send now, with its times reduced by the wait; None where it is no longer needed."""
         held = self.held.pop(ident, None)
         if held is None:
             return None
@@ -118,5 +116,5 @@
         return (*message[:LEFT], left, message[AIM] - (now - since), *message[AIM + 1 :])
 
     def forget(self, ident: int) -> bool:
-        """Whether this call was offered and is not sent yet; it is not held any more."""
+        """Drops the call. Whether it was offered and not sent yet."""
         return self.held.pop(ident, None) is not None
--- a/minthitch/mesh/sidecar/peer_queries.py
+++ b/minthitch/mesh/sidecar/peer_queries.py
@@ -1,6 +1,4 @@
-"""What sidecars ask each other beside calls: what became of a key, and what those without control nodes
-need.
-"""
+"""Queries between sidecars: the outcome of a key's claim, and help without control nodes."""
 
 from __future__ import annotations
 
@@ -15,13 +13,13 @@
 if TYPE_CHECKING:
     from minthitch.mesh.sidecar.sidecar import Sidecar
 
-FETCH_FANOUT = 2  # sidecars that one without control nodes asks at a time
-RELAY_TIMEOUT_S = 1.0  # seconds for which a claim of another sidecar is handed on
+FETCH_FANOUT = 2  # sidecars that are asked for their state at a time while no control node is reachable
+RELAY_TIMEOUT_S = 1.0  # for which another sidecar's claim is relayed
 OnAnswer = Callable[[ops.Message | None], None]
 
 
 class _Query:
-    """A question to a key's owner."""
+    """An open query to the owner of a claim."""
 
     __slots__ = ("done", "peer", "timer")
 
@@ -30,19 +28,19 @@
 
 
 class PeerQueries:
-    """Questions of this sidecar that are open, and answers to those of others."""
+    """Open queries of this sidecar, and answers to those of others."""
 
     def __init__(self, sidecar: Sidecar) -> None:
         self.sidecar, self.loop = sidecar, sidecar.loop
         self.pending: dict[int, _Query] = {}
 
-    # Of a key's owner -----------------------------------------------------------------------------
+    # To the owner of a claim ------------------------------------------------------------------------
 
     def ask_owner(self, owner: str, claim: bytes, deadline: float, done: OnAnswer) -> None:
         sidecar = self.sidecar
         ip, _, epoch = owner.partition("/")
         if ip == sidecar.settings.own.ip:
-            if epoch != str(sidecar.epoch):  # a life of ours before this one: nobody knows what became of it
+            if epoch != str(sidecar.epoch):  # an earlier run of this sidecar: its outcome is unknown
                 self.loop.call_soon(done, None)
                 return
             sidecar.keys.on_query(0, claim, lambda message: self._answer_later(message, done))
@@ -50,7 +48,7 @@
         ident, peer = sidecar.dispatcher.new_ident(), sidecar.dispatcher.peer(ip)
         timer = self.loop.call_at(deadline, self._on_timeout, ident)
         self.pending[ident] = _Query(done, peer, timer)
-        peer.send((ops.ASK, ident, claim), 0, lambda parcel: None)
+        peer.send((ops.ASK, ident, claim), 0, lambda outgoing: None)
 
     def _answer_later(self, message: ops.Message, done: OnAnswer) -> None:
         self.loop.call_soon(done, message)
@@ -68,18 +66,16 @@
             query.done(message)
 
     def on_peer_lost(self, peer: Peer) -> None:
-        """Its line fell."""
+        """The connection to it was lost."""
         for ident in [i for i, query in self.pending.items() if query.peer is peer]:
             query = self.pending.pop(ident)
             query.timer.cancel()
             query.done(None)
 
-    # For want of control nodes ---------------------------------------------------------------------------
+    # While no control node is reachable -------------------------------------------------------------
 
     def relay_claim(self, message: ops.Message) -> bool:
-        """Danger: cut off from all control nodes, no key could be claimed; another sidecar hands the claim
-        on.
-        """
+        """Sends a claim through another sidecar: without control nodes no key could be claimed here."""
         peers = self.sidecar.dispatcher.connected_peers()
         if not peers:
             return False
@@ -87,16 +83,16 @@
         return True
 
     def fetch_from_peers(self, message: ops.Message) -> None:
-        """Asks a few of the sidecars that can be reached."""
+        """Asks a few connected sidecars for their state."""
         peers = self.sidecar.dispatcher.connected_peers()
         for peer in self.sidecar.random.sample(peers, min(len(peers), FETCH_FANOUT)):
             peer.link.send(message, 0)
-        if not peers:  # danger: one that has called nobody yet would stay alone, and claim no key
+        if not peers:  # a sidecar that has called nobody yet would stay isolated, and could claim no key
             known = [ip for ip in self.sidecar.controls.views.merged if ip != self.sidecar.settings.own.ip]
             for ip in self.sidecar.random.sample(known, min(len(known), FETCH_FANOUT)):
                 self.sidecar.dispatcher.peer(ip).link.start()
 
-    # Asked by others ------------------------------------------------------------------------------
+    # From other sidecars ----------------------------------------------------------------------------
 
     def on_message(self, connection: Connection, message: ops.Message) -> None:
         op, controls = message[0], self.sidecar.controls
--- a/minthitch/mesh/sidecar/program.py
+++ b/minthitch/mesh/sidecar/program.py
@@ -1,4 +1,4 @@
-"""The life of the sidecar's process: settings, listeners, SIGTERM."""
+"""The sidecar's process: settings, listeners, shutdown on SIGTERM."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from minthitch.mesh.sidecar.sidecar import Sidecar
 from minthitch.mesh.transport.connection import Connection
 
-POLL_INTERVAL_S = 0.1  # seconds between two looks at what is open while it ends
-RESERVED_DESCRIPTORS = 200  # descriptors for files, lines and listeners
-RESIDENT_MB = 60.0  # megabytes that the process holds without long bodies
+POLL_INTERVAL_S = 0.1  # between two checks for open requests in a shutdown
+RESERVED_DESCRIPTORS = 200  # for files, mesh connections and listeners
+RESIDENT_MB = 60.0  # of memory without long request bodies
 BACKLOG = 256
 
 
 def required_settings(settings: NodeSettings) -> tuple[tuple[str, str], ...]:
-    """What a sidecar can't do without, by key."""
+    """Settings that a sidecar needs, by key."""
     return (
         ("Self.Upstream", settings.own.upstream),
         ("Self.Svc", settings.own.svc),
@@ -34,7 +34,7 @@
 
 
 async def serve(settings: NodeSettings) -> int:
-    """Serves until SIGTERM has been answered. Gives the exit code."""
+    """Serves until the shutdown that SIGTERM starts is over. Returns the exit code."""
     loop = asyncio.get_running_loop()
     sidecar = Sidecar(settings, int(time.time() * 1000))
     memory = int(max(settings.own.limits.mem_mb - RESIDENT_MB, 16.0) * 1024 * 1024) // 3
@@ -72,7 +72,7 @@
     log_event(Event.SIGTERM, open=sidecar.open_count())
     schedule = ShutdownSchedule(loop.time(), settings.terms.bounds.grace_s)
     sidecar.begin_shutdown(schedule)
-    # Danger: an answer that is written may not have left yet, and ends with the process.
+    # A response that is written may still be in a buffer, and would be lost with the process.
     while not schedule.may_end(loop.time(), is_idle=not sidecar.open_count() and not unsent()):
         await asyncio.sleep(POLL_INTERVAL_S)
     sidecar.log_unanswered()
@@ -85,5 +85,5 @@
 
 
 def main() -> int:
-    """Exit codes: 0 after SIGTERM, 1 for an address that can't be had, 2 for settings that can't be used."""
+    """Exit codes: 0 after SIGTERM, 1 where an address can't be bound, 2 for unusable settings."""
     return run(serve, required_settings)
--- a/minthitch/mesh/sidecar/retry_budget.py
+++ b/minthitch/mesh/sidecar/retry_budget.py
@@ -1,4 +1,8 @@
-"""What this sidecar may cause of further arrivals at each service, and what its server's repeats cause."""
+"""The retry budgets of this sidecar, one for each service that it calls.
+
+A retry is any attempt after a request's first. Calls that the server beside this sidecar makes while it runs
+a retry are charged as retries too (minthitch.mesh.limits.budget).
+"""
 
 from __future__ import annotations
 
@@ -12,29 +16,34 @@
 from minthitch.mesh.limits.lease import NOT_NEEDED, Lease, LeaseClient
 from minthitch.mesh.sidecar.admission import Admission
 
-CHECK_INTERVAL_S = 0.25  # seconds between two looks at the time, and
-STALL_THRESHOLD_S = CHECK_INTERVAL_S + COUNTING_S  # between two that tell of a freeze
-STALE_S = 0.1  # seconds after one in which what comes may have lain there for long
-MAX_SERVICES = 64  # whose calls by the own server are told apart
-MEAN_TOLERANCE = 0.05  # calls a run, beyond a whole number, that are put down to chance
+CHECK_INTERVAL_S = 0.25  # between two checks of the clock
+STALL_THRESHOLD_S = CHECK_INTERVAL_S + COUNTING_S  # between two checks, above which this process was frozen
+STALE_S = 0.1  # after such a freeze, in which messages may be old
+MAX_SERVICES = 64  # for which calls of the own server are counted
+MEAN_TOLERANCE = 0.05  # calls per run above a whole number that count as chance
 
 
 def monotonic_now() -> float:
-    """Seconds, read now: the loop's are those of its last turn, and this machine may have frozen since."""
+    """Seconds of the monotonic clock, read now.
+
+    The loop's time is that of its current iteration, and this machine may have been frozen since.
+    """
     return time.monotonic_ns() / 1e9
 
 
 class RetryBudget:
-    """One budget for each service, the lease on their slack, and the charge of calls of repeated runs."""
+    """A budget for each service, the lease on the shared allowance, and the charges for calls of retried
+    runs.
+    """
 
     def __init__(self, bounds: Bounds, admission: Admission) -> None:
         self.bounds, self.admission = bounds, admission
         self.budgets: dict[str, Budget] = {}
         self.lease_client = LeaseClient(lambda service, now: self.budget_for(service).allowance_spent(now))
         self.checked_at, self.stale_until = monotonic_now(), 0.0
-        self.requested_last = False  # whether the last need said anything
-        self.calls_made: dict[str, int] = {}  # by service: those that the own server has made
-        self.calls_charged: dict[str, float] = {}  # of them, those charged as calls of repeats
+        self.requested_last = False  # whether the last lease request named a service
+        self.calls_made: dict[str, int] = {}  # by service: calls of the own server
+        self.calls_charged: dict[str, float] = {}  # those of them that were charged as calls of retries
         admission.may_run_retry = self.may_run_retry
         self.timer = admission.loop.call_later(CHECK_INTERVAL_S, self._on_timer)
 
@@ -48,27 +57,27 @@
         return found
 
     def stale(self, now: float) -> bool:
-        """Whether this process may only just have woken, so that nobody knows the age of what it reads."""
+        """Whether this process may have just resumed after a freeze, and the age of messages is unknown."""
         if now - self.checked_at > STALL_THRESHOLD_S:
             self.stale_until = now + STALE_S
         return now < self.stale_until
 
     def record_request(self, service: str, may_be_nested: bool) -> None:
-        """A request for it came; `inner`: it may be a call of the own server."""
+        """A request for the service came. `may_be_nested`: it may be a call of the own server."""
         now = monotonic_now()
         if may_be_nested and self._is_retry_call(service):
-            self.budget_for(service).charge(now)  # danger: it counts as a repeat, and so it earns nothing
+            self.budget_for(service).charge(now)  # counts as a retry, so it earns nothing
         elif not self.stale(now):
             self.budget_for(service).request(now)
 
-    # Calls of repeated runs -----------------------------------------------------------------------
+    # Calls of retried runs --------------------------------------------------------------------------
 
     def _calls_per_run(self, service: str) -> int:
-        """Calls to it that one run at the own server makes, at most by the mean."""
+        """Mean number of calls to the service per run at the own server, rounded up."""
         return math.ceil(self.calls_made[service] / max(self.admission.runs_started, 1) - MEAN_TOLERANCE)
 
     def _expected_retry_calls(self, service: str) -> float:
-        """Calls to it that the repeats which run now may still make."""
+        """Calls to the service that the retries running now may still make."""
         calls_per_run, admission = self._calls_per_run(service), self.admission
         expected = min(
             calls_per_run * admission.retries_started - self.calls_charged.get(service, 0.0),
@@ -78,7 +87,10 @@
         return expected
 
     def _is_retry_call(self, service: str) -> bool:
-        """Danger: which run made this call can't be seen; as many as repeats may make count as theirs."""
+        """Whether a call of the own server is charged as one of a retry.
+
+        Which run made the call is unknown, so as many calls are charged as the retries may make.
+        """
         if not self.admission.gate.running:
             return False
         if service in self.calls_made or len(self.calls_made) < MAX_SERVICES:
@@ -89,7 +101,7 @@
         return True
 
     def may_run_retry(self) -> bool:
-        """Whether one more repeat may run at the own server, with the calls that it will make."""
+        """Whether the budgets cover the calls that one more retry at the own server would make."""
         now = monotonic_now()
         return not self.stale(now) and all(
             self.budget_for(service).remaining(now)
@@ -101,15 +113,14 @@
     # Leases ---------------------------------------------------------------------------------------
 
     def lease_request(self) -> tuple[Any, ...] | None:
-        """For the control node that leads, twice a second; None with nothing to ask for or give back."""
+        """For the leading control node, twice a second; None with nothing to request or give back."""
         now = monotonic_now()
         wanted = list(self._wanted(now))
-        # Once more after the last: the leader is told that nothing is held any more.
+        # One request more after the last: it tells the leader that nothing is held any more.
         asks, self.requested_last = bool(wanted) or self.requested_last, bool(wanted)
         return tuple(self.lease_client.report(now, wanted)) if asks else None
 
     def _on_timer(self) -> None:
-        """It runs."""
         self.timer = self.admission.loop.call_later(CHECK_INTERVAL_S, self._on_timer)
         now = monotonic_now()
         self.stale(now)
@@ -119,7 +130,7 @@
         for name, budget in self.budgets.items():
             if not budget.idle(now):
                 yield name, budget.wanted(now)
-            # Danger: what is not told is lent anew.
+            # What is not reported would be leased to another sidecar.
             elif self.lease_client.amounts.get(name) or budget.allowance_spent(now):
                 yield name, NOT_NEEDED
 
@@ -130,7 +141,7 @@
         self.timer.cancel()
 
     def status(self, service: str) -> dict[str, int]:
-        """Of one service, for operators."""
+        """The budget of one service, for operators."""
         now, budget = monotonic_now(), self.budget_for(service)
         slack, ratio = budget.allowance_spent(now), budget.ratio_spent(now)
         return {
--- a/minthitch/mesh/sidecar/sidecar.py
+++ b/minthitch/mesh/sidecar/sidecar.py
@@ -1,4 +1,4 @@
-"""The data plane of one sidecar: its clients' trips, what it tells and is told, and what is ready."""
+"""The state of one sidecar: its requests, servers, connections and readiness."""
 
 from __future__ import annotations
 
@@ -31,18 +31,18 @@
 from minthitch.mesh.transport.connection import Connection
 from minthitch.net.callers import Incoming
 
-MAX_SERVER_CONNECTIONS = 256  # connections to the own server: its slots bound them, this is a guard
-MAX_DEADLINE_S = 600.0  # seconds: a longer one is cut
-COUNT_INTERVAL_S = 1.0  # seconds that one line of the log tells of
-MAX_COUNTS_LOGGED = 6  # kinds of answers in one line
-SHUTDOWN_RETRY_AFTER_S = 0.05  # seconds after which one that came too late is to try elsewhere
+MAX_SERVER_CONNECTIONS = 256  # to the own server: a guard, since the server's slots bound them anyway
+MAX_DEADLINE_S = 600.0  # a longer deadline of a client is cut to this
+COUNT_INTERVAL_S = 1.0  # that one log line with counts covers
+MAX_COUNTS_LOGGED = 6  # kinds of replies in one log line
+SHUTDOWN_RETRY_AFTER_S = 0.05  # after which a client rejected in a shutdown is to try elsewhere
 
 
 class Sidecar:
     """Everything that one sidecar holds, on the running loop."""
 
     def __init__(self, settings: NodeSettings, epoch: int, server_pool: ServerPool | None = None) -> None:
-        """`epoch` is larger for each life; `shelf` is given by models, else the server's connections."""
+        """`epoch` grows with each start of the process; simulations pass a `server_pool` of their own."""
         self.settings, self.epoch = settings, epoch
         self.loop = asyncio.get_running_loop()
         self.port = settings.net.port_range[0]
@@ -50,13 +50,13 @@
         self.random = random.Random(epoch ^ hash(settings.own.ip))
         self.seq = 0
         self.leaving = False
-        self.answer_by = math.inf  # by when all that is open is answered: this process ends then
-        self.reject_from = math.inf  # from when on nothing more is taken
+        self.answer_by = math.inf  # the time of the final answers in a shutdown
+        self.reject_from = math.inf  # the time from which requests are rejected in a shutdown
         self.logged_ready = False
         self.table: Table | None = None
         self.load_balancer = LoadBalancer(settings.own.az, epoch)
         self.sidecar_count = 1
-        self.make_exchange: Callable[..., Exchange] = Exchange  # another while its operator traces requests
+        self.make_exchange: Callable[..., Exchange] = Exchange  # replaced while requests are traced
         self.exchanges: set[Exchange] = set()
         self.by_client: dict[ClientConnection, Exchange] = {}
         self.dispatcher, self.peer_queries = AttemptDispatcher(self), PeerQueries(self)
@@ -73,7 +73,7 @@
         )
         self.controls.connect_to(tuple(seed.rpartition(":")[0] for seed in settings.net.seeds))
 
-    # What others are told -------------------------------------------------------------------------
+    # Reports to control nodes -----------------------------------------------------------------------
 
     def send_report(self) -> None:
         self.controls.send_report()
@@ -90,7 +90,7 @@
     def report_fields(self) -> tuple[Any, ...]:
         self.seq += 1
         own = self.settings.own
-        life, slots, state, cold = self.admission.server_fields()
+        server_id, slots, state, slow_start_s = self.admission.server_fields()
         return (
             own.ip,
             self.port,
@@ -98,10 +98,10 @@
             self.seq,
             own.az,
             own.svc,
-            life,
+            server_id,
             slots,
             state,
-            cold,
+            slow_start_s,
             not self.leaving,
         )
 
@@ -151,7 +151,7 @@
         if self.table is None:
             pause = REPLIES[ErrorKind.NO_CONFIG].retry_after or 0.0
             raise Rejected(503, "no configuration", int(pause * 1e9))
-        if now >= self.reject_from:  # danger: what is taken now could not be answered before the process ends
+        if now >= self.reject_from:  # could not be answered before the process ends
             raise Rejected(503, "leaving", int(SHUTDOWN_RETRY_AFTER_S * 1e9))
         route = self.table.match(request.fields.get(b"host", b""), request.target)
         if route is None:
@@ -165,7 +165,7 @@
         time_left = _deadline(request.fields.get(b"x-deadline-ms"), route.timeout) - min(waited, 1.0)
         service = route.choose(self.random.random())
         nested = self.nested_routes.record(route.name, self.admission.gate.running)
-        # Servers' own calls carry no key.
+        # Calls that a server makes itself carry no idempotency key.
         self.retry_budget.record_request(
             service, route.kind != "keyed" and self.nested_routes.may_be(route.name)
         )
@@ -193,7 +193,7 @@
         )
 
     def count_error(self, kind: ErrorKind, route: str) -> None:
-        """Counts an answer of our own; a second's counts are one line in the log."""
+        """Counts a reply that this sidecar generated; the counts of a second are one log line."""
         if not self.error_counts:
             self.loop.call_later(COUNT_INTERVAL_S, self._log_error_counts)
         name = f"{kind.value} on {route}"
@@ -206,7 +206,7 @@
         largest = sorted(counts.items(), key=lambda item: -item[1])[:MAX_COUNTS_LOGGED]
         log_event(Event.REFUSED, kinds=", ".join(f"{number} {name}" for name, number in largest))
 
-    # Lines that others opened -----------------------------------------------------------------------
+    # Incoming connections ---------------------------------------------------------------------------
 
     def on_message(self, connection: Connection, message: ops.Message) -> None:
         op = message[0]
@@ -231,22 +231,23 @@
     def fetch_from_peers(self, message: ops.Message) -> None:
         self.peer_queries.fetch_from_peers(message)
 
-    # The end ----------------------------------------------------------------------------------------
+    # Shutdown ---------------------------------------------------------------------------------------
 
     def begin_shutdown(self, schedule: ShutdownSchedule) -> None:
-        """No new clients are wanted; what is open or still accepted is answered in the schedule's time."""
+        """Stops being ready; requests that are open or still accepted are answered by the schedule."""
         self.leaving, self.reject_from, self.answer_by = True, schedule.reject_from, schedule.answer_by
-        # Danger: these have their clients' deadlines, and the end of the process would cut them off.
+        # They may have later deadlines from their clients, and the end of the process would cut them off.
         for exchange in self.exchanges:
             exchange.limit_deadline(schedule.answer_by)
         self.admission.limit_deadlines(schedule.answer_by)
         self.send_report()
 
     def open_count(self) -> int:
+        """Requests of clients and calls of other sidecars that are open."""
         return len(self.exchanges) + len(self.admission.jobs)
 
     def log_unanswered(self) -> None:
-        """Logs each request whose client still waits, and the replies that are not logged yet."""
+        """Logs each request whose client still waits, and the counts that are not logged yet."""
         now = self.loop.time()
         for exchange in self.exchanges:
             if not exchange.answered:
@@ -256,7 +257,7 @@
         self._log_error_counts()
 
     def status(self) -> dict[str, Any]:
-        """What this sidecar knows and does now, for operators."""
+        """State of this sidecar, for operators."""
         gate = self.admission.gate
         states: dict[str, int] = {}
         for operation in self.keys.operations.by_claim_id.values():
@@ -297,7 +298,7 @@
 
 
 def _deadline(value: bytes | None, otherwise: float) -> float:
-    """Seconds of X-Deadline-Ms. Raises Rejected."""
+    """Seconds stated by X-Deadline-Ms, or `otherwise` without it. Raises Rejected."""
     if value is None:
         return otherwise
     try:
--- a/minthitch/mesh/sidecar/trace.py
+++ b/minthitch/mesh/sidecar/trace.py
@@ -1,7 +1,7 @@
-"""The short course of one request, and a ring of the last ones, bounded in bytes. No I/O and no clock.
+"""The trace of one request, and a buffer of the latest traces that is bounded in bytes. No I/O and no clock.
 
-Steps are kept as small tuples while a request is open and packed into bytes when it is over, so that what is
-kept can be counted. Times are seconds, given in; a step holds tenths of a millisecond since the request came.
+Steps are small tuples while a request is open, and are packed into bytes at its end, so that the buffer knows
+its size. Times are seconds and are passed in; a step states tenths of a millisecond since the request came.
 """
 
 from __future__ import annotations
@@ -11,20 +11,18 @@
 
 import msgpack
 
-MAX_BYTES = 2 * 1024 * 1024  # of all courses kept
-ENTRY_OVERHEAD_BYTES = (
-    300  # bytes that an entry takes beside its id and its text: two objects and their places
-)
-MAX_TRACE_BYTES = 16 * 1024  # bytes of one course with its id: a longer one is left out
-MAX_STEPS = 48  # of one request; the last word is noted beyond them
-MAX_SELECTIONS = 6  # choices of one request whose candidates are kept
-MAX_SHOWN = 8  # candidates of one choice: those sent to, then the cheapest
-TICKS_PER_S = 10_000  # a second
+MAX_BYTES = 2 * 1024 * 1024  # of all traces in the buffer
+ENTRY_OVERHEAD_BYTES = 300  # of memory per trace beside its id and steps: two objects and their dict entry
+MAX_TRACE_BYTES = 16 * 1024  # of one trace with its id: a longer one is dropped
+MAX_STEPS = 48  # of one request; its final reply is recorded beyond them
+MAX_SELECTIONS = 6  # server selections of one request whose candidates are recorded
+MAX_SHOWN = 8  # candidates of one selection: those that were sent to, then the cheapest
+TICKS_PER_S = 10_000
 
 TOOK, CLAIMS, GRANTED, SETTLED, NOT_HELD = "took", "claims", "granted", "settled", "not held"
 LOOKED, SENT, ANSWERED, TURNED_AWAY, LOST = "looked", "sent", "answered", "turned away", "lost"
 OVERDUE, GONE, CANCELLED, REFUSED, REPLIED = "overdue", "gone", "cancelled", "refused", "replied"
-STEP_FIELDS: dict[str, tuple[str, ...]] = {  # what each step tells, by name
+STEP_FIELDS: dict[str, tuple[str, ...]] = {  # names of the values of each step
     TOOK: ("route", "kind", "rank", "service", "aim_left_s", "deadline_left_s", "tries", "nodes"),
     CLAIMS: (),
     GRANTED: (),
@@ -45,7 +43,7 @@
 
 
 class Trace:
-    """What became of one request so far."""
+    """The steps of one request so far."""
 
     __slots__ = ("started_at", "steps")
 
@@ -65,7 +63,9 @@
         self.add(now, LOOKED, wanted, aim_left, budget, len(candidates), shown)
 
     def rows(self) -> list[tuple[Any, ...]]:
-        """The steps, with few of each choice's candidates: (life, price, chance, whether it got a copy)."""
+        """The steps, with few candidates of each selection: (server id, price, chance, whether it was sent
+        to).
+        """
         sent = {step[3] for step in self.steps if step[1] is SENT}
         return [
             (*step[:-1], _shown_candidates(step[-1], sent)) if step[1] is LOOKED else step
@@ -82,13 +82,13 @@
 
 
 class TraceBuffer:
-    """Packed courses by id, the newest of each."""
+    """Packed traces by request id: the latest ones."""
 
     def __init__(self, max_bytes: int = MAX_BYTES) -> None:
         self.max_bytes = max_bytes
         self.traces: OrderedDict[bytes, bytes] = OrderedDict()
         self.size = 0
-        self.left_out = 0  # courses that were too long
+        self.left_out = 0  # traces that were too long
 
     def store(self, ident: bytes, packed: bytes) -> None:
         if len(ident) + len(packed) > MAX_TRACE_BYTES:
@@ -99,11 +99,11 @@
             self.size -= _entry_bytes(ident, before)
         self.traces[ident] = packed
         self.size += _entry_bytes(ident, packed)
-        while self.size > self.max_bytes:  # danger: requests would fill the memory
+        while self.size > self.max_bytes:  # bounds the memory
             self.size -= _entry_bytes(*self.traces.popitem(last=False))
 
     def find(self, ident: bytes) -> list[list[Any]] | None:
-        """The steps of this request."""
+        """The steps of this request; None where it has no trace."""
         packed = self.traces.get(ident)
         return None if packed is None else msgpack.unpackb(packed)
 
@@ -113,7 +113,7 @@
 
 
 def steps_as_dicts(steps: list[Any]) -> list[dict[str, Any]]:
-    """Steps as their operator reads them."""
+    """The steps with named values, for operators."""
     return [
         {"at_ms": at * 1000 / TICKS_PER_S, "what": kind, **dict(zip(STEP_FIELDS[kind], values, strict=True))}
         for at, kind, *values in steps
--- a/minthitch/mesh/sidecar/tracing.py
+++ b/minthitch/mesh/sidecar/tracing.py
@@ -1,6 +1,7 @@
-"""Requests traced for their operator: loaded, and paid for, only from the call that switches it on.
+"""Tracing of requests for operators. The module is loaded only when an operator first switches it on.
 
-A traced trip is the same trip with its course noted (minthitch.mesh.sidecar.trace). Nothing is decided here.
+A traced exchange is the same exchange with its steps recorded (minthitch.mesh.sidecar.trace). It decides
+nothing.
 """
 
 from __future__ import annotations
@@ -42,12 +43,12 @@
     from minthitch.mesh.sidecar.sidecar import Sidecar
     from minthitch.net.callers import Incoming
 
-MAX_DURATION_S = 3600  # seconds for which requests can be traced by one call
-RETENTION_S = 300.0  # seconds for which what was traced can still be asked
+MAX_DURATION_S = 3600  # of tracing by one call
+RETENTION_S = 300.0  # for which traces are kept after tracing has ended
 
 
 class TracedExchange(Exchange):
-    """A trip that notes its course, and leaves it in the ring when it is over."""
+    """An exchange that records its steps, and stores them in the buffer at its end."""
 
     __slots__ = ("trace", "buffer")
 
@@ -165,7 +166,7 @@
 
 
 class Tracer:
-    """Switches tracing on and off at one sidecar, and tells what was traced."""
+    """Switches tracing on and off at one sidecar, and returns traces."""
 
     def __init__(self, sidecar: Sidecar) -> None:
         self.sidecar, self.buffer = sidecar, TraceBuffer()
@@ -173,7 +174,9 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def switch(self, seconds: str) -> bool:
-        """Traces all new requests for so long; "0" ends it now. Whether that is a number of seconds."""
+        """Traces all new requests for so many seconds; "0" ends it. False where `seconds` is not such a
+        number.
+        """
         if not seconds.isdigit() or not 0 <= int(seconds) <= MAX_DURATION_S:
             return False
         if self.timer is not None:
@@ -209,7 +212,7 @@
         }
 
     def explain(self, ident: bytes) -> dict[str, Any] | None:
-        """The course of one request, over or still open; None where none is known."""
+        """The trace of one request, finished or still open; None where there is none."""
         steps: list[Any] | None = self.buffer.find(ident)
         exchanges = [
             exchange
@@ -229,6 +232,6 @@
 
 
 def unescaped(text: str) -> bytes:
-    """The bytes of an id in a path, its %XX read. Raises ValueError."""
+    """The bytes of a percent-encoded id in a path. Raises ValueError."""
     first, *rest = text.split("%")
     return first.encode() + b"".join(bytes.fromhex(part[:2]) + part[2:].encode() for part in rest)
