--- a/minthitch/mesh/sidecar/keys.py
+++ b/minthitch/mesh/sidecar/keys.py
@@ -17,8 +17,8 @@
 from minthitch.mesh.sidecar.links import GRANTED, HELD, ControlLinks
 from minthitch.mesh.transport import ops
 
-RETENTION_WINDOWS = 2.2  # for which an operation is kept: longer than any repeat can come
-MAX_TAKEOVERS = 3  # of claims whose request did not run, before this request gives up
+RETENTION_WINDOWS = 2.2  # key windows for which an operation is kept: longer than any repeat can come
+MAX_TAKEOVERS = 3  # of claims that another sidecar gave up without a run, before this request gives up too
 ASK_AGAIN_S = 0.25  # before an unreachable owner is asked once more
 
 
--- a/minthitch/mesh/sidecar/load_balancer.py
+++ b/minthitch/mesh/sidecar/load_balancer.py
@@ -28,9 +28,8 @@
 BUSY_AVOID_S = 0.05  # the same for one that rejected a request for lack of capacity
 MAX_CANDIDATES = 24  # drawn at random for each request: more take longer and are hardly better
 MAX_CURVES = 2_000  # that are cached
-MAX_HEDGE_LOAD = (
-    0.6  # of its slots, up to which a server gets hedged requests, which cost the others capacity
-)
+# Share of its slots up to which a server gets hedged requests: they cost the others capacity.
+MAX_HEDGE_LOAD = 0.6
 FAILURE_HALF_LIFE_S = 3.0  # of a call in a server's failure rate
 FAILURE_PRIOR = 2.0  # successful calls that a server is assumed to have had before any outcome
 SLOW_START_CAPACITY = 0.5  # of its slots, that a server in slow start is assumed to have
--- a/tests/mesh/test_admission.py
+++ b/tests/mesh/test_admission.py
@@ -1,4 +1,4 @@
-"""The gate's shell with a server that is a list: lives, late beats, what is turned away or cancelled."""
+"""Admission in front of a fake server: server runs, late heartbeats, rejected and cancelled calls."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class ServerPool:
-    """Takes errands and keeps them until the test ends them."""
+    """Keeps calls until the test ends them."""
 
     def __init__(self) -> None:
         self.upstream_calls: list[UpstreamCall] = []
@@ -67,7 +67,7 @@
     def kinds(self) -> list[tuple[int, int]]:
         return [(message[0], message[1]) for message in self.replies]
 
-    async def test_calls_for_another_life_or_a_server_that_leaves_never_reach_it(self) -> None:
+    async def test_calls_for_another_server_run_or_a_draining_server_never_reach_it(self) -> None:
         self.call(1, "zero")
         self.admission.on_heartbeat("one", heartbeat("draining", 2))
         self.call(2)
@@ -75,7 +75,7 @@
             (self.kinds(), self.server_pool.upstream_calls), ([(ops.BUSY, 1), (ops.BUSY, 2)], [])
         )
 
-    async def test_a_late_beat_of_a_life_that_is_over_opens_nothing(self) -> None:
+    async def test_a_late_heartbeat_of_an_ended_server_run_opens_nothing(self) -> None:
         self.admission.on_heartbeat("two", heartbeat("up", 1))
         self.admission.on_heartbeat("one", heartbeat("up", 9))
         self.assertEqual(self.admission.server_fields()[0], "two")
@@ -83,12 +83,12 @@
         self.admission.on_heartbeat("two", heartbeat("up", 9))
         self.assertEqual(self.admission.server_fields()[2], "none")
 
-    async def test_a_late_beat_of_this_life_changes_nothing(self) -> None:
+    async def test_a_late_heartbeat_of_this_server_run_changes_nothing(self) -> None:
         self.admission.on_heartbeat("one", heartbeat("draining", 5))
         self.admission.on_heartbeat("one", heartbeat("up", 4))
         self.assertEqual(self.admission.server_fields()[2], "draining")
 
-    async def test_what_waits_is_turned_away_when_its_server_drains_and_what_runs_goes_on(self) -> None:
+    async def test_queued_calls_are_rejected_when_the_server_drains_and_running_ones_go_on(self) -> None:
         self.call(1)
         self.call(2)
         self.admission.on_heartbeat("one", heartbeat("draining", 2))
@@ -96,7 +96,7 @@
         self.server_pool.upstream_calls[0].finish(Status.OK, Outcome(RAN, 200))
         self.assertEqual(self.kinds()[1:], [(ops.ANSWER, 1)])
 
-    async def test_gate_that_shuts_down_rejects_what_has_not_begun_and_starts_nothing_more(self) -> None:
+    async def test_shutdown_rejects_calls_that_have_not_started_and_starts_no_more(self) -> None:
         loop = asyncio.get_running_loop()
         self.call(1)
         self.call(2)
@@ -106,12 +106,12 @@
         self.assertEqual(self.kinds(), [(ops.ANSWER, 1), (ops.BUSY, 2), (ops.BUSY, 3)])
         self.assertEqual(len(self.server_pool.upstream_calls), 1)
 
-    async def test_gate_that_shuts_down_tells_its_server_the_time_that_is_left(self) -> None:
+    async def test_shutdown_limits_the_deadline_that_the_server_gets(self) -> None:
         self.admission.limit_deadlines(asyncio.get_running_loop().time() + 1.0)
         self.call(1)
         self.assertAlmostEqual(self.server_pool.upstream_calls[0].left / 1e9, 1.0, delta=0.1)
 
-    async def test_calls_given_up_after_long_are_logged_with_their_state(self) -> None:
+    async def test_calls_abandoned_after_long_are_logged_with_their_state(self) -> None:
         long_s = mock.patch("minthitch.mesh.sidecar.admission.LOG_ABANDONED_AFTER_S", 0.0)
         with long_s, self.assertLogs("minthitch") as log:
             self.call(1, flags=0)
@@ -123,7 +123,7 @@
             log.output[1], r"E211 call on r abandoned by svc after 0\.\d s: running for 0\.\d s$"
         )
 
-    async def test_only_a_connect_that_failed_takes_the_server_out(self) -> None:
+    async def test_only_a_failed_connect_takes_the_server_out(self) -> None:
         self.call(1)
         self.server_pool.upstream_calls[0].finish(Status.FULL, Outcome(NOT_RUN, 503, why="turned away"))
         self.assertEqual((self.kinds()[-1], self.replies[-1][3]), ((ops.BUSY, 1), True))  # it arrived
@@ -136,7 +136,7 @@
         self.admission.on_heartbeat("one", heartbeat("up", 2))
         self.assertEqual(self.admission.server_fields()[2], "up")
 
-    async def test_a_line_that_falls_gives_up_what_may_be_repeated_and_what_waits_alone(self) -> None:
+    async def test_a_lost_connection_cancels_only_idempotent_and_queued_calls(self) -> None:
         self.admission.on_heartbeat("one", heartbeat("up", 2, 2))
         self.call(1)
         self.call(2, flags=0)
@@ -146,7 +146,9 @@
         self.assertEqual([e.status for e in self.server_pool.upstream_calls], [None, Status.CANCELLED])
         self.assertEqual((self.admission.gate.running, self.admission.gate.queued), (1, 0))
 
-    async def test_a_repeat_too_old_for_its_charge_or_whose_calls_cannot_be_paid_is_not_begun(self) -> None:
+    async def test_a_retry_too_old_for_its_charge_or_whose_calls_exceed_the_budget_is_not_started(
+        self,
+    ) -> None:
         self.call(1)
         self.call(2, flags=RETRY)
         self.admission.jobs["line", 2].arrived_at -= MAX_RETRY_QUEUE_S + 0.1
@@ -158,7 +160,7 @@
         self.assertEqual([message[3] for message in self.replies[1:]], [False, False])
         self.assertEqual((len(self.server_pool.upstream_calls), self.admission.gate.running), (2, 1))
 
-    async def test_a_cancel_that_crosses_its_answer_changes_nothing_and_one_before_it_ends_it(self) -> None:
+    async def test_a_cancel_after_the_answer_changes_nothing_and_one_before_it_ends_the_call(self) -> None:
         self.call(1)
         self.server_pool.upstream_calls[0].finish(Status.OK, Outcome(RAN, 200))
         self.admission.cancel("line", 1)
@@ -172,7 +174,7 @@
 
 
 class ForwardedHeaders(unittest.TestCase):
-    def test_what_a_client_says_of_caller_deadline_and_target_is_not_passed_on(self) -> None:
+    def test_client_headers_for_caller_deadline_and_target_are_not_forwarded(self) -> None:
         item = Incoming()
         item.head = [
             (b"X-Request-Id", b"1"),
@@ -192,7 +194,7 @@
 
 
 class UnreachableServer(unittest.TestCase):
-    def test_a_server_that_takes_no_connection_is_known_before_its_callers_give_up(self) -> None:
+    def test_a_server_that_accepts_no_connection_is_detected_before_its_callers_time_out(self) -> None:
         loop, outcomes = VirtualLoop(1), list[Outcome]()
 
         async def silence(*_: Any) -> Any:
--- a/tests/mesh/test_delivery_links.py
+++ b/tests/mesh/test_delivery_links.py
@@ -1,10 +1,11 @@
-"""Calls between sidecars over links that are reset, cut, frozen and made anew, by seeds in virtual time.
+"""Calls between sidecars over connections that are reset, cut, frozen and made anew, by seeds in virtual
+time.
 
-The real `Copies`, `Peer`, `Link`, `Connection` and framing of one asker call two answerers over the simulated
-network; a model runs the calls. Checked throughout:
+The real `AttemptDispatcher`, `Peer`, `Link`, `Connection` and framing of one caller call two receivers over
+the simulated network; a model runs the calls. Checked throughout:
 - a call ends once, and the answer that it gets is its own;
-- what is told to have never left is never run, and what may not be repeated is run once at most;
-- nothing is run that its asker gave up long ago and that may not be repeated.
+- a call that is reported as never sent is never run, and a non-idempotent one is run once at most;
+- no non-idempotent call is run that its caller gave up long ago.
 """
 
 from __future__ import annotations
@@ -38,16 +39,16 @@
 ASKER, ANSWERERS = "10.0.0.1", ("10.0.0.2", "10.0.0.3")
 WALKS, CALLS, TROUBLES = 120, 40, 8
 PLANTED_WALKS = 400  # in which a planted fault has to be found
-DAY = 12.0  # seconds in which calls begin
+DAY = 12.0  # seconds in which calls start
 FREEZES = 0.5, 3.0, 20.0  # seconds
-AGE_MOST = SILENT_MOST + 1.0  # seconds after which no call may begin to run
-PATIENCE = 4.0  # seconds after which a call that has not left is withdrawn
-LARGE = 2_000_000  # bytes of a call that does not fit into the system's buffers
+AGE_MOST = SILENT_MOST + 1.0  # seconds after which no call may start to run
+PATIENCE = 4.0  # seconds after which a call that is not sent yet is withdrawn
+LARGE = 2_000_000  # bytes of a call that does not fit into the kernel's buffers
 SIZES = 10, 10, 10, 40_000, 500_000  # bytes of a call's body
 
 
 class Call:
-    """One call, sent once more where it is told to have never left."""
+    """One call; it is sent once more where it is reported as never sent."""
 
     rank = 1
     route = SimpleNamespace(name="r", goal=1.0)
@@ -60,7 +61,7 @@
         self.sent_at = 0.0
         self.attempt: Attempt | None = None
         self.tries: list[str] = []
-        self.end = ""  # what was told of it last
+        self.end = ""  # the last outcome reported
 
     def send(self, ip: str) -> None:
         dispatcher = self.walk.dispatcher
@@ -89,7 +90,7 @@
         dispatcher.loop.call_later(PATIENCE, self._out_of_time, attempt)
 
     def _out_of_time(self, attempt: Attempt) -> None:
-        """As a trip does: what has not left is withdrawn, what has may still be answered."""
+        """As an exchange does: withdraws a call that is not sent; one that was sent may still be answered."""
         if attempt is self.attempt and not self.end and not attempt.fully_sent:
             self.cancel()
 
@@ -114,7 +115,7 @@
         self._ends(attempt, "lost")
 
     def cancel(self) -> None:
-        """As a trip does; what had not left is counted as never sent."""
+        """As an exchange does: what was not sent counts as never sent."""
         assert self.attempt is not None
         self.end = "cancelled" if self.attempt.fully_sent else "never left"
         self.walk.counts["cancelled"] += 1
@@ -130,7 +131,7 @@
 
 
 class Answerer:
-    """A sidecar that is called: it runs calls, turns them away or never answers."""
+    """A sidecar that is called: it runs calls, rejects them or never answers."""
 
     def __init__(self, walk: Walk) -> None:
         self.walk, self.loop = walk, walk.loop
@@ -145,7 +146,7 @@
             self._called(connection, message)
 
     def _offered(self, connection: Connection, ident: int) -> None:
-        """Taken, also twice, or late, or turned away, or not answered."""
+        """Grants the offer, also twice or late, or rejects it, or does not answer."""
         rng = self.walk.rng
         if rng.random() < 0.1:
             self.walk.reply(connection, (ops.BUSY, ident, "full", False, 0, 0, 0.0))
@@ -176,7 +177,7 @@
 
 
 class Walk:
-    """One history."""
+    """One random history."""
 
     reply = staticmethod(send_if_connected)
 
@@ -229,7 +230,7 @@
         assert not waiting, f"without an outcome: {waiting}"
 
     def _run_until(self, end: float) -> None:
-        """In the asker's process: the ends of its calls raise into the loop, which keeps that."""
+        """Fails on the first error in a process: the loop collects what callbacks raise."""
         while self.loop.now < end:
             self.loop.run_until(min(self.loop.now + 1.0, end))
             assert not self.failures, self.failures[0]
@@ -287,13 +288,13 @@
         machine = self.machines[ip]
         self.loop.end(machine)
         self.network.fallen(machine)
-        if ip == ASKER:  # what it had under way ends with it
+        if ip == ASKER:  # its open calls end with it
             for call in self.calls.values():
                 call.end = call.end or "killed"
         self._at(self.rng.uniform(0.1, 1.0), self.start, ip)
 
     def _lose_record(self) -> None:
-        """Addresses vanish from the registry and are back at once, with a call right behind."""
+        """Addresses vanish from the registry and are back at once, followed by a call."""
         self.dispatcher.close_unused(lambda ip: False)
         number = CALLS + len(self.calls)
         self._begin(Call(self, number, 10, True), self.rng.choice(ANSWERERS))
@@ -316,7 +317,7 @@
         logging.disable(logging.WARNING)
         self.addCleanup(logging.disable, logging.NOTSET)
 
-    def test_every_answer_is_its_calls_own_and_what_never_left_is_never_run(self) -> None:
+    def test_each_call_gets_its_own_answer_and_one_never_sent_never_runs(self) -> None:
         counts = walk(WALKS)
         if os.environ.get("SHOW_FOUND"):
             print(dict(counts))
@@ -325,7 +326,7 @@
 
 
 def cancelled_in_part(seed: int) -> Call:
-    """A call that is cancelled when a part of it has left, and the rest waits behind that."""
+    """A call that is cancelled when a part of it is sent, and the rest waits behind that."""
     history = Walk(seed)
     call = Call(history, 0, LARGE, False)
     with mock.patch.object(offers, "OFFERED_FROM", LARGE * 2):
@@ -339,7 +340,7 @@
 
 
 def met_by_a_stop(seed: int) -> Call:
-    """A call that comes to a process that has just been stopped, and wakes after 20 s."""
+    """A call to a process that has just been stopped and resumes after 20 s."""
     history = Walk(seed)
     first, call = (Call(history, number, 10, True) for number in range(2))
     machine = history.machines[ANSWERERS[0]]
@@ -365,13 +366,13 @@
             self.assertEqual((call.end, call.begun), ("never left", 0))
 
     def test_a_call_that_met_a_stop_never_runs(self) -> None:
-        """Whether the process that wakes looks at its timers first or at what has come."""
+        """Whether the resumed process handles its timers or the received data first."""
         for seed in range(20):
             self.assertEqual(met_by_a_stop(seed).begun, 0)
 
 
 class Named(unittest.TestCase):
-    """Answers from where they cannot come, which no model of a sound peer gives."""
+    """Answers from the wrong source, which no model of a correct peer gives."""
 
     def setUp(self) -> None:
         logging.disable(logging.WARNING)
@@ -383,14 +384,14 @@
         assert self.call.attempt is not None
         self.answer = (ops.ANSWER, self.call.attempt.ident, 200, (), b"another's", 0, 0)
 
-    def test_an_answer_of_another_peer_ends_no_call(self) -> None:
+    def test_an_answer_from_another_peer_ends_no_call(self) -> None:
         dispatcher = self.walk.dispatcher
         with mock.patch("asyncio.get_running_loop", lambda: self.walk.loop):
             other = dispatcher.peer(ANSWERERS[1])
         self.walk.loop.on(self.walk.machines[ASKER], dispatcher.on_peer_message, other, self.answer)
         self.assertEqual(self.call.end, "")
 
-    def test_an_answer_of_an_older_connection_ends_no_call(self) -> None:
+    def test_an_answer_on_an_older_connection_ends_no_call(self) -> None:
         asker, link = self.walk.machines[ASKER], self.walk.dispatcher.peer(ANSWERERS[0]).link
         older = self.walk.loop.on(asker, self._connection, link)
         self.walk.loop.on(asker, link.on_message, older, self.answer)
@@ -418,14 +419,14 @@
 
 
 class Planted(unittest.TestCase):
-    """Each fault put into the code has to be found."""
+    """Each fault planted in the code has to be found."""
 
     def setUp(self) -> None:
         logging.disable(logging.WARNING)
         self.addCleanup(logging.disable, logging.NOTSET)
 
     def found(self, words: str) -> None:
-        """Some walk breaks, and in these words."""
+        """Some walk fails with this message."""
         for seed in range(PLANTED_WALKS):
             try:
                 Walk(seed).play()
@@ -436,12 +437,12 @@
                     return
         self.fail("not found")
 
-    def test_never_left_claimed_after_a_whole_call_was_handed_on(self) -> None:
+    def test_never_sent_reported_after_the_whole_call_was_handed_on(self) -> None:
         with mock.patch.object(Attempt, "fully_sent", property(lambda attempt: False)):
             self.found("have not run|never left")
 
-    def test_never_left_claimed_until_the_systems_buffer_is_empty(self) -> None:
-        """What was handed to the system may arrive, also before a reset."""
+    def test_never_sent_reported_until_the_kernels_buffer_is_empty(self) -> None:
+        """What was handed to the kernel may arrive, even before a reset."""
 
         def left(attempt: Attempt) -> bool:
             peer = attempt.peer
@@ -453,7 +454,7 @@
             self.found("have not run|never left")
 
     def test_answers_of_an_older_connection_taken_for_new_calls(self) -> None:
-        """They go out on the newest connection of their asker, where numbers are used again."""
+        """Answers go out on the newest connection of their caller, which reuses ids."""
         newest: dict[str, Connection] = {}
         real = Answerer.on_message
 
@@ -473,13 +474,13 @@
         ):
             self.found("got the answer")
 
-    def test_numbers_used_again_when_their_calls_are_cancelled(self) -> None:
-        """The answer that comes after its cancel is taken for the next call's."""
+    def test_ids_reused_when_their_calls_are_cancelled(self) -> None:
+        """The answer that comes after the cancel is taken for that of the next call."""
         with mock.patch.object(AttemptDispatcher, "new_ident", lowest_free):
             self.found("got the answer")
 
     def test_calls_of_a_new_link_lost_with_the_old_one(self) -> None:
-        """As the code was: what a link had open was told by its address."""
+        """A past fault: the open calls of a link were found by its address."""
 
         def lost(dispatcher: AttemptDispatcher, peer: Peer) -> None:
             for attempt in dispatcher.attempts.values():
@@ -491,16 +492,16 @@
         with mock.patch.object(AttemptDispatcher, "on_peer_lost", lost):
             self.found("never left|have not run|runs twice")
 
-    def test_a_cancel_that_passes_its_call(self) -> None:
-        """As the code was: a call that was cancelled with a part of it gone ran all the same."""
+    def test_a_cancel_that_overtakes_its_call(self) -> None:
+        """A past fault: a call that was cancelled when a part of it was sent still ran."""
         with (
             mock.patch.object(Connection, "_overtaken", lambda connection, message: False),
             self.assertRaisesRegex(AssertionError, "told to have never left"),
         ):
             cancelled_in_part(0)
 
-    def test_calls_taken_that_are_older_than_their_askers_patience(self) -> None:
-        """As the code was: nothing told an old call from a new one after a stop or a cut."""
+    def test_calls_accepted_after_their_caller_gave_them_up(self) -> None:
+        """A past fault: nothing distinguished an old call from a new one after a stop or a cut."""
         with (
             mock.patch.object(connection_module, "SILENT_MOST", 1e9),
             self.assertRaisesRegex(AssertionError, "s after it was sent"),
@@ -518,8 +519,10 @@
         with mock.patch.object(OfferSender, "granted", granted):
             self.found("runs twice")
 
-    def test_calls_written_to_a_connection_that_no_process_has_taken(self) -> None:
-        """As the code was: they were written as soon as the other system had taken the connection."""
+    def test_calls_written_to_a_connection_that_no_process_has_accepted(self) -> None:
+        """A past fault: calls were written as soon as the kernel of the other machine had accepted the
+        connection.
+        """
         with mock.patch.object(Peer, "_on_connected", lambda peer, link: peer._send_pending()):
             self.found("s after it was sent")
 
--- a/tests/mesh/test_delivery_trips.py
+++ b/tests/mesh/test_delivery_trips.py
@@ -1,4 +1,4 @@
-"""What may not be repeated, at its deadline: refused if it has not left, else open until its outcome."""
+"""A non-idempotent request at its deadline: rejected if it is not sent, else open until its outcome."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class AttemptDispatcher:
-    """Takes copies; `whole` tells how much of each has left: nothing (None), a part, or all."""
+    """Takes attempts; `whole` tells how much of each is sent: nothing (None), a part, or all."""
 
     def __init__(self, whole: bool | None) -> None:
         self.whole = whole
@@ -40,7 +40,7 @@
 
 class Deadlines(unittest.TestCase):
     def play(self, whole: bool | None, limit: float = DEADLINE) -> None:
-        """A keyed request whose claim stands, up to just after its deadline or the `limit` set meanwhile."""
+        """A keyed request whose claim is granted, up to just after its deadline or an earlier `limit`."""
         loop, self.statuses = VirtualLoop(1), list[int]()
         self.dispatcher, operations = AttemptDispatcher(whole), OperationTable(60.0)
         budget = mock.Mock()
@@ -72,14 +72,14 @@
         loop.run_until(min(limit, DEADLINE) + 0.1)
         self.operation = operations.by_claim_id[b"claim"]
 
-    def test_one_that_waits_or_has_left_in_part_is_withdrawn_and_refused(self) -> None:
+    def test_a_request_not_sent_or_sent_in_part_is_withdrawn_and_rejected(self) -> None:
         for whole in (None, False):
             self.play(whole)
             self.assertEqual(self.statuses, [REPLIES[ErrorKind.NO_TIME].status])
             self.assertEqual((self.dispatcher.cancelled, self.exchange.closed), (self.dispatcher.sent, True))
             self.assertEqual((len(self.dispatcher.sent), self.operation.state), (1, OperationState.NOT_RUN))
 
-    def test_one_that_has_left_stays_open_until_its_outcome(self) -> None:
+    def test_a_request_that_was_sent_stays_open_until_its_outcome(self) -> None:
         self.play(True)
         self.assertEqual(self.statuses, [REPLIES[ErrorKind.DEADLINE].status])
         self.assertEqual((self.dispatcher.cancelled, self.exchange.closed), ([], False))
@@ -90,14 +90,14 @@
             (OperationState.UNKNOWN, 1, True),
         )
 
-    def test_limit_before_its_deadline_ends_it_then_and_a_later_one_changes_nothing(self) -> None:
+    def test_a_limit_before_the_deadline_ends_it_then_and_a_later_one_changes_nothing(self) -> None:
         for whole, kind in ((True, ErrorKind.DEADLINE), (None, ErrorKind.NO_TIME)):
             self.play(whole, DEADLINE / 2)
             self.assertEqual(self.statuses, [REPLIES[kind].status])
         self.play(True, 2 * DEADLINE)
         self.assertEqual(self.statuses, [REPLIES[ErrorKind.DEADLINE].status])
 
-    def test_log_tells_where_it_is(self) -> None:
+    def test_the_log_states_where_it_is(self) -> None:
         self.play(True)
         self.assertEqual(self.exchange.describe(1.0), "sent to 10.0.0.2 1.0 s ago")
         self.dispatcher.sent[0].outgoing = None
--- a/tests/mesh/test_explain.py
+++ b/tests/mesh/test_explain.py
@@ -1,4 +1,4 @@
-"""One request explained: traced trips in virtual time, the ring's bound, the lines for people."""
+"""Traces of requests: traced exchanges in virtual time, the bound of the buffer, the lines for operators."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class Watch:
-    """Traces at the first sidecars, asks by actions, keeps the ids of what it asked."""
+    """Switches tracing on at sidecars, sends requests by actions and keeps their ids."""
 
     def __init__(self) -> None:
         self.tracers: dict[int, Tracer] = {}
@@ -67,7 +67,7 @@
 
 
 class Trips(unittest.TestCase):
-    def test_a_set_a_claim_a_repeat_and_a_refusal_are_told_and_nothing_before_or_after(self) -> None:
+    def test_hedging_a_claim_a_replay_and_a_rejection_are_traced_and_nothing_before_or_after(self) -> None:
         self.addCleanup(setattr, servers, "SLOTS", servers.SLOTS)
         watch = Watch()
         played = case(
@@ -106,7 +106,7 @@
         trace.add(1.0, REPLIED, 503)
         return trace
 
-    def test_the_ring_forgets_the_oldest_and_takes_no_more_memory_than_it_counts(self) -> None:
+    def test_the_buffer_drops_the_oldest_and_takes_no_more_memory_than_it_counts(self) -> None:
         packed = self.trace(1).packed()
         gc.collect()
         tracemalloc.start()
@@ -126,7 +126,7 @@
             (1, sum(len(ident) + len(held) + 300 for ident, held in buffer.traces.items())),
         )
 
-    def test_one_request_has_few_steps_and_shows_those_it_was_sent_to(self) -> None:
+    def test_a_trace_has_a_bounded_number_of_steps_and_shows_the_servers_sent_to(self) -> None:
         rows = self.trace(40).rows()
         self.assertEqual((len(rows), rows[-1][1:]), (MAX_STEPS + 1, (REPLIED, 503)))
         looks = [row[-1] for row in rows if row[1] == "looked"]
@@ -145,7 +145,7 @@
         admin.handle(cast(ClientConnection, client), item)
         return said[0]
 
-    def test_what_tracing_loads_is_nothing_of_peoples_commands(self) -> None:
+    def test_tracing_loads_nothing_of_the_operators_commands(self) -> None:
         self.assertFalse(
             {name.partition(".")[0] for name in loaded("minthitch.mesh.sidecar.tracing")} & NEVER
         )
--- a/tests/mesh/test_hard.py
+++ b/tests/mesh/test_hard.py
@@ -1,6 +1,7 @@
-"""The hard cases of "nothing acknowledged is lost", each by name: real control nodes and sidecars in
-virtual time, with
-changes, keys and requests under way, and the whole history checked afterwards.
+"""The hard cases of "nothing acknowledged is lost", each by name.
+
+Real control nodes and sidecars run in virtual time, with changes, keys and requests in flight, and the whole
+history is checked afterwards.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
         return played
 
     def struck(self, played: Played, kind: str, state: str = "") -> list[Event]:
-        """It struck, and a control node in that state."""
+        """The events of this fault, which hit a control node in that state."""
         events = [
             e
             for e in played.history.of("struck")
@@ -48,12 +49,12 @@
 
     # One machine in trouble
 
-    def test_leader_hears_and_is_not_heard(self) -> None:
+    def test_leader_receives_but_cannot_send(self) -> None:
         played = self.day(Fault(3.5, "mute-control", -1, 4.5))
         self.struck(played, "mute-control", "leader")
         self.assertTrue(self.taken(played, 5.0, 8.0), "another leads")
 
-    def test_leader_is_heard_and_does_not_hear(self) -> None:
+    def test_leader_sends_but_cannot_receive(self) -> None:
         played = self.day(Fault(3.5, "deaf-control", -1, 4.5))
         self.struck(played, "deaf-control", "leader")
         self.assertTrue(self.taken(played, 5.0, 8.0), "another leads")
@@ -64,7 +65,7 @@
             self.struck(played, "freeze-control", "leader")
             self.assertTrue(self.taken(played, 5.0, 8.0), "another leads")
 
-    def test_disk_hangs_while_it_holds_the_lease(self) -> None:
+    def test_disk_of_the_leader_hangs_while_it_holds_the_lease(self) -> None:
         played = self.day(Fault(3.5, "hang-disk", -1, 4.0))
         self.struck(played, "hang-disk", "leader")
         self.assertTrue(self.taken(played, 4.5, 7.5), "it hands over")
@@ -74,13 +75,13 @@
         self.struck(played, "full-disk", "leader")
         self.assertTrue(self.taken(played, 4.0, 7.5), "it hands over")
 
-    def test_all_disks_full_then_all_goes_on(self) -> None:
+    def test_all_disks_full_and_then_free_again(self) -> None:
         played = self.day(Fault(3.0, "full-disks", -1, 4.5))
         self.assertEqual(self.taken(played, 3.3, 7.4), [], "it can't be kept")
         self.assertTrue(self.taken(played, 7.5, 9.0))
 
-    def test_clocks_apart(self) -> None:
-        """By a second, two, an hour; what is counted is only time that passes."""
+    def test_clocks_differ(self) -> None:
+        """By a second, two, an hour: only elapsed time counts."""
 
         def apart(site: Site, clients: Clients, operators: Operators) -> None:
             for control, seconds in zip(site.controls, (3600.0, 1.0, 0.0), strict=True):
@@ -95,7 +96,7 @@
         )
 
     def test_follower_far_behind(self) -> None:
-        """So far that only an image helps; it is needed at once, as the two others lose power."""
+        """So far that it needs a snapshot, and at once, since the two others lose power."""
 
         def cut(site: Site, clients: Clients, operators: Operators) -> None:
             behind = next(f for f in site.controls if not f.leads)
@@ -111,7 +112,7 @@
         self.assertTrue(list(played.history.of("image")))
 
     def test_claims_outlive_the_slowest_request(self) -> None:
-        """A request may wait as long as its route lets it, and claim its key only then."""
+        """A request may wait as long as its route allows, and claim its key only then."""
 
         def slow(site: Site, clients: Clients, operators: Operators) -> None:
             operators.vers[0] = 40  # as seconds
@@ -125,13 +126,13 @@
     # Disks lost
 
     def test_acknowledging_machine_dies_within_4_ms(self) -> None:
-        """Its process, its power, its disk."""
+        """It loses its process, its power or its disk."""
         ends = {"ack-kill": "kill-control", "ack-lost": "power-control", "ack-wipe": "wipe-control"}
         for kind, then in ends.items():
             for seed in (1, 2):
                 self.struck(self.day(Fault(3.5, kind, -1, 0.5), seed=seed), then)
 
-    def test_two_lost_one_after_the_other(self) -> None:
+    def test_two_disks_lost_one_after_the_other(self) -> None:
         second = 3.2 + 0.5 + SYNC_S
         played = self.day(
             Fault(3.2, "wipe-control", 0, 0.5), Fault(second, "wipe-control", 1, 0.5), seconds=9.0
@@ -185,7 +186,9 @@
         self.assertEqual(len(self.taken(played, 3.15, 9.0)), 12, "each is told that it stands")
 
     def test_change_without_a_clear_answer(self) -> None:
-        """Its leader dies with it under way; the same call again is answered, and it counts once."""
+        """The leader dies while it is in progress; the same call again is answered, and the change counts
+        once.
+        """
 
         def change(site: Site, clients: Clients, operators: Operators) -> None:
             operators.change(0)
--- a/tests/mesh/test_keys.py
+++ b/tests/mesh/test_keys.py
@@ -1,5 +1,5 @@
-"""Keyed requests through the real `Keys` of several sidecars and the control nodes' real claims, in drawn
-orders.
+"""Keyed requests through the real `IdempotencyKeys` of several sidecars and the real claims of the control
+nodes, in random orders.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 
 
 class ControlLinks:
-    """Stands for the lines to the control nodes: each claim is applied, and told, at a drawn moment, or is
-    lost.
+    """Stands for the connections to the control nodes: each claim is applied and answered at a random moment,
+    or its answer is lost.
     """
 
     def __init__(self, world: World) -> None:
@@ -40,7 +40,7 @@
 
 
 class FakeExchange:
-    """One try. `runs` is noted at the moment it would be sent."""
+    """One request; a run is recorded at the moment when it would be sent."""
 
     def __init__(self, world: World, keys: IdempotencyKeys, key: bytes) -> None:
         self.world, self.keys, self.key, self.deadline = world, keys, key, 1e9
@@ -79,7 +79,7 @@
 
 
 class World:
-    """Sidecars, one agreed state, and a heap of what happens next in a drawn order."""
+    """Sidecars, one replicated state, and the pending events, which happen in random order."""
 
     def __init__(self, seed: int, losses: float = 0.1) -> None:
         self.rng, self.losses, self.index = random.Random(seed), losses, 0
@@ -105,7 +105,7 @@
         self.todo.append((call, args))
 
     def restart(self, number: int) -> None:
-        """A life that forgot everything."""
+        """A new run of the process, which has forgotten everything."""
         life = 1 + max(int(name.partition("/")[2]) for name in self.keys)
         for name in [n for n in self.keys if n.startswith(f"v{number}/")]:
             del self.keys[name]
@@ -130,7 +130,7 @@
             call(*args)
 
     def broken(self) -> list[str]:
-        """What the history breaks."""
+        """What the history violates."""
         found = [f"{key!r} ran {len(runs)} times" for key, runs in self.runs.items() if len(runs) > 1]
         found += [
             f"{t.key!r}: success {t.answer}"
@@ -152,7 +152,7 @@
 
 
 class Drawn(unittest.TestCase):
-    def test_no_key_runs_twice_and_each_try_is_answered_once(self) -> None:
+    def test_no_key_runs_twice_and_each_request_is_answered_once(self) -> None:
         served = 0
         for seed in range(150):
             world = play(seed)
@@ -163,14 +163,14 @@
     def _found(self, plant: Callable[[World], None]) -> bool:
         return any(play(seed, plant).broken() for seed in range(40))
 
-    def test_a_lost_run_told_as_free_is_found(self) -> None:
+    def test_a_lost_run_reported_as_not_run_is_found(self) -> None:
         def plant(world: World) -> None:
             for keys in world.keys.values():
                 keys.operations.record_unknown = keys.operations.record_not_run  # type: ignore[method-assign]
 
         self.assertTrue(self._found(plant))
 
-    def test_a_claim_that_anybody_may_take_over_is_found(self) -> None:
+    def test_a_claim_that_any_sidecar_may_take_over_is_found(self) -> None:
         def plant(world: World) -> None:
             claims = world.state.claims
             real = claims.acquire
@@ -182,7 +182,7 @@
 
 
 class Named(unittest.TestCase):
-    def test_a_key_that_comes_back_with_another_request_is_turned_away(self) -> None:
+    def test_a_key_used_again_with_another_request_is_rejected(self) -> None:
         async def inside() -> tuple[Any, Any]:
             world = World(1, losses=0.0)
             first, second = (FakeExchange(world, world.keys[name], b"k") for name in ("v0/1", "v1/1"))
--- a/tests/mesh/test_pages_beats.py
+++ b/tests/mesh/test_pages_beats.py
@@ -1,4 +1,4 @@
-"""What the operators' pages say of beats: what a body may look like, and what the answer has to be."""
+"""What the operators' pages state about heartbeats: the forms of a body, and the answer."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
             decode_heartbeat(body(stat='"State":"draining","Seq":5,"ColdS":2.5')).stat.cold_s, 2.5
         )
 
-    def test_what_says_no_state_slots_or_number_is_no_beat(self) -> None:
+    def test_a_body_without_a_valid_state_slots_or_number_is_no_heartbeat(self) -> None:
         for sent in (
             body(stat='"State":"up"'),
             body(stat='"State":"gone","Seq":4'),
@@ -59,7 +59,7 @@
 
 
 class FakeAdmission:
-    """Takes beats as the admission does, and notes when."""
+    """Takes heartbeats as Admission does, and records when."""
 
     def __init__(self, client: Client) -> None:
         self.client, self.heard = client, list[tuple[str, int]]()
@@ -85,7 +85,7 @@
         admin.handle(cast(Any, client), cast(Any, item))
         return client.answers, admission.heard
 
-    def test_each_call_of_a_server_is_acted_on_and_then_answered_at_once_and_in_short(self) -> None:
+    def test_each_call_of_a_server_is_applied_and_then_answered_at_once_and_briefly(self) -> None:
         for path, sent in (
             (b"/Instances.Heartbeat/i-1", body()),
             (b"/Instances.Heartbeat/i-1", body(stat='"State":"draining","Seq":9,"ColdS":0')),
@@ -97,7 +97,7 @@
                 self.assertLessEqual(len(answers[0][1]), MOST_ANSWER)
                 self.assertEqual(heard, [("i-1", 0)], "before its answer, and once")
 
-    def test_what_can_not_be_read_is_not_acknowledged(self) -> None:
+    def test_an_unreadable_body_is_not_acknowledged(self) -> None:
         answers, heard = self.called(b"/Instances.Heartbeat/i-1", b"{")
         self.assertEqual(([status for status, _ in answers], heard), ([400], []))
 
--- a/tests/mesh/test_parts.py
+++ b/tests/mesh/test_parts.py
@@ -1,4 +1,4 @@
-"""The small pure cores: pieces, gate, claims, operations, registry, choice. Histories drawn, then checked."""
+"""The pure cores: framing, gate, claims, operations, registry, load balancer. Histories are random."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
             self.assertEqual(sorted(got), sorted(sent))
             self.assertEqual((outbox.size, inbox.held, inbox.open), (0, 0, {}))
 
-    def test_a_short_message_waits_behind_one_piece_of_a_long_one_at_most(self) -> None:
+    def test_a_short_message_waits_for_at_most_one_piece_of_a_long_one(self) -> None:
         outbox, inbox = Outbox(), Inbox()
         long = outbox.put(b"x" * (50 * PIECE), 1)
         first = outbox.take()
@@ -48,13 +48,13 @@
         self.assertEqual(list(inbox.feed(third + fourth)), [b"short"])
         self.assertFalse(long.whole)
 
-    def test_one_dropped_before_its_first_piece_never_leaves(self) -> None:
+    def test_a_message_dropped_before_its_first_piece_is_never_sent(self) -> None:
         outbox = Outbox()
         outbox.put(b"gone", 1).dropped = True
         self.assertIsNone(outbox.take())
         self.assertEqual(outbox.size, 0)
 
-    def test_bytes_that_are_no_pieces_and_too_many_begun_are_told(self) -> None:
+    def test_invalid_bytes_and_too_many_open_messages_are_rejected(self) -> None:
         with self.assertRaises(Broken):
             list(Inbox().feed(b"GET / HTTP/1.1\r\n\r\n"))
         inbox, outbox = Inbox(), Outbox()
@@ -67,7 +67,7 @@
 
 
 class Gates(unittest.TestCase):
-    def test_never_more_at_once_than_slots_and_nobody_is_lost(self) -> None:
+    def test_never_more_run_than_slots_and_no_call_is_lost(self) -> None:
         for seed in range(40):
             self._play(random.Random(seed))
 
@@ -96,7 +96,7 @@
         waits = [job for job, end in fate.items() if end == "waits"]
         self.assertEqual(sorted(waits), sorted(gate.clear()))
 
-    def test_a_lower_rank_goes_first_and_what_can_be_in_time_before_what_cannot(self) -> None:
+    def test_a_lower_rank_goes_first_and_calls_that_can_be_in_time_before_those_that_cannot(self) -> None:
         gate: Gate[str] = Gate(1)
         gate.arrive(0.0, QueuedRequest("runs", 1, 1.0, 9.0, 0.1))
         for name, rank, due in (("late", 1, 0.35), ("later", 1, 2.0), ("soon", 1, 1.0), ("inner", 0, 3.0)):
@@ -107,13 +107,13 @@
             order += gate.next(0.3)[0]
         self.assertEqual(order, ["inner", "soon", "later", "late"])
 
-    def test_one_that_cannot_be_served_in_time_is_turned_away_at_once(self) -> None:
+    def test_a_call_that_cannot_be_served_in_time_is_rejected_at_once(self) -> None:
         gate: Gate[int] = Gate(1)
         gate.mean = 0.5
         gate.arrive(0.0, QueuedRequest(0, 1, 1.0, 1.0, 0.2))
         self.assertIsNone(gate.arrive(0.0, QueuedRequest(1, 1, 0.3, 0.4, 0.2)))
 
-    def test_a_full_server_that_frees_no_slot_is_stuck_until_one_comes_free(self) -> None:
+    def test_a_full_server_that_frees_no_slot_is_stuck_until_one_is_free(self) -> None:
         gate: Gate[int] = Gate(2)
         for n in range(2):
             self.assertTrue(gate.arrive(0.1 * n, QueuedRequest(n, 1, 9.0, 9.0, 0.1)))
@@ -127,7 +127,7 @@
 
 
 class Keys(unittest.TestCase):
-    def test_one_holder_a_key_until_it_is_named_and_rotations_keep_what_is_young(self) -> None:
+    def test_a_key_has_one_owner_until_its_claim_is_replaced_and_rotations_keep_recent_claims(self) -> None:
         table = ClaimTable()
 
         def acquire(owner: str, claim_id: bytes, replaces: bytes) -> tuple[str, bytes]:
@@ -150,7 +150,7 @@
         table.rotate()
         self.assertIsNone(table.find(b"k"))
 
-    def test_what_became_of_an_operation_is_told_once_and_never_changes(self) -> None:
+    def test_the_outcome_of_an_operation_is_reported_once_and_never_changes(self) -> None:
         operations, heard = OperationTable(60.0), list[str]()
         operation = operations.begin(b"k", b"c", b"d", 0.0)
         operation.listeners.append(lambda op: heard.append(op.state))
@@ -162,7 +162,7 @@
         operations.record_not_run(other)
         self.assertEqual((other.state, operations.by_key.get(b"x")), (OperationState.NOT_RUN, None))
 
-    def test_answers_are_bounded_in_bytes_and_forgotten_ones_are_unknown(self) -> None:
+    def test_answers_are_bounded_in_bytes_and_dropped_ones_are_unknown(self) -> None:
         table = OperationTable(60.0)
         operations = []
         for number in range(30):
@@ -182,7 +182,7 @@
 
 
 class Registries(unittest.TestCase):
-    def test_subscribers_of_differences_have_what_the_registry_has(self) -> None:
+    def test_subscribers_of_deltas_have_what_the_registry_has(self) -> None:
         for seed in range(20):
             rng = random.Random(seed)
             registry, version, held, now = Registry(), 0, dict[str, SidecarRecord](), 0.0
@@ -205,7 +205,7 @@
             registry.expire(now + EXPIRY_S + 1.0)
             self.assertFalse(registry.records)
 
-    def test_the_newest_life_wins_and_the_last_view_stays(self) -> None:
+    def test_the_newest_epoch_wins_and_the_last_view_stays(self) -> None:
         views = MergedViews()
         views.update(0.0, "f1", RegistryDelta(True, [record("a", 2, 1)], []))
         views.update(0.0, "f2", RegistryDelta(True, [record("a", 1, 9)], []))
@@ -236,7 +236,7 @@
             self.balancer.on_sent(target)
             self.balancer.on_ended(n * 0.1, target, "r", 0.4, took, ok=True, lost=False)
 
-    def test_a_quick_one_nearby_is_preferred_and_a_barred_or_shut_one_is_not_asked(self) -> None:
+    def test_a_fast_server_in_the_zone_is_preferred_and_an_excluded_or_avoided_one_is_not_used(self) -> None:
         for n in range(6):
             self._learn(f"life-{n}", 0.1)
         picked = {self.balancer.pick(3.0, "svc", "r", 0.4, 0.4, 1, 0, ())[0].zone for _ in range(20)}
@@ -250,14 +250,14 @@
             {self.balancer.pick(3.0, "svc", "r", 0.4, 0.4, 1, 0, ())[0].server_id for _ in range(30)},
         )
 
-    def test_one_slow_server_alone_is_not_enough_and_two_are_raced(self) -> None:
+    def test_slow_servers_are_hedged(self) -> None:
         for n in range(6):
             self._learn(f"life-{n}", 0.35, 4)  # few samples: exponential
         chosen = self.balancer.pick(1.0, "svc", "r", 0.4, 0.6, 3, 0, ())
         self.assertGreater(len(chosen), 1)
         self.assertEqual(len(self.balancer.pick(1.0, "svc", "r", 0.4, 0.6, 1, 0, ())), 1)
 
-    def test_a_server_told_to_be_full_is_left_alone(self) -> None:
+    def test_a_server_that_reports_full_load_is_avoided(self) -> None:
         for n in range(6):
             self._learn(f"life-{n}", 0.1)
         self.balancer.on_load_report(3.0, self.balancer.endpoints["svc"]["life-0"], 9, 20)
@@ -283,7 +283,7 @@
                 self.balancer.on_ended(now, target, "r", 0.4, 0.001, ok=False, lost=True)
         return count
 
-    def test_a_server_that_fails_or_refuses_at_once_is_left_alone_until_it_serves(self) -> None:
+    def test_a_server_that_fails_or_rejects_at_once_is_avoided_until_it_serves(self) -> None:
         for seen in (False, True):
             with self.subTest(turns_away=seen):
                 self.setUp()
--- a/tests/mesh/test_planned_work.py
+++ b/tests/mesh/test_planned_work.py
@@ -1,4 +1,4 @@
-"""Planned work only: whatever a sidecar has accepted is answered before its process ends."""
+"""Planned work only: a sidecar answers every request that it has accepted before its process ends."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from rigs.simulation.shutdown_checks import broken_off
 
 SIGTERM_AT = 5.0
-PATIENCE = 1.5 * GRACE  # seconds that the clients of the cases wait: longer than a shutdown takes
+PATIENCE = 1.5 * GRACE  # seconds that the clients of these cases wait: longer than a shutdown takes
 CASE = Day(seconds=12.0, rate=0.2, quiet=9.0, failure_rate=0.0, timeout=TIMEOUT)
 
 
@@ -37,13 +37,13 @@
 
 
 def answers(played: Played, sidecar: str, since: float, until: float) -> list[int]:
-    """What the requests that came there in that time were answered."""
+    """Statuses of the requests that came to this sidecar in that time."""
     asked = {e.data["id"] for e in played.history.of("asked") if e.who == sidecar and since <= e.at < until}
     return [e.data["status"] for e in played.history.of("told") if e.data["id"] in asked]
 
 
 class AcceptedBeforeSigterm(unittest.TestCase):
-    """Incident 16: they kept their client's deadline, beyond the end of the process."""
+    """Incident 16: such requests kept their client's deadline, beyond the end of the process."""
 
     def check(self, kind: str, key: str, status: int) -> None:
         at = SIGTERM_AT - 0.2
@@ -57,7 +57,7 @@
     def test_keyed_request(self) -> None:
         self.check("keyed", "k", 504)
 
-    def test_request_that_may_run_once(self) -> None:
+    def test_non_idempotent_request(self) -> None:
         self.check("mutating", "", 504)
 
 
@@ -69,7 +69,7 @@
 
 
 class Planted(unittest.TestCase):
-    """`python -m bench.mesh` looks for them in more days."""
+    """`python -m bench.mesh` looks for these faults in more days."""
 
     def found(self, name: str, seed: int) -> None:
         with planted(name):
@@ -86,7 +86,7 @@
 
 
 class BrokenOff(unittest.TestCase):
-    """An answer of the sidecar's own while a server works; SIGTERM at 10, GRACE until 16."""
+    """The sidecar itself responds while a server still works; SIGTERM at 10, GRACE until 16."""
 
     def broken(
         self, asked_at: float, told_at: float, body: str = "", deadline: float = 9.0, trouble: str = ""
@@ -116,7 +116,7 @@
         self.assertEqual(self.broken(9.5, 14.5, deadline=5.0), [])
         self.assertEqual(self.broken(9.5, 14.5, body="by its server"), [])
 
-    def test_does_not_count_beside_unplanned_trouble(self) -> None:
+    def test_does_not_count_during_an_unplanned_fault(self) -> None:
         self.assertEqual(self.broken(9.5, 14.9, trouble="core"), [])
 
 
--- a/tests/mesh/test_promise.py
+++ b/tests/mesh/test_promise.py
@@ -1,4 +1,4 @@
-"""Servers that answer 503 without saying that they have not run it: real programs in virtual time."""
+"""Servers that answer 503 without stating that the request was not run: real programs in virtual time."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def shed(site: Site, clients: Clients, operators: Operators) -> None:
-    """From now on all servers run what comes, and then say 503."""
+    """From now on all servers run each request and then answer 503."""
     for sidecar in site.sidecars:
 
         def answer(
@@ -26,7 +26,7 @@
 
 
 class Promises(unittest.TestCase):
-    def test_a_503_that_promises_nothing_is_not_passed_on_as_a_promise(self) -> None:
+    def test_a_503_of_a_request_that_ran_is_not_passed_on_as_not_run(self) -> None:
         played = play(2, [], SHORT._replace(actions=((2.5, shed),)))
         self.assertEqual(played.broken, [])
         asked = {e.data["id"]: e.data["kind"] for e in played.history.of("asked") if e.at > 2.6}
