--- a/minthitch/mesh/sidecar/exchange.py
+++ b/minthitch/mesh/sidecar/exchange.py
@@ -348,7 +348,7 @@
         # A non-idempotent request runs on, so that its outcome can be given to repeats with the same key.
         self._respond_error(ErrorKind.DEADLINE)
 
-    # The end --------------------------------------------------------------------------------------
+    # Ending -----------------------------------------------------------------------------------------
 
     def _reject(self, kind: ErrorKind) -> None:
         if self.operation is not None:
@@ -399,7 +399,7 @@
         if self.in_flight:
             return ", ".join(attempt.describe(now) for attempt in self.in_flight.values())
         if self.route.kind == "keyed" and self.operation is None:
-            return f"waiting for its key, claimed by {self.claim_owner or 'nobody known'}"
+            return f"waiting for its key, claimed by {self.claim_owner or 'no known sidecar'}"
         return f"between attempts, {self.arrivals} made"
 
     def on_client_gone(self) -> None:
--- a/minthitch/mesh/sidecar/offers.py
+++ b/minthitch/mesh/sidecar/offers.py
@@ -25,16 +25,16 @@
 
     def on_offer(self, origin: Hashable, reply: Reply, message: ops.Message) -> None:
         """Answers GRANT or BUSY, at once or when it is decided."""
-        _, ident, life, left, aim, rank, size, route = message
+        _, ident, server_id, time_left, aim, rank, size, route = message
         now, admission, key = self.loop.time(), self.admission, (origin, ident)
-        if admission.state != "up" or life != admission.server_id:
+        if admission.state != "up" or server_id != admission.server_id:
             self._reject(reply, ident, "gone")
             return
         due = now + aim - admission.gate.needs(route, aim)
         if now + admission.gate.wait(rank) > due:
             self._reject(reply, ident, "full")
             return
-        verdict = self.bulk.offer(now, Offer(key, size, rank, due, now + left))
+        verdict = self.bulk.offer(now, Offer(key, size, rank, due, now + time_left))
         if verdict is None:
             self._reject(reply, ident, "full")
         elif verdict:
@@ -96,9 +96,9 @@
         """The offer to send in place of this CALL; None where its body is small and it is sent directly."""
         if len(message[BODY]) < OFFERED_FROM:
             return None
-        _, ident, life, left, aim, rank, *_ = message
+        _, ident, server_id, time_left, aim, rank, *_ = message
         self.held[ident] = message, now
-        return (ops.OFFER, ident, life, left, aim, rank, len(message[BODY]), message[-1])
+        return (ops.OFFER, ident, server_id, time_left, aim, rank, len(message[BODY]), message[-1])
 
     def holds(self, ident: int) -> bool:
         """Whether this call was offered and is not sent yet."""
@@ -109,11 +109,11 @@
         held = self.held.pop(ident, None)
         if held is None:
             return None
-        message, since = held
-        left = message[LEFT] - (now - since)
-        if left < MIN_TIME_LEFT_S:
+        message, held_since = held
+        time_left = message[LEFT] - (now - held_since)
+        if time_left < MIN_TIME_LEFT_S:
             return None
-        return (*message[:LEFT], left, message[AIM] - (now - since), *message[AIM + 1 :])
+        return (*message[:LEFT], time_left, message[AIM] - (now - held_since), *message[AIM + 1 :])
 
     def forget(self, ident: int) -> bool:
         """Drops the call. Whether it was offered and not sent yet."""
--- a/minthitch/mesh/sidecar/sidecar.py
+++ b/minthitch/mesh/sidecar/sidecar.py
@@ -185,11 +185,11 @@
             del self.by_client[exchange.client]
 
     def claim_key(self, exchange: Exchange) -> None:
-        item = exchange.request
+        request = exchange.request
         self.keys.open(
             exchange,
-            hashed(item.fields[b"x-idempotency-key"]),
-            digest_request(item.method, item.target, item.body),
+            hashed(request.fields[b"x-idempotency-key"]),
+            digest_request(request.method, request.target, request.body),
         )
 
     def count_error(self, kind: ErrorKind, route: str) -> None:
--- a/minthitch/mesh/sidecar/trace.py
+++ b/minthitch/mesh/sidecar/trace.py
@@ -56,11 +56,11 @@
             self.steps.append((int((now - self.started_at) * TICKS_PER_S), kind, *values))
 
     def add_selection(
-        self, now: float, wanted: int, aim_left: float, budget: float, candidates: Candidates
+        self, now: float, wanted: int, time_left: float, budget: float, candidates: Candidates
     ) -> None:
         selections = sum(step[1] is LOOKED for step in self.steps)
         shown = candidates if selections < MAX_SELECTIONS else []
-        self.add(now, LOOKED, wanted, aim_left, budget, len(candidates), shown)
+        self.add(now, LOOKED, wanted, time_left, budget, len(candidates), shown)
 
     def rows(self) -> list[tuple[Any, ...]]:
         """The steps, with few candidates of each selection: (server id, price, chance, whether it was sent
--- a/minthitch/mesh/sidecar/tracing.py
+++ b/minthitch/mesh/sidecar/tracing.py
@@ -196,7 +196,8 @@
         self.sidecar.make_exchange = Exchange
         self.timer = self.sidecar.loop.call_later(RETENTION_S, self._forget)
         log_event(
-            Event.TRACED, state=f"no longer; {len(self.buffer.traces)} can be asked for {RETENTION_S:.0f} s"
+            Event.TRACED,
+            state=f"no longer; {len(self.buffer.traces)} traces are kept for {RETENTION_S:.0f} s",
         )
 
     def _forget(self) -> None:
--- a/tests/mesh/test_delivery_trips.py
+++ b/tests/mesh/test_delivery_trips.py
@@ -105,7 +105,7 @@
         self.exchange.in_flight.clear()
         self.assertEqual(self.exchange.describe(1.0), "between attempts, 1 made")
         self.exchange.operation = None
-        self.assertEqual(self.exchange.describe(1.0), "waiting for its key, claimed by nobody known")
+        self.assertEqual(self.exchange.describe(1.0), "waiting for its key, claimed by no known sidecar")
 
 
 if __name__ == "__main__":
