--- a/tests/mesh/test_delivery_links.py
+++ b/tests/mesh/test_delivery_links.py
@@ -36,7 +36,7 @@
 from rigs.simulation.network import Network
 
 PORT = 9000
-ASKER, ANSWERERS = "10.0.0.1", ("10.0.0.2", "10.0.0.3")
+CALLER, RECEIVERS = "10.0.0.1", ("10.0.0.2", "10.0.0.3")
 WALKS, CALLS, TROUBLES = 120, 40, 8
 PLANTED_WALKS = 400  # in which a planted fault has to be found
 DAY = 12.0  # seconds in which calls start
@@ -107,7 +107,7 @@
     def on_rejected(self, attempt: Attempt, arrived: bool, wait: float) -> None:
         self._ends(attempt, "turned away" if arrived else "never left")
         assert not self.begun, f"{self.token!r} is told to have not run, and did"
-        others = [ip for ip in ANSWERERS if ip not in self.tries]
+        others = [ip for ip in RECEIVERS if ip not in self.tries]
         if others:
             self.send(others[0])
 
@@ -130,7 +130,7 @@
             assert age < AGE_MOST, f"{self.token!r} runs {age:.1f} s after it was sent"
 
 
-class Answerer:
+class Receiver:
     """A sidecar that is called: it runs calls, rejects them or never answers."""
 
     def __init__(self, walk: Walk) -> None:
@@ -187,7 +187,7 @@
         self.failures: list[str] = []
         self.loop.failures = lambda who, what: self.failures.append(what)
         self.network = Network(self.loop)
-        self.machines = {ip: Machine(ip, self.rng.uniform(0.0, 100.0)) for ip in (ASKER, *ANSWERERS)}
+        self.machines = {ip: Machine(ip, self.rng.uniform(0.0, 100.0)) for ip in (CALLER, *RECEIVERS)}
         for ip, machine in self.machines.items():
             self.network.add(ip, "a", machine)
         self.calls: dict[bytes, Call] = {}
@@ -198,13 +198,13 @@
     def start(self, ip: str) -> None:
         machine = self.machines[ip]
         machine.running = True
-        self.loop.on(machine, self._asker if ip == ASKER else self._answerer, ip)
+        self.loop.on(machine, self._caller if ip == CALLER else self._receiver, ip)
 
-    def _answerer(self, ip: str) -> None:
-        host = Answerer(self)
+    def _receiver(self, ip: str) -> None:
+        host = Receiver(self)
         self.network.listen(self.machines[ip], lambda: Connection(host), ip, PORT)
 
-    def _asker(self, ip: str) -> None:
+    def _caller(self, ip: str) -> None:
         sidecar: Any = SimpleNamespace(
             loop=self.loop,
             settings=SimpleNamespace(own=SimpleNamespace(ip=ip)),
@@ -238,21 +238,21 @@
     def _at(self, when: float, action: Callable[..., None], *args: Any) -> None:
         self.loop.after(when, self.loop.world, action, *args)
 
-    def _as_asker(self, action: Callable[..., None], *args: Any) -> None:
-        machine = self.machines[ASKER]
+    def _as_caller(self, action: Callable[..., None], *args: Any) -> None:
+        machine = self.machines[CALLER]
         if machine.running and not machine.frozen:
             self.loop.after(0.0, machine, action, *args)
 
     def _call(self, number: int) -> None:
         call = Call(self, number, self.rng.choice(SIZES), self.rng.random() < 0.5)
-        self._as_asker(self._begin, call, self.rng.choice(ANSWERERS))
+        self._as_caller(self._begin, call, self.rng.choice(RECEIVERS))
 
     def _begin(self, call: Call, ip: str) -> None:
         self.calls[call.token] = call
         call.send(ip)
 
     def _cancel_one(self) -> None:
-        self._as_asker(self._cancel)
+        self._as_caller(self._cancel)
 
     def _cancel(self) -> None:
         out = [call for call in self.calls.values() if not call.end and not call.at_most_once]
@@ -261,15 +261,15 @@
 
     def _trouble(self) -> None:
         rng = self.rng
-        ip = rng.choice((ASKER, *ANSWERERS))
+        ip = rng.choice((CALLER, *RECEIVERS))
         machine = self.machines[ip]
         kind = rng.choice(("reset", "reset", "cut", "freeze", "freeze", "kill", "record lost"))
         self.counts[kind] += 1
         if kind == "reset":
             self.network.reset(machine)
         elif kind == "cut":
-            other = rng.choice(ANSWERERS)
-            pair = rng.choice(((ASKER, other), (other, ASKER)))
+            other = rng.choice(RECEIVERS)
+            pair = rng.choice(((CALLER, other), (other, CALLER)))
             self.network.cut(*pair)
             self._at(rng.choice(FREEZES), self.network.heal, [pair])
         elif kind == "freeze" and machine.running and not machine.frozen:
@@ -278,7 +278,7 @@
         elif kind == "kill" and machine.running:
             self._kill(ip)
         elif kind == "record lost":
-            self._as_asker(self._lose_record)
+            self._as_caller(self._lose_record)
 
     def _thaw(self, machine: Machine, life: int) -> None:
         if machine.life == life:
@@ -288,7 +288,7 @@
         machine = self.machines[ip]
         self.loop.end(machine)
         self.network.fallen(machine)
-        if ip == ASKER:  # its open calls end with it
+        if ip == CALLER:  # its open calls end with it
             for call in self.calls.values():
                 call.end = call.end or "killed"
         self._at(self.rng.uniform(0.1, 1.0), self.start, ip)
@@ -297,7 +297,7 @@
         """Addresses vanish from the registry and are back at once, followed by a call."""
         self.dispatcher.close_unused(lambda ip: False)
         number = CALLS + len(self.calls)
-        self._begin(Call(self, number, 10, True), self.rng.choice(ANSWERERS))
+        self._begin(Call(self, number, 10, True), self.rng.choice(RECEIVERS))
 
 
 def walk(walks: int) -> Counter[str]:
@@ -330,11 +330,11 @@
     history = Walk(seed)
     call = Call(history, 0, LARGE, False)
     with mock.patch.object(offers, "OFFERED_FROM", LARGE * 2):
-        history._as_asker(history._begin, call, ANSWERERS[0])
+        history._as_caller(history._begin, call, RECEIVERS[0])
         while call.attempt is None or call.attempt.outgoing is None:
             history._run_until(history.loop.now + 0.0001)
         assert call.attempt.outgoing.at and not call.attempt.fully_sent, "a part has left"
-        history._as_asker(call.cancel)
+        history._as_caller(call.cancel)
         history._run_until(5.0)
     return call
 
@@ -343,11 +343,11 @@
     """A call to a process that has just been stopped and resumes after 20 s."""
     history = Walk(seed)
     first, call = (Call(history, number, 10, True) for number in range(2))
-    machine = history.machines[ANSWERERS[0]]
-    history._as_asker(history._begin, first, ANSWERERS[0])
+    machine = history.machines[RECEIVERS[0]]
+    history._as_caller(history._begin, first, RECEIVERS[0])
     history._run_until(0.05)
     history.loop.freeze(machine)
-    history._as_asker(history._begin, call, ANSWERERS[0])
+    history._as_caller(history._begin, call, RECEIVERS[0])
     history._run_until(20.0)
     assert call.end == "lost", call.end
     history.loop.thaw(machine)
@@ -379,7 +379,7 @@
         self.addCleanup(logging.disable, logging.NOTSET)
         self.walk = Walk(1)
         self.call = Call(self.walk, 0, 10, True)
-        self.walk._as_asker(self.walk._begin, self.call, ANSWERERS[0])
+        self.walk._as_caller(self.walk._begin, self.call, RECEIVERS[0])
         self.walk.loop.run_until(0.001)
         assert self.call.attempt is not None
         self.answer = (ops.ANSWER, self.call.attempt.ident, 200, (), b"another's", 0, 0)
@@ -387,14 +387,14 @@
     def test_an_answer_from_another_peer_ends_no_call(self) -> None:
         dispatcher = self.walk.dispatcher
         with mock.patch("asyncio.get_running_loop", lambda: self.walk.loop):
-            other = dispatcher.peer(ANSWERERS[1])
-        self.walk.loop.on(self.walk.machines[ASKER], dispatcher.on_peer_message, other, self.answer)
+            other = dispatcher.peer(RECEIVERS[1])
+        self.walk.loop.on(self.walk.machines[CALLER], dispatcher.on_peer_message, other, self.answer)
         self.assertEqual(self.call.end, "")
 
     def test_an_answer_on_an_older_connection_ends_no_call(self) -> None:
-        asker, link = self.walk.machines[ASKER], self.walk.dispatcher.peer(ANSWERERS[0]).link
-        older = self.walk.loop.on(asker, self._connection, link)
-        self.walk.loop.on(asker, link.on_message, older, self.answer)
+        caller, link = self.walk.machines[CALLER], self.walk.dispatcher.peer(RECEIVERS[0]).link
+        older = self.walk.loop.on(caller, self._connection, link)
+        self.walk.loop.on(caller, link.on_message, older, self.answer)
         self.assertEqual(self.call.end, "")
 
     def _connection(self, link: Link) -> Connection:
@@ -456,18 +456,18 @@
     def test_answers_of_an_older_connection_taken_for_new_calls(self) -> None:
         """Answers go out on the newest connection of their caller, which reuses ids."""
         newest: dict[str, Connection] = {}
-        real = Answerer.on_message
+        real = Receiver.on_message
 
-        def heard(answerer: Answerer, connection: Connection, message: ops.Message) -> None:
+        def heard(receiver: Receiver, connection: Connection, message: ops.Message) -> None:
             newest[connection.name] = connection
-            real(answerer, connection, message)
+            real(receiver, connection, message)
 
         def reply(connection: Connection, message: ops.Message) -> None:
             send_if_connected(newest[connection.name], message)
 
         with (
-            mock.patch.object(Answerer, "on_message", heard),
-            mock.patch.object(Answerer, "on_connection_lost", lambda answerer, connection: None),
+            mock.patch.object(Receiver, "on_message", heard),
+            mock.patch.object(Receiver, "on_connection_lost", lambda receiver, connection: None),
             mock.patch.object(Walk, "reply", staticmethod(reply)),
             mock.patch.object(Walk, "_cancel", lambda walk: None),  # it is found without these, too
             mock.patch.object(AttemptDispatcher, "new_ident", lowest_free),
--- a/tests/mesh/test_explain.py
+++ b/tests/mesh/test_explain.py
@@ -66,7 +66,7 @@
         return "\n".join(shown.request_lines(told))
 
 
-class Trips(unittest.TestCase):
+class TracedRequests(unittest.TestCase):
     def test_hedging_a_claim_a_replay_and_a_rejection_are_traced_and_nothing_before_or_after(self) -> None:
         self.addCleanup(setattr, servers, "SLOTS", servers.SLOTS)
         watch = Watch()
@@ -96,7 +96,7 @@
         self.assertIs(watch.tracers[0].sidecar.make_exchange, Exchange)
 
 
-class Bounds(unittest.TestCase):
+class BufferBounds(unittest.TestCase):
     def trace(self, steps: int) -> Trace:
         held = [(float(n), 0.5, SimpleNamespace(server_id=f"life{n}")) for n in range(24)]
         trace = Trace(0.0)
@@ -136,7 +136,7 @@
         self.assertEqual((looks[0][0][0], looks[0][0][3], looks[0][1][0]), ("life20", True, "life0"))
 
 
-class Calls(unittest.TestCase):
+class TracingCalls(unittest.TestCase):
     def ask(self, admin: AdminHandler, method: bytes, target: bytes) -> int:
         said: list[int] = []
         client = SimpleNamespace(token=1, respond=lambda token, status, fields, body: said.append(status))
@@ -171,7 +171,7 @@
         self.assertEqual(unescaped("plain"), b"plain")
 
 
-class Outcomes(unittest.TestCase):
+class StepLines(unittest.TestCase):
     def test_each_step_that_a_sidecar_records_has_a_line(self) -> None:
         self.assertEqual(set(STEP_FIELDS), set(shown._STEP_LINES))
 
--- a/tests/mesh/test_keys.py
+++ b/tests/mesh/test_keys.py
@@ -151,7 +151,7 @@
     return asyncio.run(inside())
 
 
-class Drawn(unittest.TestCase):
+class RandomOrders(unittest.TestCase):
     def test_no_key_runs_twice_and_each_request_is_answered_once(self) -> None:
         served = 0
         for seed in range(150):
@@ -181,7 +181,7 @@
         self.assertTrue(self._found(plant))
 
 
-class Named(unittest.TestCase):
+class SingleCases(unittest.TestCase):
     def test_a_key_used_again_with_another_request_is_rejected(self) -> None:
         async def inside() -> tuple[Any, Any]:
             world = World(1, losses=0.0)
--- a/tests/mesh/test_parts.py
+++ b/tests/mesh/test_parts.py
@@ -15,7 +15,7 @@
 from minthitch.mesh.transport.framing import LONGEST, MOST_OPEN, PIECE, Broken, Inbox, Outbox
 
 
-class Pieces(unittest.TestCase):
+class FramingTest(unittest.TestCase):
     def test_messages_of_all_ranks_arrive_whole_however_the_bytes_are_cut(self) -> None:
         rng = random.Random(7)
         for _ in range(20):
@@ -66,7 +66,7 @@
             list(inbox.feed(b"".join(outbox.take() or b"" for _ in range(MOST_OPEN + 1))))
 
 
-class Gates(unittest.TestCase):
+class GateTest(unittest.TestCase):
     def test_never_more_run_than_slots_and_no_call_is_lost(self) -> None:
         for seed in range(40):
             self._play(random.Random(seed))
@@ -126,7 +126,7 @@
         self.assertEqual([gate.stuck(now) for now in (2.8, 3.0)], [False, True])  # a slow one: three means
 
 
-class Keys(unittest.TestCase):
+class ClaimsAndOperations(unittest.TestCase):
     def test_a_key_has_one_owner_until_its_claim_is_replaced_and_rotations_keep_recent_claims(self) -> None:
         table = ClaimTable()
 
@@ -181,7 +181,7 @@
     return SidecarRecord(ip, 1, epoch, seq, "z", "svc", f"life-{epoch}", 9, state, 0.0, True)
 
 
-class Registries(unittest.TestCase):
+class RegistryTest(unittest.TestCase):
     def test_subscribers_of_deltas_have_what_the_registry_has(self) -> None:
         for seed in range(20):
             rng = random.Random(seed)
