--- a/minthitch/mesh/sidecar/offers.py
+++ b/minthitch/mesh/sidecar/offers.py
@@ -1,6 +1,4 @@
-"""Calls with large bodies are offered to the receiving sidecar before their bodies are sent: both sides of
-it.
-"""
+"""Calls with large bodies are offered to the receiving sidecar before the body is sent: both sides."""
 
 from __future__ import annotations
 
@@ -14,59 +12,59 @@
 
 Reply = Callable[[ops.Message], None]
 BODY, LEFT, AIM = 10, 3, 4  # positions in a CALL message
-LATE_LEFT = 0.01  # seconds: a call with less time left than this is not sent any more
+MIN_TIME_LEFT_S = 0.01  # a call with less time left is not sent
 
 
 class OfferReceiver:
-    """Decides which offered bodies may come to the server beside this sidecar."""
+    """Decides which offered bodies may be sent to the server beside this sidecar."""
 
     def __init__(self, admission: Admission) -> None:
         self.loop = asyncio.get_running_loop()
         self.admission, self.bulk = admission, BulkAdmission()
         self.replies: dict[Hashable, Reply] = {}  # by key, while an offer waits
 
-    def offered(self, origin: Hashable, reply: Reply, message: ops.Message) -> None:
-        """Answers GRANT or BUSY, now or once it is decided."""
-        _, ident, life, left, aim, rank, size, route = message
+    def on_offer(self, origin: Hashable, reply: Reply, message: ops.Message) -> None:
+        """Answers GRANT or BUSY, at once or when it is decided."""
+        _, ident, server_id, time_left, aim, rank, size, route = message
         now, admission, key = self.loop.time(), self.admission, (origin, ident)
-        if admission.state != "up" or life != admission.life:
-            self._turn_away(reply, ident, "gone")
+        if admission.state != "up" or server_id != admission.server_id:
+            self._reject(reply, ident, "gone")
             return
         due = now + aim - admission.gate.expected_duration(route, aim)
         if now + admission.gate.expected_wait(rank) > due:
-            self._turn_away(reply, ident, "full")
+            self._reject(reply, ident, "full")
             return
-        verdict = self.bulk.offer(now, Offer(key, size, rank, due, now + left))
+        verdict = self.bulk.offer(now, Offer(key, size, rank, due, now + time_left))
         if verdict is None:
-            self._turn_away(reply, ident, "full")
+            self._reject(reply, ident, "full")
         elif verdict:
             reply((ops.GRANT, ident))
         else:
             self.replies[key] = reply
 
-    def arrived(self, origin: Hashable, message: ops.Message) -> None:
-        """A CALL is here: if it was offered, the next may come."""
+    def on_call(self, origin: Hashable, message: ops.Message) -> None:
+        """A CALL has arrived: if it was offered, the next one may be granted."""
         key = (origin, message[1])
         if key in self.bulk.granted:
             self.bulk.arrived(self.loop.time(), key)
-            self._next()
+            self._decide_waiting()
 
-    def withdrawn(self, origin: Hashable, ident: int) -> None:
-        """The sender needs it no more."""
+    def on_cancel(self, origin: Hashable, ident: int) -> None:
+        """The sender no longer needs the call."""
         self.replies.pop((origin, ident), None)
         self.bulk.withdrawn(self.loop.time(), (origin, ident))
-        self._next()
+        self._decide_waiting()
 
-    def fell(self, origin: Hashable) -> None:
-        """The connection to the sender is gone, and with it all that it offered."""
+    def on_connection_lost(self, origin: Hashable) -> None:
+        """The connection to the sender is lost, and with it all its offers."""
         keys = [*self.bulk.granted, *(offer.key for offer in self.bulk.waiting)]
         for key in keys:
             if isinstance(key, tuple) and key[0] == origin:
                 self.replies.pop(key, None)
                 self.bulk.withdrawn(self.loop.time(), key)
-        self._next()
+        self._decide_waiting()
 
-    def _next(self) -> None:
+    def _decide_waiting(self) -> None:
         grants, late = self.bulk.next(self.loop.time())
         for key in late:
             self._answer(key, None)
@@ -78,11 +76,11 @@
         if reply is None:
             return
         if op is None:
-            self._turn_away(reply, key[1], "late")
+            self._reject(reply, key[1], "late")
         else:
             reply((op, key[1]))
 
-    def _turn_away(self, reply: Reply, ident: int, why: str) -> None:
+    def _reject(self, reply: Reply, ident: int, why: str) -> None:
         gate = self.admission.gate
         wait = max(gate.expected_wait(0), self.bulk.expected_wait(0))
         reply((ops.REJECTED, ident, why, False, gate.running, gate.queued, wait))
@@ -92,31 +90,31 @@
     """Holds calls with large bodies until the receiver grants them."""
 
     def __init__(self) -> None:
-        self.held: dict[int, tuple[ops.Message, float]] = {}  # by call: the message, and when it was made
+        self.held: dict[int, tuple[ops.Message, float]] = {}  # by call id: the message, and when it was made
 
     def offer(self, now: float, message: ops.Message) -> ops.Message | None:
-        """What to send in place of this CALL; None where its body is small and it goes as it is."""
+        """The offer to send in place of this CALL; None where its body is small and it is sent directly."""
         if len(message[BODY]) < MIN_OFFERED_BYTES:
             return None
-        _, ident, life, left, aim, rank, *_ = message
+        _, ident, server_id, time_left, aim, rank, *_ = message
         self.held[ident] = message, now
-        return (ops.OFFER, ident, life, left, aim, rank, len(message[BODY]), message[-1])
+        return (ops.OFFER, ident, server_id, time_left, aim, rank, len(message[BODY]), message[-1])
 
     def holds(self, ident: int) -> bool:
         """Whether this call was offered and is not sent yet."""
         return ident in self.held
 
     def granted(self, now: float, ident: int) -> ops.Message | None:
-        """The call to send now, with the times that are left of it; None where it is needed no more."""
+        """The call to send now, with its times reduced by the wait; None where it is no longer needed."""
         held = self.held.pop(ident, None)
         if held is None:
             return None
-        message, since = held
-        left = message[LEFT] - (now - since)
-        if left < LATE_LEFT:
+        message, held_since = held
+        time_left = message[LEFT] - (now - held_since)
+        if time_left < MIN_TIME_LEFT_S:
             return None
-        return (*message[:LEFT], left, message[AIM] - (now - since), *message[AIM + 1 :])
+        return (*message[:LEFT], time_left, message[AIM] - (now - held_since), *message[AIM + 1 :])
 
     def forget(self, ident: int) -> bool:
-        """Whether this call was offered and is not sent yet; it is not held any more."""
+        """Drops the call. Whether it was offered and not sent yet."""
         return self.held.pop(ident, None) is not None
--- a/tests/mesh/test_budget.py
+++ b/tests/mesh/test_budget.py
@@ -379,7 +379,9 @@
         self.assertGreater(inner[True], 20)
 
     def test_injected_fault_nested_calls_of_repeats_not_charged(self) -> None:
-        with mock.patch.multiple(RetryBudget, _of_repeat=lambda *args: False, may_repeat=lambda *args: True):
+        with mock.patch.multiple(
+            RetryBudget, _is_retry_call=lambda *args: False, may_run_retry=lambda *args: True
+        ):
             broken = [text for seed in range(4, 8) for text in nested_calls_day(seed).broken]
         self.assertTrue(any(text.startswith("BUDGET: bank") for text in broken), broken)
 
@@ -488,23 +490,25 @@
 
     def setUp(self) -> None:
         self.now = 100.0
-        self.enterContext(mock.patch.object(retry_budget_module, "steady", lambda: self.now))
+        self.enterContext(mock.patch.object(retry_budget_module, "monotonic_now", lambda: self.now))
         loop = SimpleNamespace(call_later=lambda *args: None)
         gate = SimpleNamespace(running=0)
-        self.admission: Any = SimpleNamespace(loop=loop, gate=gate, runs=0, repeated=0, repeats=0)
+        self.admission: Any = SimpleNamespace(
+            loop=loop, gate=gate, runs_started=0, retries_started=0, retries_running=0
+        )
         bounds: Any = SimpleNamespace(retry_ratio=RATIO, retry_slack=SLACK, retry_win_s=WINDOW)
         self.retry_budget = RetryBudget(bounds, cast(Admission, self.admission))
 
     def run_one(self, calls: int, repeat: bool) -> None:
         admission = self.admission
         admission.gate.running += 1
-        admission.runs += 1
-        admission.repeated += repeat
-        admission.repeats += repeat
+        admission.runs_started += 1
+        admission.retries_started += repeat
+        admission.retries_running += repeat
         for _ in range(calls):
-            self.retry_budget.taken("deep", True)
+            self.retry_budget.record_request("deep", True)
         admission.gate.running -= 1
-        admission.repeats -= repeat
+        admission.retries_running -= repeat
 
     def test_as_many_calls_as_repeats_make_are_charged(self) -> None:
         rng = random.Random(1)
@@ -513,7 +517,7 @@
             counted: list[float] = []
             for _ in range(400):
                 self.now += 0.05
-                self.retry_budget.looked = self.now
+                self.retry_budget.checked_at = self.now
                 repeat = rng.random() < 0.2
                 repeats += repeat
                 self.admission.gate.running += 3  # other requests in parallel
@@ -525,15 +529,17 @@
     def test_a_repeat_whose_calls_exceed_the_budget_is_not_started(self) -> None:
         for _ in range(20):
             self.run_one(2, False)
-        self.assertFalse(self.retry_budget.may_repeat())
+        self.assertFalse(self.retry_budget.may_run_retry())
         self.retry_budget.lease_client._expires_at = self.now + 5.0
         self.retry_budget.lease_client.amounts["deep"] = 2
-        self.assertTrue(self.retry_budget.may_repeat())
-        self.admission.repeated = self.admission.repeats = 1  # one has started: its calls are reserved
-        self.assertFalse(self.retry_budget.may_repeat())
+        self.assertTrue(self.retry_budget.may_run_retry())
+        self.admission.retries_started = self.admission.retries_running = (
+            1  # one has started: its calls are reserved
+        )
+        self.assertFalse(self.retry_budget.may_run_retry())
 
     def test_charges_are_reported_even_for_a_service_without_requests(self) -> None:
-        budget = self.retry_budget.of("deep")
+        budget = self.retry_budget.budget_for("deep")
         number = self.retry_budget.lease_client.report(self.now, []).report_number
         self.retry_budget.lease_client.on_lease(Lease(1, 1, number, (("deep", 3),)))
         self.assertIsNotNone(budget.spend(self.now))
@@ -547,9 +553,10 @@
 
     def test_after_a_suspension_nothing_is_earned_and_no_repeat_is_started(self) -> None:
         self.now += 3.0
-        self.retry_budget.taken("deep", False)
+        self.retry_budget.record_request("deep", False)
         self.assertEqual(
-            (len(self.retry_budget.of("deep").requests_sent.rows), self.retry_budget.may_repeat()), (0, False)
+            (len(self.retry_budget.budget_for("deep").requests_sent.rows), self.retry_budget.may_run_retry()),
+            (0, False),
         )
 
 
--- a/tests/mesh/test_pages_beats.py
+++ b/tests/mesh/test_pages_beats.py
@@ -1,4 +1,4 @@
-"""What the operators' pages say of beats: what a body may look like, and what the answer has to be."""
+"""What the operators' pages state about heartbeats: the forms of a body, and the answer."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import msgspec
 
 from minthitch.mesh.configuration.calls import decode_heartbeat
-from minthitch.mesh.sidecar.handlers import Counter
+from minthitch.mesh.sidecar.handlers import AdminHandler
 
 MOST_ANSWER = 4 * 1024  # bytes of an answer that still counts as an acknowledgement
 
@@ -35,7 +35,7 @@
             decode_heartbeat(body(stat='"State":"draining","Seq":5,"ColdS":2.5')).stat.cold_s, 2.5
         )
 
-    def test_what_says_no_state_slots_or_number_is_no_beat(self) -> None:
+    def test_a_body_without_a_valid_state_slots_or_number_is_no_heartbeat(self) -> None:
         for sent in (
             body(stat='"State":"up"'),
             body(stat='"State":"gone","Seq":4'),
@@ -58,34 +58,34 @@
         self.answers.append((status, body))
 
 
-class House:
-    """Takes beats as the admission does, and notes when."""
+class FakeAdmission:
+    """Takes heartbeats as Admission does, and records when."""
 
     def __init__(self, client: Client) -> None:
         self.client, self.heard = client, list[tuple[str, int]]()
 
-    def beat(self, life: str, sent: bytes) -> None:
+    def on_heartbeat(self, life: str, sent: bytes) -> None:
         try:
             decode_heartbeat(sent)
         except msgspec.DecodeError as err:
             raise ValueError(str(err)) from None
         self.heard.append((life, len(self.client.answers)))
 
-    def leave(self, life: str) -> None:
+    def deregister(self, life: str) -> None:
         self.heard.append((life, len(self.client.answers)))
 
 
 class Answers(unittest.TestCase):
     def called(self, path: bytes, sent: bytes) -> tuple[list[tuple[int, bytes]], list[tuple[str, int]]]:
         client = Client()
-        house = House(client)
-        counter = Counter(cast(Any, SimpleNamespace(admission=house)))
-        counter.log_client_error = lambda text: None  # type: ignore[method-assign]
+        admission = FakeAdmission(client)
+        admin = AdminHandler(cast(Any, SimpleNamespace(admission=admission)))
+        admin.log_client_error = lambda text: None  # type: ignore[method-assign]
         item = SimpleNamespace(method=b"POST", target=path, body=sent)
-        counter.handle(cast(Any, client), cast(Any, item))
-        return client.answers, house.heard
+        admin.handle(cast(Any, client), cast(Any, item))
+        return client.answers, admission.heard
 
-    def test_each_call_of_a_server_is_acted_on_and_then_answered_at_once_and_in_short(self) -> None:
+    def test_each_call_of_a_server_is_applied_and_then_answered_at_once_and_briefly(self) -> None:
         for path, sent in (
             (b"/Instances.Heartbeat/i-1", body()),
             (b"/Instances.Heartbeat/i-1", body(stat='"State":"draining","Seq":9,"ColdS":0')),
@@ -97,7 +97,7 @@
                 self.assertLessEqual(len(answers[0][1]), MOST_ANSWER)
                 self.assertEqual(heard, [("i-1", 0)], "before its answer, and once")
 
-    def test_what_can_not_be_read_is_not_acknowledged(self) -> None:
+    def test_an_unreadable_body_is_not_acknowledged(self) -> None:
         answers, heard = self.called(b"/Instances.Heartbeat/i-1", b"{")
         self.assertEqual(([status for status, _ in answers], heard), ([400], []))
 
