--- a/tests/mesh/test_control_snapshots.py
+++ b/tests/mesh/test_control_snapshots.py
@@ -215,7 +215,7 @@
         full.rotation_index = 7
         return full
 
-    def test_the_steps_give_the_same_bytes_as_a_whole_snapshot(self) -> None:
+    def test_the_steps_give_the_same_bytes_as_a_complete_snapshot(self) -> None:
         for claims in (0, 3, state_machine.STEP_ROWS, state_machine.STEP_ROWS + 1, 5_000):
             full = self.state(claims)
             self.assertEqual(b"".join(full.snapshot_steps()), full.snapshot())
