--- a/tests/mesh/test_start.py
+++ b/tests/mesh/test_start.py
@@ -29,8 +29,8 @@
     "log",
     "net",
     "net.callers",
-    "net.crowd",
-    "net.uploads",
+    "net.eviction",
+    "net.body_memory",
 }
 BOTH = NODE | {
     "mesh",
@@ -70,7 +70,7 @@
     "decisions.evidence",
     "decisions.gamma",
     "decisions.sets",
-    "net.servers",
+    "net.pool",
     "mesh.configuration.routes",
     "mesh.http.upstream",
     "mesh.idempotency.operations",
