--- a/minthitch/net/__init__.py
+++ b/minthitch/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real node: sockets, timers and HTTP round one Balancer."""
+"""The HTTP node: sockets, timers and HTTP around one Balancer."""
--- a/minthitch/net/body_memory.py
+++ b/minthitch/net/body_memory.py
@@ -1,30 +1,31 @@
-"""Room for long bodies of requests: who may read on, within one sum for all. No I/O; times are given in.
+"""A memory budget for long request bodies: whose body may be read on. No I/O; times are passed in.
 
-A body is held whole, so that its request may be sent again where its class allows it. Where the sum is used
-up, further bodies wait unread: their clients' time counts from the last byte.
+A body is buffered completely, so that its request can be retried where its class allows it. Once the budget
+is used up, further bodies wait unread; a request's deadline counts from its last byte, so waiting costs it
+nothing.
 """
 
 from __future__ import annotations
 
 from typing import Generic, TypeVar
 
-GROWTH_STEP_BYTES = 256 * 1024  # bytes asked for at once where a body's length is not known
-OVERTAKE_WINDOW_S = 1.0  # seconds in which later bodies that fit may pass one that does not
+GROWTH_STEP_BYTES = 256 * 1024  # bytes reserved at once for a body of unknown length
+OVERTAKE_WINDOW_S = 1.0  # seconds for which later, smaller bodies may overtake one that does not fit
 
 Owner = TypeVar("Owner")
 
 
 class BodyMemory(Generic[Owner]):
-    """`most` bytes for all; up to `hard`, one body at a time, where none could be whole otherwise."""
+    """`limit` bytes in all, or `hard_limit` for one body at a time when otherwise none could be completed."""
 
     def __init__(self, limit: int, hard_limit: int) -> None:
         self.limit, self.hard_limit = limit, hard_limit
         self.held: dict[Owner, int] = {}  # bytes granted
         self.used = 0
-        self.waiting: dict[Owner, tuple[int, float]] = {}  # further bytes asked for and since when, in order
+        self.waiting: dict[Owner, tuple[int, float]] = {}  # further bytes requested and since when, in order
 
     def reserve(self, owner: Owner, size: int, now: float) -> bool:
-        """Whether `who` may hold `size` bytes in all; else it waits, and `grants` will name it."""
+        """Whether `owner` may hold `size` bytes in all; if not, it waits until `grant_waiting` returns it."""
         more = size - self.held.get(owner, 0)
         if more <= 0:
             return True
@@ -39,15 +40,15 @@
         return bool(self.waiting) and now >= next(iter(self.waiting.values()))[1] + OVERTAKE_WINDOW_S
 
     def grant_waiting(self, now: float) -> list[Owner]:
-        """Those that may read on now."""
+        """Grants what fits, in order, and returns the owners that may continue."""
         granted: list[Owner] = []
         for owner, (more, since) in list(self.waiting.items()):
             if self.used + more <= self.limit:
                 self._grant(owner, more)
                 granted.append(owner)
             elif now >= since + OVERTAKE_WINDOW_S:
-                break  # danger: small ones would pass a large one for ever
-        # Danger: parts of many bodies would fill the room with none of them ever whole.
+                break  # otherwise small bodies could overtake a large one for ever
+        # Partial bodies could fill the budget with none of them ever complete.
         if not granted and (first := self._largest_stuck()) is not None:
             more = self.waiting[first][0]
             if self.used + more <= self.hard_limit:
@@ -56,13 +57,13 @@
         return granted
 
     def _largest_stuck(self) -> Owner | None:
-        """If nobody reads on, the one that has come farthest: the same one until it is whole."""
+        """If all owners wait for more, the one that holds most: the same one until its body is complete."""
         if not self.waiting or any(owner not in self.waiting for owner in self.held):
             return None
         return max(self.waiting, key=lambda owner: self.held.get(owner, 0))
 
     def evict_stuck(self) -> Owner | None:
-        """The one that must go, after `grants`, if nobody can read on; it holds nothing from here on."""
+        """To be called after `grant_waiting`: if nobody can continue, drops one owner and returns it."""
         first = self._largest_stuck()
         if first is not None:
             self.release(first)
@@ -74,6 +75,6 @@
         self.used += more
 
     def release(self, owner: Owner) -> None:
-        """It holds nothing, and waits for nothing, any more."""
+        """Frees what the owner holds and cancels what it waits for."""
         self.waiting.pop(owner, None)
         self.used -= self.held.pop(owner, 0)
--- a/minthitch/net/callers.py
+++ b/minthitch/net/callers.py
@@ -1,4 +1,4 @@
-"""The listening side: requests of callers, `/ready`, final answers, callers that leave or say nothing."""
+"""The server side of the node: callers' connections, request parsing, `/ready`, answers and timeouts."""
 
 from __future__ import annotations
 
@@ -20,22 +20,29 @@
 from minthitch.net.body_memory import GROWTH_STEP_BYTES, BodyMemory
 from minthitch.net.eviction import select_victim
 
-MAX_HEAD_BYTES = 32 * 1024  # bytes of a request in front of its body
-MAX_FRAMING_BYTES = 256 * 1024  # bytes of a request behind its head that are not its body: framing, trailers
-FRAMING_PER_BODY_BYTE = 8  # and as many for each byte of the body: one byte may be a chunk of its own
-MAX_BODY_BYTES = 34 * 1024 * 1024  # bytes: 32 MB are stated, and 60 MB come from those that mean harm
-# bytes a second at which a body must come, on average, beyond the first HALF seconds
+MAX_HEAD_BYTES = 32 * 1024  # size of the request line and the header fields
+# Bytes of a request after its head that are not body: chunk framing and trailers. In addition
+# FRAMING_PER_BODY_BYTE for each byte of the body, because each may be a chunk of its own.
+MAX_FRAMING_BYTES = 256 * 1024
+FRAMING_PER_BODY_BYTE = 8
+MAX_BODY_BYTES = 34 * 1024 * 1024  # 32 MB must be accepted; malicious clients send 60 MB
+# Bytes per second that a body must average once REQUEST_TIMEOUT_S has passed.
 MIN_BODY_RATE = 16 * 1024
-BODY_STALL_S = 5.0  # seconds without a byte of a body after which it will not come
-MAX_PIPELINED = 16  # pipelined requests of one caller that are read ahead of the one in work
-HEAD_SLICE_BYTES = 4 * 1024  # bytes parsed at once where requests are pipelined
-BODY_SLICE_BYTES = 64 * 1024  # the same inside of a body
-SWEEP_INTERVAL_S = 0.25  # seconds between two looks at all connections
-# seconds that a connection without a request stays at least: its first may be on the way
+BODY_STALL_S = 5.0  # seconds without a byte after which an unfinished body is rejected
+MAX_PIPELINED = 16  # pipelined requests of one connection that are parsed ahead of the current one
+# Bytes given to the parser at once, so that few pipelined requests are parsed too far ahead.
+HEAD_SLICE_BYTES = 4 * 1024
+BODY_SLICE_BYTES = 64 * 1024  # the same within a body
+SWEEP_INTERVAL_S = 0.25  # seconds between two checks of all connections
+# While the node closes idle connections, one without a request stays open for at least so many seconds:
+# its first request may be on the way.
 NEW_CONNECTION_GRACE_S = 0.25
-FIRST_REQUEST_TIMEOUT_S = 2.0  # seconds after which a connection that has asked nothing is closed
-REQUEST_TIMEOUT_S = 2.5  # seconds for a whole request, from the connection or from its first byte: 3 are owed
-WRITE_STALL_S = 5.0  # seconds without progress after which a caller that does not take its answers is cut off
+FIRST_REQUEST_TIMEOUT_S = 2.0  # seconds after which a connection that sent no request is closed
+# Seconds for a whole request, from the connection or from its first byte. An incomplete request must be
+# ended within 3 s.
+REQUEST_TIMEOUT_S = 2.5
+# Seconds without progress after which a caller that does not read its answers is disconnected.
+WRITE_STALL_S = 5.0
 REASONS = {
     200: "OK",
     400: "Bad Request",
@@ -51,7 +58,7 @@
 
 
 class Incoming:
-    """One whole request as it came."""
+    """One complete HTTP request as received."""
 
     __slots__ = (
         "method",
@@ -67,15 +74,15 @@
 
     def __init__(self) -> None:
         self.method, self.target, self.body, self.keep_alive = b"", b"", b"", True
-        self.accepts_chunked = True  # whether its sender knows chunks: HTTP/1.0 does not
-        self.received_at = 0  # when its last byte came, on the monotonic clock
+        self.accepts_chunked = True  # chunked transfer encoding; HTTP/1.0 clients do not know it
+        self.received_at = 0  # when its last byte arrived, in ns of the monotonic clock
         self.fields: dict[bytes, bytes] = {}
-        self.forwarded_fields: list[tuple[bytes, bytes]] = []  # fields that go on to the server
-        self.call: Call | None = None  # as the engine was given it
+        self.forwarded_fields: list[tuple[bytes, bytes]] = []  # header fields to forward to the server
+        self.call: Call | None = None  # as passed to the engine
 
 
 class CallerHost(Protocol):
-    """What a caller's connection needs of the node."""
+    """What a caller's connection needs from its node."""
 
     @property
     def keeps_connections(self) -> bool: ...
@@ -90,7 +97,7 @@
 
 
 class Caller(asyncio.Protocol):
-    """One caller's connection. It has one request in work; further ones on it wait their turn."""
+    """One caller's connection. It handles one request at a time; pipelined requests wait in a queue."""
 
     def __init__(self, table: Callers) -> None:
         self.table, self.host = table, table.host
@@ -98,24 +105,26 @@
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
         self.incoming = Incoming()
-        self.parsed_bytes = self.body_size = 0  # bytes of the request that is being read; those of its body
-        self.stream: Stream | None = None  # of the answer that is passed on as it comes
-        self.chunked = self.keeps_open = False  # how it goes on; whether the connection outlasts it
-        self.body = io.BytesIO()  # which gives what it holds without a copy
+        # Of the request being read: bytes of its head or of its framed body, and bytes of the body alone.
+        self.parsed_bytes = self.body_size = 0
+        self.stream: Stream | None = None  # rest of an answer that is streamed to the caller
+        # Of the streamed answer: its encoding, whether the connection is reused after it.
+        self.chunked = self.keeps_open = False
+        self.body = io.BytesIO()  # BytesIO gives out its content without a copy
         self.pipelined: deque[Incoming | Rejected] = deque()
-        self.unparsed = b""  # came, and is not parsed yet
+        self.unparsed = b""  # received, not given to the parser yet
         self.received_at = self.unsent_bytes = 0
         self.current: Incoming | None = None
-        self.request: Request | None = None  # the engine's, of the one in work
-        self.answered_count = 0  # requests answered
-        self.since = self.loop.time()  # when it connected, began its request, became idle or was closed
-        self.granted = MOST_BODY  # bytes of the body that may be read
-        self.held_body_bytes = 0  # bytes of long bodies that have come whole and are held
-        self.awaits_memory = False  # until there is room for its body
-        self.size_at_resume = 0  # bytes of the body that came before it was held up last
-        self.last_data_at = 0.0  # when bytes came last
+        self.request: Request | None = None  # the engine's record of `current`
+        self.answered_count = 0
+        self.since = self.loop.time()  # when it connected, began its request, became idle or began to close
+        self.granted = MOST_BODY  # bytes of the current body that may be read
+        self.held_body_bytes = 0  # bytes of complete long bodies still in memory
+        self.awaits_memory = False  # reading is paused until there is memory for the body
+        self.size_at_resume = 0  # bytes of the body that had arrived when reading last resumed
+        self.last_data_at = 0.0  # time of the last received bytes
         self.reading = self.head_complete = self.broken = self.write_paused = self.closing = False
-        self.over_limit = False  # over the node's number of callers: answered once, then closed
+        self.over_limit = False  # above the node's connection limit: answered once, then closed
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -151,24 +160,26 @@
         self._process_pending()
 
     def _parse(self) -> None:
-        """Danger: one read may hold hundreds of requests, and a field without end grows unseen."""
+        """Parses in slices: one read may hold hundreds of requests, and the parser does not bound a field."""
         while (
             self.unparsed
             and not self.broken
             and not self.awaits_memory
             and len(self.pipelined) < MAX_PIPELINED
         ):
-            framed = MAX_FRAMING_BYTES + FRAMING_PER_BODY_BYTE * self.body_size
-            room = (
-                min(framed - self.parsed_bytes, BODY_SLICE_BYTES)
+            max_bytes = MAX_FRAMING_BYTES + FRAMING_PER_BODY_BYTE * self.body_size
+            allowed = (
+                min(max_bytes - self.parsed_bytes, BODY_SLICE_BYTES)
                 if self.head_complete
                 else min(MAX_HEAD_BYTES - self.parsed_bytes, HEAD_SLICE_BYTES)
             )
-            part, self.unparsed = self.unparsed[:room], self.unparsed[room:]
+            part, self.unparsed = self.unparsed[:allowed], self.unparsed[allowed:]
             self.parsed_bytes += len(part)
             try:
-                if room <= 0:
-                    raise Rejected(413 if self.head_complete else 431, "a request without end")
+                if allowed <= 0:
+                    raise Rejected(
+                        413 if self.head_complete else 431, "request head or chunk framing too long"
+                    )
                 self.parser.feed_data(part)
             except Rejected as err:
                 self._stop_reading(err)
@@ -181,12 +192,12 @@
                 )
 
     def _stop_reading(self, err: Rejected) -> None:
-        """Nothing that comes behind a request that can't be taken is read."""
+        """Rejects the current request and ignores everything after it."""
         self.broken, self.reading, self.unparsed = True, False, b""
         self.host.on_rejected(self.incoming.fields, err)
         self.pipelined.append(err)
 
-    # What the parser calls ------------------------------------------------------------------
+    # Parser callbacks ------------------------------------------------------------------------
 
     def on_message_begin(self) -> None:
         self.incoming, self.parsed_bytes, self.body_size, self.size_at_resume, self.body = (
@@ -205,7 +216,7 @@
         self.incoming.target += part
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self.head_complete:  # danger: a trailer would change a request that has been checked
+        if self.head_complete:  # a trailer must not change a request that has been checked
             return
         lower, value = name.lower(), value.strip(b" \t")
         if lower == b"content-length" and (
@@ -213,7 +224,7 @@
         ):
             raise Rejected(413 if value.isdigit() else 400, f"Content-Length {value[:20]!r}")
         if lower in self.incoming.fields and lower.startswith((b"x-", b"idempotency-key")):
-            raise Rejected(400, "a header field is given twice")
+            raise Rejected(400, "duplicate header field")
         self.incoming.fields[lower] = value
         if lower not in NOT_FORWARDED:
             self.incoming.forwarded_fields.append((name, value))
@@ -231,16 +242,16 @@
     def on_body(self, part: bytes) -> None:
         self.body_size += len(part)
         if self.body_size > MAX_BODY_BYTES:
-            raise Rejected(413, "body too long")
+            raise Rejected(413, "request body too long")
         self.body.write(part)
         if self.body_size > self.granted:
             self._reserve_memory(self.body_size + GROWTH_STEP_BYTES)
 
     def _reserve_memory(self, size: int) -> None:
-        """Long bodies are read within one sum for all callers; danger: many at once would fill the memory."""
+        """Reserves memory for a long body within the limit for all callers: many at once would fill it."""
         if size > max(MOST_BODY, self.granted):
             if self.held_body_bytes + size > self.table.body_memory.hard_limit:
-                raise Rejected(413, "body too long for the memory that there is")
+                raise Rejected(413, "body exceeds the memory for request bodies")
             self.granted = size
             self.awaits_memory = not self.table.body_memory.reserve(
                 self, self.held_body_bytes + size, self.loop.time()
@@ -249,14 +260,14 @@
                 self.loop.call_soon(self.table.grant_memory)
 
     def on_memory_granted(self) -> None:
-        """There is room for its body now."""
+        """Called once memory for the body is available."""
         self.awaits_memory, self.since, self.size_at_resume = False, self.loop.time(), self.body_size
         self._process_pending()
 
     def on_memory_denied(self) -> None:
-        """Its body can't be held beside the others'; nothing of it was sent."""
+        """Rejects a body that can't be held in memory beside the others; no server has seen the request."""
         self.awaits_memory = False
-        self._stop_reading(Rejected(503, "no room for its body", self.host.busy_retry_after()))
+        self._stop_reading(Rejected(503, "no memory for the request body", self.host.busy_retry_after()))
         self._process_pending()
 
     def on_message_complete(self) -> None:
@@ -270,7 +281,7 @@
         self.pipelined.append(incoming)
 
     def _check_head(self, item: Incoming) -> None:
-        """Turns away by the head alone: nothing behind it need be read."""
+        """Rejects what the head alone rules out, so that the body need not be read."""
         path = item.target.split(b"?", 1)[0]
         if path == b"/api":
             if item.method not in (b"GET", b"POST"):
@@ -284,7 +295,7 @@
     # ------------------------------------------------------------------------------------------
 
     def _process_pending(self) -> None:
-        """Begins the requests that wait, one at a time; reads no further while one is in work."""
+        """Starts queued requests one at a time; parses no further while one is being handled."""
         transport = self.transport
         if transport is None:
             return
@@ -298,7 +309,7 @@
         if self.closing or transport.is_closing():
             return
         self.table.update_idle(self)
-        # Else it reads on, or it would not hear that the caller leaves.
+        # Read on while nothing is queued: otherwise a caller's disconnect would go unnoticed.
         if self.pipelined or self.unparsed or self.awaits_memory:
             if transport.is_reading():
                 transport.pause_reading()
@@ -317,11 +328,11 @@
                 self.host.handle_request(self, item)
         except Rejected as err:
             self._reject(err)
-        except Exception as err:  # danger: a fault of ours must not leave the caller unanswered
+        except Exception as err:  # an internal error must not leave the caller without an answer
             self._reject(Rejected(502, f"{type(err).__name__}: {err}"))
 
     def _reject(self, err: Rejected) -> None:
-        """Answers and closes: the same again must cost its sender a connection."""
+        """Answers and closes, so that repeating a bad request costs the client a new connection."""
         self.table.count_rejected(f"{err.status}: {err}")
         if self.current is None:
             self.current = Incoming()
@@ -330,7 +341,7 @@
 
     @property
     def has_pending(self) -> bool:
-        """Whether requests, or parts of one, have come that are not answered yet."""
+        """Whether requests, complete or partial, have arrived and are not answered yet."""
         return bool(self.pipelined or self.unparsed or self.reading)
 
     def _release_memory(self) -> None:
@@ -339,8 +350,9 @@
             self.table.release_memory(self)
 
     def answer(self, call: Call, answer: Answer) -> None:
-        """What the engine settled."""
-        if self.current is None or self.current.call is not call:  # danger: it must not meet another request
+        """Sends the engine's final answer."""
+        # The answer may belong to an earlier request of this connection.
+        if self.current is None or self.current.call is not call:
             if isinstance(answer, Served) and answer.rest is not None:
                 answer.rest.drop()
             return
@@ -354,7 +366,7 @@
             self.reply(502)
 
     def reply(self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after: int = 0) -> None:
-        """The one answer to the request in work."""
+        """Sends a complete answer to the current request."""
         item, transport = self.current, self.transport
         if item is None or transport is None or transport.is_closing():
             self._finish_reply(False)
@@ -372,13 +384,13 @@
         self._finish_reply(close)
 
     def _should_close(self, item: Incoming) -> bool:
-        # Danger: requests that have been read already would be dropped by a close.
+        # Closing would drop requests that have already been read.
         return not item.keep_alive or (
             (self.over_limit or not self.host.keeps_connections) and not self.has_pending
         )
 
     def _start_stream(self, answer: Served, stream: Stream) -> None:
-        """Begins an answer that is not whole yet; the rest goes on as it comes and as the caller takes it."""
+        """Starts an answer that is still arriving; the rest is forwarded at the pace of the slower side."""
         item, transport = self.current, self.transport
         if item is None or transport is None or transport.is_closing():
             stream.drop()
@@ -401,24 +413,24 @@
             stream.pause()
 
     def passed(self, data: bytes) -> None:
-        """A part of the answer that is passed on."""
+        """Forwards a part of the streamed answer."""
         if self.transport is not None and data:
             self.transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self.chunked else data)
 
     def ended(self, whole: bool) -> None:
-        """The answer that is passed on has come to its end."""
+        """Called when the streamed answer has ended; `whole` tells whether all of it arrived."""
         self.stream = None
         if self.transport is None:
             return
         if not whole:
-            self.transport.abort()  # the caller must see that it is not whole
+            self.transport.abort()  # the caller must be able to tell that the answer is incomplete
             return
         if self.chunked:
             self.transport.write(b"0\r\n\r\n")
         self._finish_reply(not self.keeps_open)
 
     def _finish_reply(self, close: bool) -> None:
-        """The request in work is answered to its last byte."""
+        """The current request has been answered in full."""
         self.current = self.request = None
         self.answered_count += 1
         self._release_memory()
@@ -438,7 +450,7 @@
             self.table.update_idle(self)
 
     def check_timeouts(self, now: float, stopping: bool) -> None:
-        """Danger: connections that say nothing, or half of it, or that do not read, would stay for good."""
+        """Ends connections that stay silent, stop within a request, or do not read their answers."""
         if self.transport is None:
             return
         elapsed = now - self.since
@@ -455,7 +467,7 @@
                 elapsed > REQUEST_TIMEOUT_S + (self.body_size - self.size_at_resume) / MIN_BODY_RATE
                 or now - self.last_data_at > BODY_STALL_S
             ):
-                self._stop_reading(Rejected(408, "half a request"))
+                self._stop_reading(Rejected(408, "incomplete request"))
                 self._process_pending()
         elif (stopping or not self.answered_count) and elapsed > (
             NEW_CONNECTION_GRACE_S if stopping else FIRST_REQUEST_TIMEOUT_S
@@ -467,7 +479,7 @@
             self.close()
 
     def _has_unread_bytes(self) -> bool:
-        """Danger: a close over a request that has come and is not read cuts its client off."""
+        """Closing a socket with an unread request in it would reset the client's connection."""
         if self.transport is None:
             return False
         poll = select.poll()
@@ -476,13 +488,20 @@
 
 
 class Callers:
-    """All callers' connections, bounded in number; those without a request in the order to close them."""
-
-    def __init__(self, host: CallerHost, most: int, hard: int, room: BodyMemory[Caller]) -> None:
-        self.host, self.max_connections, self.hard_limit, self.body_memory = host, most, hard, room
+    """All callers' connections up to a limit; tracks the idle ones in the order in which to close them."""
+
+    def __init__(
+        self, host: CallerHost, max_connections: int, hard_limit: int, body_memory: BodyMemory[Caller]
+    ) -> None:
+        self.host, self.max_connections, self.hard_limit, self.body_memory = (
+            host,
+            max_connections,
+            hard_limit,
+            body_memory,
+        )
         self.loop = asyncio.get_running_loop()
         self.all: dict[Caller, None] = {}
-        # Never asked, asked once, asked more; the one idle for longest first.
+        # Idle connections with no, one, and more requests answered; the longest idle first.
         self.idle: tuple[dict[Caller, None], ...] = ({}, {}, {})
         self.rejected_count, self.last_error, self.logged_at = 0, "", -1.0
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
@@ -495,12 +514,12 @@
                 closed.close()
             caller.over_limit = closed is None
             if len(self.all) > self.hard_limit and caller.transport is not None:
-                caller.transport.abort()  # danger: without descriptors nothing could be sent for anyone
+                caller.transport.abort()  # out of descriptors, the node could not send for any caller
                 return
         self.update_idle(caller)
 
     def update_idle(self, caller: Caller) -> None:
-        """Files a caller by what it does now."""
+        """Adds the connection to the idle group that it belongs to, or removes it from all."""
         self._remove_idle(caller)
         if caller.current is not None or caller.has_pending or caller.closing or caller.broken:
             return
@@ -519,12 +538,12 @@
         self.host.on_caller_lost(caller)
 
     def release_memory(self, caller: Caller) -> None:
-        """Its long bodies are held no more; others may read on."""
+        """Releases the memory of its long bodies; others may continue."""
         self.body_memory.release(caller)
         self.grant_memory()
 
     def grant_memory(self) -> None:
-        """Lets those read on for whose bodies there is room."""
+        """Resumes the connections for whose bodies there is memory now."""
         if self.body_memory.waiting:
             granted = self.body_memory.grant_waiting(self.loop.time())
             for caller in granted:
@@ -533,18 +552,18 @@
                 self.loop.call_soon(stuck.on_memory_denied)
 
     def pending_count(self) -> int:
-        """Whole requests that have come and are not answered to the end."""
+        """Complete requests that have arrived and are not fully answered."""
         return sum((caller.current is not None) + len(caller.pipelined) for caller in self.all)
 
     def count_rejected(self, text: str) -> None:
-        """Danger: a line for each would let bad clients fill the log."""
+        """Logs at most one line a second, so that bad clients can't flood the log."""
         self.rejected_count += 1
         self.last_error = text
         self._log_rejected()
 
     def _log_rejected(self) -> None:
         if self.rejected_count and self.loop.time() >= self.logged_at + 1.0:
-            self.host.log(f"turned away {self.rejected_count} requests, the last with {self.last_error}")
+            self.host.log(f"rejected {self.rejected_count} requests, the last with {self.last_error}")
             self.rejected_count, self.logged_at = 0, self.loop.time()
 
     def _check_all(self) -> None:
--- a/minthitch/net/discovery.py
+++ b/minthitch/net/discovery.py
@@ -1,4 +1,8 @@
-"""Discovery over HTTP/1.1: the list of servers and its watch, as the engine's source of lists."""
+"""Service discovery over HTTP/1.1: fetches the server list and watches it, as the engine's source of lists.
+
+Discovery either pushes every change (push mode) or sends lists only on request (on-demand mode, the setting
+`ask_for_list`).
+"""
 
 from __future__ import annotations
 
@@ -13,16 +17,17 @@
 from minthitch.interface import SECOND, ListKind
 from minthitch.listing import ListError, Listing, decode, parse_address
 
-RETRIES_PER_GRACE = 6  # where lists are pushed, calls begin so often within the grace of a drain,
-MIN_RETRY_S, MAX_RETRY_S = 0.05, 0.25  # but at least and at most so many seconds apart
+RETRIES_PER_GRACE = 6  # in push mode, calls are started this often within a drain's grace period,
+MIN_RETRY_S, MAX_RETRY_S = 0.05, 0.25  # but no closer together and no further apart than this
 MAX_LINE_BYTES = 8 * 1024 * 1024
-WATCH_SILENCE_S = 3.5  # seconds after which a watch is dead: an empty line is due every 2 s
-FETCH_TIMEOUT_S = 5.0  # a call for the list takes no longer
-HEAD_TIMEOUT_S = 2.0  # nor do a connection to discovery and the head of an answer where lists are pushed
+# Seconds without data after which a watch is dead; discovery sends an empty line every 2 s.
+WATCH_SILENCE_S = 3.5
+FETCH_TIMEOUT_S = 5.0  # time for fetching the list
+HEAD_TIMEOUT_S = 2.0  # push mode: time for connecting and for the head of the response
 
 
 class DiscoveryCall(asyncio.Protocol):
-    """One GET to discovery: a whole answer, or a watch that gives a line at a time."""
+    """One GET to discovery: either a complete response, or a watch that delivers one line at a time."""
 
     def __init__(self, target: str, authority: str, on_line: Callable[[bytes], None] | None) -> None:
         self.request = f"GET {target} HTTP/1.1\r\nHost: {authority}\r\n\r\n".encode()
@@ -44,7 +49,7 @@
             self.parser.feed_data(data)
         except httptools.HttpParserError as err:
             cause = err.__context__ or err
-            self._fail(cause if isinstance(cause, ListError) else ListError(f"bad answer: {err}"))
+            self._fail(cause if isinstance(cause, ListError) else ListError(f"malformed response: {err}"))
 
     def on_headers_complete(self) -> None:
         if not self.head.done():
@@ -67,13 +72,13 @@
             self.ended.set_result(bytes(self.buffer))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._fail(ListError(f"the connection ended ({exc or 'closed'})"))
+        self._fail(ListError(f"connection lost ({exc or 'closed'})"))
 
     def _fail(self, err: ListError) -> None:
         for future in (self.head, self.ended):
             if not future.done():
                 future.set_exception(err)
-                future.exception()  # read here: nobody may be waiting for it any more
+                future.exception()  # marks it as retrieved: nobody may be waiting for it any more
         if self.transport is not None:
             self.transport.abort()
 
@@ -81,7 +86,8 @@
 class Client:
     """Calls discovery at one address.
 
-    A call without an answer after `again` seconds gets others beside it, one at a time; None: none.
+    A call without a response after `hedge_after_s` seconds gets a second one beside it, which is replaced
+    each further `hedge_after_s` seconds; None: no second call.
     """
 
     def __init__(
@@ -89,30 +95,31 @@
     ) -> None:
         self.authority, self.head_timeout, self.hedge_after_s = address, head_timeout, hedge_after_s
         self.host, self.port = parse_address(address)
-        self.call: DiscoveryCall | None = None  # the watch that is open, or was last
+        self.call: DiscoveryCall | None = None  # the current or the last watch
 
     async def _open(self, target: str, on_line: Callable[[bytes], None] | None) -> DiscoveryCall:
-        """A call that is answered with 200; its head has come. Raises ListError.
+        """Returns a call whose head has arrived with status 200. Raises ListError.
 
-        Danger: a call that meets silence may stay unanswered when discovery speaks again, and what it tells
-        from then on counts. The first is waited for all the same, for a discovery that is slow.
+        A call sent while discovery was unresponsive may stay unanswered after it recovers, and changes count
+        as announced from then on: hence the second call. The first call stays open in case discovery is only
+        slow.
         """
         loop = asyncio.get_running_loop()
-        begun = [loop.create_task(self._call(target, on_line))]
+        calls = [loop.create_task(self._call(target, on_line))]
         try:
             while True:
                 done, _ = await asyncio.wait(
-                    begun, timeout=self.hedge_after_s, return_when=asyncio.FIRST_COMPLETED
+                    calls, timeout=self.hedge_after_s, return_when=asyncio.FIRST_COMPLETED
                 )
                 if done:
-                    answered = done.pop()
-                    begun.remove(answered)
-                    return answered.result()
-                if len(begun) > 1:
-                    _discard(begun.pop())
-                begun.append(loop.create_task(self._call(target, on_line)))
+                    first = done.pop()
+                    calls.remove(first)
+                    return first.result()
+                if len(calls) > 1:
+                    _discard(calls.pop())
+                calls.append(loop.create_task(self._call(target, on_line)))
         finally:
-            for task in begun:
+            for task in calls:
                 _discard(task)
 
     async def _call(self, target: str, on_line: Callable[[bytes], None] | None) -> DiscoveryCall:
@@ -124,28 +131,28 @@
             if status != 200:
                 raise ListError(f"answered {status}")
         except (OSError, TimeoutError) as err:
-            call._fail(ListError("no answer"))
-            raise ListError(f"no answer ({type(err).__name__})") from None
+            call._fail(ListError("no response"))
+            raise ListError(f"no response ({type(err).__name__})") from None
         except BaseException:
-            call._fail(ListError("given up"))
+            call._fail(ListError("call cancelled"))
             raise
         return call
 
     async def fetch(self) -> Listing:
-        """The whole list."""
+        """Fetches the complete list."""
         call = await self._open("/v1/endpoints", None)
         try:
             async with asyncio.timeout(FETCH_TIMEOUT_S):
                 return decode(await call.ended)
         except TimeoutError:
-            raise ListError("no answer (TimeoutError)") from None
+            raise ListError("no response (TimeoutError)") from None
         finally:
             call._fail(ListError("done"))
 
     async def watch(self, after: int, on_listing: Callable[[Listing], None]) -> None:
-        """Gives each change to `on_listing` until the watch ends.
+        """Passes each change to `on_listing` until the watch ends.
 
-        Danger: a connection that has fallen silent tells of no drain, and nothing else ends it.
+        A silent connection is given up: it would not report a drain, and nothing else would end it.
         """
         call = await self._open(f"/v1/endpoints?watch=1&after={after}", lambda line: on_listing(decode(line)))
         self.call = call
@@ -153,7 +160,7 @@
         try:
             while not call.ended.done():
                 if (remaining := call.last_data_at + WATCH_SILENCE_S - loop.time()) <= 0:
-                    raise ListError("the watch fell silent")
+                    raise ListError("the watch sent nothing for too long")
                 await asyncio.wait([call.ended], timeout=remaining)
             await call.ended
         finally:
@@ -161,30 +168,29 @@
 
 
 def _discard(task: asyncio.Task[DiscoveryCall]) -> None:
-    """Danger: one that was answered in the same moment would stay open."""
+    """Cancels a call, or closes it if it was answered at the same moment and would stay open."""
     if not task.cancel() and not task.cancelled() and task.exception() is None:
-        task.result()._fail(ListError("another was answered first"))
+        task.result()._fail(ListError("another call was answered first"))
 
 
 class Discovery:
-    """Keeps an engine's list by a watch; where lists are asked for, the Balancer says when."""
+    """Keeps the engine's server list up to date. In on-demand mode the Balancer decides when to subscribe."""
 
     def __init__(self, address: str, engine: Engine, seed: int) -> None:
         self.engine, self.on_demand = engine, engine.settings.ask_for_list
         self.loop = asyncio.get_running_loop()
         self.random = random.Random(seed)
         grace = engine.settings.drain_grace / SECOND
-        self.retry_interval_s = min(
-            max(grace / RETRIES_PER_GRACE, MIN_RETRY_S), MAX_RETRY_S
-        )  # seconds; where lists are pushed
+        self.retry_interval_s = min(max(grace / RETRIES_PER_GRACE, MIN_RETRY_S), MAX_RETRY_S)  # in push mode
         self.client = self._client(address)
-        self.seq = 0  # of the last list or change heard
-        self.last_error = ""  # what was said last of a watch that failed, and no list has come since
+        # Sequence number of the last list or change received; 0 means that a full list is needed.
+        self.seq = 0
+        self.last_error = ""  # last logged failure of the watch, if no list has arrived since
         self.tasks: set[asyncio.Task[None]] = set()
         self.watch_task: asyncio.Task[None] | None = None
 
     def _client(self, address: str) -> Client:
-        # Where lists are asked for, it is one service for all nodes, with a queue: one call at a time.
+        # On-demand discovery is one service for all nodes, with a queue, so calls are made one at a time.
         return (
             Client(address, FETCH_TIMEOUT_S)
             if self.on_demand
@@ -192,22 +198,22 @@
         )
 
     def start(self) -> None:
-        """Pushed lists are watched from the start; else the Balancer subscribes."""
+        """In push mode starts the watch at once; in on-demand mode waits for the Balancer to subscribe."""
         self.seq = self.engine.fleet.seq
         if not self.on_demand and self.watch_task is None:
             self._start_watch()
 
     def change_address(self, address: str) -> None:
-        """Takes another discovery; the old list stays until the new one comes."""
+        """Switches to another discovery address; the old list stays in use until the new one arrives."""
         self.client = self._client(address)
-        self.seq = 0  # danger: another discovery counts for itself
+        self.seq = 0  # another discovery has its own numbering
         if self.watch_task is not None:
             self.watch_task.cancel()
         self._start_watch()
 
     @property
     def last_heard_at(self) -> float:
-        """When the watch last said something, in the loop's seconds; 0 for never."""
+        """When the watch last received data, in the loop's seconds; 0 for never."""
         return self.client.call.last_data_at if self.seq and self.client.call is not None else 0.0
 
     def subscribe(self) -> None:
@@ -234,33 +240,32 @@
     def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and (err := task.exception()) is not None:
-            self.engine.log_error("a task failed", err)
+            self.engine.log_error("discovery task failed", err)
 
     async def _keep_watching(self) -> None:
-        """Push: the list comes unasked, over a watch that is opened again whenever it ends.
+        """Push mode: reopens the watch whenever it ends.
 
-        Danger: what discovery has counts as told whether or not a watch is open: a pause that grows is taken
-        from the grace of a drain.
+        A drain's grace period runs from when discovery knows of it, whether or not a watch is open. So the
+        pause between attempts doesn't grow: it would use up the grace period.
         """
         while True:
             await self._watch()
-            await asyncio.sleep(
-                self.retry_interval_s * self.random.uniform(0.5, 1.0)
-            )  # or all nodes would come at once
+            # Randomized, or all nodes would reconnect at once.
+            await asyncio.sleep(self.retry_interval_s * self.random.uniform(0.5, 1.0))
 
     async def _watch(self) -> None:
         client = self.client
         try:
-            if not self.seq:  # in full: what a watch tells first may leave out what is gone
+            if not self.seq:  # a full list: the first line of a watch may leave out removed servers
                 self._on_listing(await client.fetch())
             await client.watch(self.seq, self._on_listing)
         except ListError as err:
-            if str(err) != self.last_error:  # danger: while discovery is down the same would fill the log
+            if str(err) != self.last_error:  # while discovery is down the same error would fill the log
                 self.engine.log(f"watch: {err}")
             self.last_error = str(err)
 
     async def _watch_once(self) -> None:
-        """Ask: the Balancer decides when to subscribe again."""
+        """On-demand mode: one watch; the Balancer decides when to subscribe again."""
         await self._watch()
         self.watch_task = None
         self.engine.list_failed()
--- a/minthitch/net/eviction.py
+++ b/minthitch/net/eviction.py
@@ -1,12 +1,13 @@
-"""Which connection without a request goes when there are too many. No I/O; times are given in, in seconds."""
+"""Which idle connection to close when there are too many. Pure logic: no I/O; times are in seconds."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from typing import Protocol, TypeVar
 
-FIRST_REQUEST_GRACE_S = 0.5  # seconds in which a new connection's first request is still to be expected
-REUSE_GRACE_S = 1.0  # seconds after which one that has asked once is not about to ask again
+FIRST_REQUEST_GRACE_S = 0.5  # seconds for which the first request of a new connection is still expected
+# Seconds after which a connection with one answered request is not expected to send another.
+REUSE_GRACE_S = 1.0
 
 
 class IdleConnection(Protocol):
@@ -19,15 +20,17 @@
 def select_victim(
     never: Iterable[ConnectionT], once: Iterable[ConnectionT], often: Iterable[ConnectionT], now: float
 ) -> ConnectionT | None:
-    """The one to close; None if all are in use. Each group has asked so often, the longest idle first.
+    """Returns the connection to close, or None if all are in use.
 
-    Danger: by age alone hundreds that say nothing push out the usual clients; new ones first, in a crowd
-    each new client would be closed by the next one, before its request has come.
+    The groups hold the idle connections with no, one, and more requests answered, the longest idle first.
+    Evicting by idle time alone would let hundreds of silent connections push out regular clients. Evicting
+    new connections first would, under load, close each new client by the next one before its request has
+    arrived.
     """
     silent = next(iter(never), None)
     if silent is not None and now - silent.since > FIRST_REQUEST_GRACE_S:
         return silent
-    reused = next(iter(once), None)
-    if reused is not None and now - reused.since > REUSE_GRACE_S:
-        return reused
+    used_once = next(iter(once), None)
+    if used_once is not None and now - used_once.since > REUSE_GRACE_S:
+        return used_once
     return next((connection for group in (never, once, often) for connection in group), None)
--- a/minthitch/net/handover.py
+++ b/minthitch/net/handover.py
@@ -1,8 +1,8 @@
-"""Two processes of one node at one address: each knows of the other by a socket in a shared folder.
+"""Handover between two processes of one node at one address, over a Unix socket in a shared folder.
 
-The new process connects to the old one's socket, puts its own in that place, and says when it listens. The
-old one says what it has learned, at once and as it ends. A connection that ends tells that the other process
-has ended. Each line is a word and, behind it, JSON.
+The new process connects to the old one's socket, puts its own socket in its place, and tells the old one when
+it listens. The old one sends what it has learned, on connection and again when it shuts down. A connection
+that ends means that the other process has ended. Each line is a keyword, optionally followed by JSON.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from typing import Any, cast
 
 READY, LEARNED, FINAL = b"ready", b"learned", b"last"
-MAX_LINE_BYTES = 8 * 1024 * 1024  # bytes
-CONNECT_TIMEOUT_S = 0.5  # seconds for a process that may be there
-MAX_PATH_BYTES = 100  # bytes: longer paths can't be bound
+MAX_LINE_BYTES = 8 * 1024 * 1024
+CONNECT_TIMEOUT_S = 0.5  # seconds for connecting to a process that may be there
+MAX_PATH_BYTES = 100  # longer paths can't be bound as Unix sockets
 
 
 class _Peer(asyncio.Protocol):
-    """Either end of the connection between the two."""
+    """Either end of the connection between the two processes."""
 
     def __init__(
         self, on_line: Callable[[_Peer, bytes], None], on_lost: Callable[[_Peer], None], greeting: bytes = b""
@@ -50,9 +50,11 @@
 
 
 class Handover:
-    """Whether such processes are there; `changed` is called as that changes.
+    """Tracks the process that this one replaces and the one that replaces it.
 
-    `learned` gives what this process knows, `recall` takes what the one before did and whether it ends.
+    `on_change` is called when one of them appears or disappears.
+    `learned` returns what this process knows. `recall` takes what the previous process knew, and whether
+    that process is shutting down.
     """
 
     def __init__(
@@ -68,8 +70,8 @@
         self.path = os.path.join(folder, f"minthitch-{address}.sock")
         self.on_change, self.log = on_change, log
         self.loop = asyncio.get_running_loop()
-        self.predecessor: _Peer | None = None  # leads to the process that this one replaces
-        self.successor: _Peer | None = None  # the one that replaces this process
+        self.predecessor: _Peer | None = None  # connection to the process that this one replaces
+        self.successor: _Peer | None = None  # connection to the process that replaces this one
         self.server: asyncio.AbstractServer | None = None
 
     @property
@@ -81,9 +83,9 @@
         return self.successor is not None
 
     async def start(self) -> None:
-        """Finds the process before, and can be found. Without a folder that can be used it does neither."""
+        """Connects to the previous process and accepts a next one; needs a usable folder for either."""
         if len(os.fsencode(self.path)) > MAX_PATH_BYTES:
-            self.log(f"replacing this process is not prepared: the path {self.path!r} is too long")
+            self.log(f"handover is not available: the path {self.path!r} is too long")
             return
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
@@ -91,7 +93,7 @@
                     lambda: _Peer(self._on_predecessor_line, self._on_lost), self.path
                 )
         except (OSError, TimeoutError):
-            self.predecessor = None  # the first process, or the one before has died
+            self.predecessor = None  # this is the first process, or the previous one has died
         own_path = f"{self.path}.{os.getpid()}"
         try:
             self.server = await self.loop.create_unix_server(
@@ -99,15 +101,15 @@
             )
             os.rename(own_path, self.path)
         except OSError as err:
-            self.log(f"replacing this process is not prepared: {err}")
+            self.log(f"handover is not available: {err}")
 
-    def listening(self) -> None:
-        """Tells the process before that this one takes clients."""
+    def announce_ready(self) -> None:
+        """Tells the previous process that this one accepts clients."""
         if self.predecessor is not None:
             self.predecessor.send(READY)
 
     def hand_over(self) -> None:
-        """Tells the process behind that this one ends, and what it knows last."""
+        """Tells the next process that this one shuts down, and what it has learned up to now."""
         if self.successor is not None:
             self.successor.send(self._line(FINAL))
 
@@ -126,7 +128,7 @@
         try:
             table = json.loads(text)
         except (ValueError, RecursionError) as err:
-            self.log(f"what the process before has learned can't be read: {err}")
+            self.log(f"cannot read the state of the previous process: {err}")
             return
         if isinstance(table, dict) and table:
             self.recall(table, word == FINAL)
--- a/minthitch/net/node.py
+++ b/minthitch/net/node.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 node: one engine between callers, the pool and a source of lists, and the program's life."""
+"""The HTTP/1.1 node: an engine between callers, servers and a source of lists, and the node's life cycle."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 from minthitch.net.lifecycle import ANSWER_TIMEOUT_S, Lifecycle, State
 from minthitch.net.pool import Pool
 
-# descriptors for the listener, the watch, files, staff and callers to be turned away
+# Descriptors for the listener, the watch, files, administration and callers that are rejected.
 RESERVED_DESCRIPTORS = 48
-SHUTDOWN_CHECK_S = 0.1  # seconds between two looks at the door while the process ends
+SHUTDOWN_CHECK_S = 0.1  # seconds between two checks of the shutdown's progress
 BACKLOG = 512
-BASE_MEMORY_BYTES = 32 * 1024 * 1024  # bytes that the process holds without long bodies, with some to spare
-SEND_BUFFER_BYTES = 64 * 1024  # bytes that the system holds for each caller, before it doubles them
+BASE_MEMORY_BYTES = 32 * 1024 * 1024  # memory of the process without long bodies, with a margin
+SEND_BUFFER_BYTES = 64 * 1024  # send buffer for each caller; the kernel doubles it
 MIN_BODY_MEMORY_BYTES = 2 * 1024 * 1024
 
 
 def memory_for_bodies(memory: int) -> BodyMemory[Caller]:
-    """Room for long bodies of requests, within `memory` bytes for the whole process."""
+    """A budget for long request bodies that keeps the whole process within `memory` bytes."""
     on_caller_lost = memory - BASE_MEMORY_BYTES
     return BodyMemory(
         max(on_caller_lost // 2, MIN_BODY_MEMORY_BYTES), max(on_caller_lost, 2 * MIN_BODY_MEMORY_BYTES)
@@ -42,7 +42,7 @@
 
 
 class Node:
-    """Listens for HTTP/1.1 callers at `config.listen`. Lives on the running loop."""
+    """Listens for HTTP/1.1 callers at `config.listen`. Must be created on the running loop."""
 
     def __init__(self, config: Config, decider: Decider | None = None) -> None:
         self.config, self.settings = config, config.settings
@@ -62,14 +62,14 @@
             self.discovery = Discovery(config.discovery, self.engine, config.seed ^ 1)
         self.engine.source = self.discovery or StaticSource(config.known, self.engine.listed)
         self.listening = False
-        self.ready_condition: Callable[[], bool] = lambda: True  # what else has to hold before it is ready
+        self.ready_condition: Callable[[], bool] = lambda: True  # further condition for being ready
         self.listener: asyncio.Server | None = None
         self.finished = asyncio.Event()
 
-    # Start and end ------------------------------------------------------------------------------
+    # Start and shutdown -------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Takes the known list, watches discovery and listens. Raises OSError."""
+        """Loads the configured list, watches discovery and listens. Raises OSError."""
         self.engine.listed(self.config.known, api.ListKind.CACHED)
         if self.discovery is not None:
             self.discovery.start()
@@ -85,18 +85,18 @@
             )
             await self.handover.start()
             self._divide_sockets()
-        # Two processes may listen at the address: one replaces the other while both serve.
+        # Two processes may listen at the address, while one replaces the other.
         self.listener = await self.loop.create_server(
             lambda: Caller(self.callers), host, port, backlog=BACKLOG, reuse_port=True
         )
-        # Danger: what the system holds for a caller that reads slowly hides for minutes that it does.
+        # A large send buffer would hide for minutes that a caller reads slowly.
         self.listener.sockets[0].setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
         self.listening = True
         if self.handover is not None:
-            self.handover.listening()
+            self.handover.announce_ready()
 
     def _divide_sockets(self) -> None:
-        """Danger: the limits count both processes together, so that each keeps to half of the descriptors."""
+        """Adapts the limits: while two processes serve, each may use half of the descriptors."""
         has_other_process = self.handover is not None and (
             self.handover.has_predecessor or self.handover.has_successor
         )
@@ -111,20 +111,20 @@
             self.lifecycle.replaced = self.handover.has_successor
 
     def reload(self, config: Config) -> None:
-        """Takes the new discovery, or the new static list; all else belongs to the process."""
+        """Takes over the new discovery address or the new static list; other settings need a restart."""
         if self.discovery is None or not config.discovery:
             self._reload_list(config)
             return
-        self.log(f"configuration read again: discovery is {config.discovery}")
+        self.log(f"configuration reloaded: discovery is {config.discovery}")
         self.discovery.change_address(config.discovery)
 
     def _reload_list(self, config: Config) -> None:
         if self.discovery is not None or config.discovery:
-            self.log("configuration read again: a change between discovery and a static list needs a restart")
+            self.log("configuration reloaded: a change between discovery and a static list needs a restart")
             return
         self.engine.source = StaticSource(config.known, self.engine.listed)
         self.engine.listed(config.known, api.ListKind.FULL)
-        self.log(f"configuration read again: {len(config.known.hosts)} servers")
+        self.log(f"configuration reloaded: {len(config.known.hosts)} servers")
 
     @property
     def port(self) -> int:
@@ -132,7 +132,7 @@
         return int(self.listener.sockets[0].getsockname()[1])
 
     def list_confirmed_at(self) -> int:
-        """When the list was last known to be true, in the clock's ns; 0 for never. A static one always is."""
+        """When the list was last confirmed, in the clock's ns; 0 for never. For a static list: now."""
         now = self.engine.clock.now()
         if self.discovery is None:
             return now
@@ -140,7 +140,7 @@
         return now - int((self.loop.time() - heard) * api.SECOND) if heard else 0
 
     def drain(self) -> None:
-        """SIGTERM: what has come, and still comes for a while, is answered; then the node ends."""
+        """SIGTERM: answers what has arrived and what arrives for a while, then ends the node."""
         if self.lifecycle.state is not State.ENDING:
             if self.handover is not None:
                 self.handover.hand_over()
@@ -158,7 +158,7 @@
         self.loop.call_later(SHUTDOWN_CHECK_S, self._poll_shutdown)
 
     async def _stop_accepting(self) -> None:
-        """Danger: connections in the queue of a listener that closes are cut off; they are taken first."""
+        """Accepts the connections in the listener's queue, which closing the listener would reset."""
         if self.listener is None:
             return
         queue = socket.socket(fileno=os.dup(self.listener.sockets[0].fileno()))
@@ -179,10 +179,10 @@
         if ending and not self.listening and gone and not self.engine.open:
             self.finished.set()
 
-    # What staff ask -----------------------------------------------------------------------------
+    # For administration -------------------------------------------------------------------------
 
     def send_away(self) -> str:
-        """Empties the node of clients; the process stays. Gives why not, or ""."""
+        """Sends clients to other nodes; the process stays. Returns why it is not possible, or ""."""
         return self.lifecycle.send_away(self.loop.time())
 
     def take_back(self) -> str:
@@ -207,31 +207,31 @@
         if self.handover is not None:
             self.handover.close()
 
-    # What callers' connections need -------------------------------------------------------------
+    # CallerHost ---------------------------------------------------------------------------------
 
     def ready(self) -> bool:
         return self.listening and self.engine.have_list and self.lifecycle.is_open and self.ready_condition()
 
     def busy_retry_after(self) -> int:
-        """When one that found no room may come back, in ns."""
+        """When a caller that was rejected for lack of memory may retry, in ns."""
         return pause_when_full(self.settings, self.settings.classes[0], self.engine.random)
 
     @property
     def keeps_connections(self) -> bool:
-        """Whether callers' connections outlast their answers."""
+        """Whether callers' connections stay open after an answer."""
         return not self.lifecycle.closes_after_answer(self.loop.time())
 
     def keeps_idle(self) -> bool:
         return self.lifecycle.keeps_idle(self.loop.time())
 
     def on_rejected(self, fields: Mapping[bytes, bytes], err: Rejected) -> None:
-        """Counts one that never reached the engine, where it tells its class."""
+        """Counts a request that never reached the engine, if its class is known."""
         cls = self.reader.classes.get(fields.get(b"x-service-class", b""))
         if cls is not None:
             self.engine.counts.rejected(cls, err)
 
     def check(self, item: Incoming) -> None:
-        """Turns away what no server could use, by its head."""
+        """Rejects by its head what no server could serve."""
         self.reader.check(item.method, item.fields)
 
     def handle_request(self, caller: Caller, item: Incoming) -> None:
@@ -241,7 +241,7 @@
         try:
             request = self.engine.admit(caller, item.call, full=caller.over_limit)
         except Rejected:
-            item.call = None  # danger: an answer to the open request of that id is not this one's
+            item.call = None  # an answer to the open request with the same id must not go to this one
             raise
         if not request.over:
             caller.request = request
--- a/minthitch/net/pool.py
+++ b/minthitch/net/pool.py
@@ -1,6 +1,6 @@
-"""Servers: the pool of kept connections, and the life of one attempt to an exact outcome.
+"""The pool of connections to servers; carries each attempt to exactly one outcome.
 
-Nothing is ever sent twice here: each attempt is written once, to one connection, or not at all.
+Nothing is retried here: each attempt is written once, to one connection, or not at all.
 """
 
 from __future__ import annotations
@@ -20,28 +20,32 @@
 from minthitch.engine.fleet import Server
 from minthitch.engine.stream import Stream
 
-MAX_BUFFERED_BODY_BYTES = 1024 * 1024  # bytes of an answer that must be whole before it is told
-MAX_BODY_BYTES = 64 * 1024 * 1024  # bytes of one that is passed on as it comes; 32 MB are stated
-# bytes over which it is; up to there an answer that breaks is tried again elsewhere
+MAX_BUFFERED_BODY_BYTES = 1024 * 1024  # bytes of an answer that must be complete before it is reported
+MAX_BODY_BYTES = 64 * 1024 * 1024  # bytes of an answer that is streamed; 32 MB are specified
+# Answers with more bytes are streamed; up to here, a broken answer can be retried on another server.
 STREAM_THRESHOLD_BYTES = 64 * 1024
-RECEIVE_BUFFER_BYTES = 64 * 1024  # bytes that the system holds of such an answer, before it doubles them
-FRAMING_PER_BODY_BYTE = 8  # bytes of framing allowed for each byte of a body: it may be a chunk of its own
-MAX_BUFFERED_BYTES = 12 * 1024 * 1024  # bytes of all unfinished answers together: memory may be 32 MB
-MAX_HEAD_BYTES = 32 * 1024  # bytes in front of an answer's body, 1xx answers ahead of it included
-MAX_FRAMING_BYTES = 128 * 1024  # bytes of an answer that are not its body: head, chunk framing, trailers
-MAX_COPY_BYTES = 64 * 1024  # bytes of a request's body up to which one write with a copy beats two writes
+RECEIVE_BUFFER_BYTES = 64 * 1024  # receive buffer for a streamed answer, in bytes; the kernel doubles it
+FRAMING_PER_BODY_BYTE = 8  # framing allowed for each byte of a body, since each may be a chunk of its own
+# Bytes of all incomplete answers together; the process may have only 32 MB of memory.
+MAX_BUFFERED_BYTES = 12 * 1024 * 1024
+MAX_HEAD_BYTES = 32 * 1024  # bytes before an answer's body, including 1xx answers before it
+MAX_FRAMING_BYTES = 128 * 1024  # bytes of an answer that are not body: head, chunk framing, trailers
+# Up to this size of a request's body, one write with a copy is faster than two writes.
+MAX_COPY_BYTES = 64 * 1024
 LOCAL_RESOURCE_ERRORS = frozenset(
     (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 )
-STREAM_STALL_S = 15.0  # seconds without a byte after which the rest of an answer will not come
-SWEEP_INTERVAL_S = 2.0  # seconds between two looks at what is kept and what is passed on, at most
-IDLE_FRACTION = 0.5  # part of the servers' idle limit after which a kept connection is dropped
-STALE_RESET_NS = 50 * api.MILLISECOND  # a kept connection that breaks so soon was dead when it was used
-# seconds after such a break in which what may not be repeated goes out on young connections
+STREAM_STALL_S = 15.0  # seconds without data after which a streamed answer is given up
+SWEEP_INTERVAL_S = 2.0  # longest pause, in seconds, between two checks of idle connections and streams
+IDLE_FRACTION = 0.5  # share of the servers' idle timeout after which an idle connection is closed
+# A reused connection that breaks this soon was already dead when it was used.
+STALE_RESET_NS = 50 * api.MILLISECOND
+# Seconds after such a break for which requests that must not be repeated use only fresh connections.
 STALE_AVOID_S = 30.0
-FRESH_IDLE_S = 0.05  # seconds idle up to which a kept connection is as good as new (3489581c: 1 in 70 dead)
+# Connections idle for no longer than this count as fresh (run 3489581c: 1 in 70 was dead).
+FRESH_IDLE_S = 0.05
 HOP_BY_HOP = frozenset(
-    (  # fields of an answer that belong to its connection
+    (  # header fields that concern one connection only
         b"connection",
         b"keep-alive",
         b"proxy-connection",
@@ -51,11 +55,11 @@
         b"upgrade",
     )
 )
-DEFAULT_IDLE_NS = 15 * api.SECOND  # where the settings state no idle limit
+DEFAULT_IDLE_NS = 15 * api.SECOND  # if the settings state no idle timeout
 
 
 def request_head(attempt: Attempt) -> bytes:
-    """The head of a request as it goes out, with the time that it has left now."""
+    """The head of a request as sent, with the time that it has left now."""
     message = attempt.message
     head = [b"%s %s HTTP/1.1\r\n" % (message.method, message.target)]
     head += [b"%s: %s\r\n" % field for field in message.fields]
@@ -74,11 +78,10 @@
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpResponseParser(self)
         self.written = self.reused = False
-        self.last_used_at = 0.0  # loop time at which it became idle, or heard something last
-        self.buffered_bytes = self.body_bytes = (
-            0  # bytes of the body so far: those counted in the pool's sum, and all
-        )
-        self.stream: Stream | None = None  # of the answer that is passed on as it comes
+        self.last_used_at = 0.0  # loop time at which it became idle or last received data
+        # Bytes of the current body: counted in the pool's buffered_bytes, and received in all.
+        self.buffered_bytes = self.body_bytes = 0
+        self.stream: Stream | None = None  # rest of an answer that is streamed to the caller
         self._reset()
 
     def _reset(self) -> None:
@@ -94,16 +97,15 @@
     def _start_answer(self) -> None:
         self.unprocessed = self.keeps_open = False
         self.status, self.body = 0, b""
-        self.length: int | None = None  # of the body, where it is stated
-        self.framed = self.close_announced = self.ends_with_connection = (
-            False  # whether the end of the connection ends the body
-        )
+        self.length: int | None = None  # Content-Length of the answer, if given
+        # ends_with_connection: the end of the connection delimits the body.
+        self.framed = self.close_announced = self.ends_with_connection = False
         self.fields: list[tuple[bytes, bytes]] = []
         self.parts: list[bytes] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.transport.set_write_buffer_limits(high=0)  # resume_writing then tells that all bytes have left
+        self.transport.set_write_buffer_limits(high=0)  # so that resume_writing means that all bytes are sent
         self.pool.connections.add(self)
 
     def send(self, attempt: Attempt) -> None:
@@ -116,7 +118,7 @@
             self.transport.write(body)
         else:
             self.transport.write(head + body)
-        # Danger: bytes in the transport's buffer have not left; a break before they do proves it never ran.
+        # While bytes are still in the transport's buffer, a break proves that the request never ran.
         if self.transport.get_write_buffer_size() == 0:
             self._on_written()
 
@@ -131,13 +133,13 @@
     def data_received(self, data: bytes) -> None:
         self.last_used_at = self.pool.loop.time()
         if self.attempt is None and self.stream is None:
-            self.close()  # danger: bytes nobody asked for would pass for the next request's answer
+            self.close()  # unsolicited bytes would be taken for the next request's answer
             return
         try:
             self._feed(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             if not self.complete:
-                self._finish(api.Status.ERROR)  # an answer came, though not a fit one
+                self._finish(api.Status.ERROR)  # an answer came, but it is malformed
                 return
             self.has_surplus = True
         if self.complete:
@@ -146,13 +148,13 @@
             self._start_stream(self.attempt)
 
     def _is_long(self) -> bool:
-        """Whether its body is a good answer's, has begun, and is over what is held until it is whole."""
+        """Whether a successful answer's body has begun and is larger than STREAM_THRESHOLD_BYTES."""
         if not self.head_complete or not self.body_bytes or self.parser.get_status_code() != 200:
             return False
         return max(self.body_bytes, self.length or 0) > STREAM_THRESHOLD_BYTES
 
     def _start_stream(self, attempt: Attempt) -> None:
-        """Its first bytes are its answer; danger: held until they are whole, many would fill the memory."""
+        """Reports the answer's first bytes and streams the rest: buffering many would fill the memory."""
         assert self.transport is not None
         self.transport.get_extra_info("socket").setsockopt(
             socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES
@@ -162,7 +164,7 @@
         self.pool.buffered_bytes -= self.buffered_bytes
         self.buffered_bytes = 0
         self.attempt, attempt.carried = None, None
-        self.transport.pause_reading()  # until somebody takes it
+        self.transport.pause_reading()  # until the receiver asks for more
         attempt.end(api.Status.OK, Served(first, tuple(self.fields), self.stream))
 
     def pause(self) -> None:
@@ -175,7 +177,7 @@
             self.transport.resume_reading()
 
     def check_stall(self, now: float) -> None:
-        """Danger: a server that falls silent inside of an answer would hold its caller for ever."""
+        """Gives up a stream whose server has gone silent: its caller would wait for ever."""
         if (
             self.transport is not None
             and self.transport.is_reading()
@@ -184,22 +186,22 @@
             self._finish(api.Status.TIMEOUT)
 
     def _feed(self, data: bytes) -> None:
-        """Danger: a field, trailer or chunk extension without end grows inside the parser, unseen."""
+        """Feeds the parser up to a limit: it doesn't bound header fields, trailers or chunk extensions."""
         while data and not self.complete:
-            room = (
+            allowed = (
                 MAX_FRAMING_BYTES + FRAMING_PER_BODY_BYTE * self.body_bytes
                 if self.head_complete
                 else MAX_HEAD_BYTES
             ) - self.parsed_bytes
-            if room <= 0:
-                raise httptools.HttpParserError("an answer without end")
-            part, data = data[:room], data[room:]
+            if allowed <= 0:
+                raise httptools.HttpParserError("answer head or framing too long")
+            part, data = data[:allowed], data[allowed:]
             self.parsed_bytes += len(part)
             self.parser.feed_data(part)
         self.has_surplus = self.has_surplus or bool(data)
 
     def eof_received(self) -> None:
-        """Ends an answer that its connection's end frames; else `connection_lost` tells what it meant."""
+        """Completes an answer that ends with its connection; in other cases `connection_lost` decides."""
         if (
             self.head_complete
             and not self.complete
@@ -222,10 +224,10 @@
             self.pool.avoid_reuse_until = self.pool.loop.time() + STALE_AVOID_S
         self._finish(api.Status.RESET if self.written else api.Status.CONNECT_FAILED)
 
-    # What the parser calls ------------------------------------------------------------------
+    # Parser callbacks ------------------------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        # Danger: what comes behind a whole answer, a second copy for one, would join its body.
+        # Whatever follows a complete answer, such as a second copy of it, must not be added to its body.
         self.has_surplus = self.complete
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -235,7 +237,7 @@
         if name == b"content-length":
             self.length = int(value)
             if self.length > self._max_body_bytes():
-                raise ValueError("body too long")  # danger: waiting for it would fill the memory
+                raise ValueError("answer body too long")  # waiting for such a body would fill the memory
         self.framed = self.framed or name in (b"content-length", b"transfer-encoding")
         if name == b"connection":
             self.close_announced = b"close" in [part.strip() for part in value.lower().split(b",")]
@@ -246,7 +248,7 @@
 
     def on_headers_complete(self) -> None:
         self.head_complete = self.head_complete or self.parser.get_status_code() >= 200
-        # Danger: without its sender's word that it closes, a broken connection would pass for the end.
+        # Without `Connection: close` or HTTP/1.0, a broken connection would look like the end of the body.
         self.ends_with_connection = not self.framed and (
             self.close_announced or self.parser.get_http_version() == "1.0"
         )
@@ -257,13 +259,13 @@
         self.body_bytes += len(part)
         if self.stream is not None:
             if self.body_bytes > MAX_BODY_BYTES:
-                raise ValueError("body too long")
+                raise ValueError("answer body too long")
             self.stream.feed(part)
             return
         self.buffered_bytes += len(part)
         self.pool.buffered_bytes += len(part)
         if self.body_bytes > self._max_body_bytes() or self.pool.buffered_bytes > MAX_BUFFERED_BYTES:
-            raise ValueError("body too long")
+            raise ValueError("answer body too long")
         self.parts.append(part)
 
     def _max_body_bytes(self) -> int:
@@ -274,14 +276,14 @@
         )
 
     def on_message_complete(self) -> None:
-        """Freezes the first final answer; nothing behind it changes it."""
+        """Fixes the first final answer; nothing received after it changes it."""
         if self.complete:
             return
         status = self.parser.get_status_code()
-        if 100 <= status < 200 and status != 101:  # interim: the answer is still to come
+        if 100 <= status < 200 and status != 101:  # interim: the final answer is still to come
             self._start_answer()
             return
-        self.keeps_open = self.parser.should_keep_alive()  # only here does the parser still know
+        self.keeps_open = self.parser.should_keep_alive()  # only valid within this callback
         self._freeze_answer()
 
     def _freeze_answer(self) -> None:
@@ -323,7 +325,7 @@
             self.close()
 
     def drop(self) -> None:
-        """The attempt on it, or the rest of its answer, was given up."""
+        """Called when the attempt, or the stream of its answer, was cancelled."""
         self.stream = None
         self.close()
 
@@ -344,7 +346,11 @@
 
     @property
     def is_quiet(self) -> bool:
-        """Danger: unread bytes would pass for the next answer; an unread end makes its request a reset."""
+        """Whether nothing waits to be read.
+
+        Unread bytes would be taken for the next answer; on a connection that the server has closed, the next
+        request would end as a reset.
+        """
         if self.transport is None or self.transport.is_closing():
             return False
         poll = select.poll()
@@ -353,7 +359,7 @@
 
 
 def outcome(status: int, unprocessed: bool) -> api.Status:
-    """What an answer proves. Only the server's own word proves that a request never ran."""
+    """What an answer proves. Only the server's own statement proves that a request never ran."""
     if status == 200:
         return api.Status.OK
     if status in (503, 504) and unprocessed:
@@ -362,7 +368,7 @@
 
 
 class Connecting:
-    """An attempt whose connection is not up yet."""
+    """An attempt whose connection is still being opened."""
 
     __slots__ = ("task",)
 
@@ -374,30 +380,32 @@
 
 
 class Pool:
-    """The connections to all servers, bounded in number."""
+    """The connections to all servers, up to a limit."""
 
-    def __init__(self, settings: api.Settings, most: int) -> None:
+    def __init__(self, settings: api.Settings, max_connections: int) -> None:
         self.loop = asyncio.get_running_loop()
-        self.max_connections = most
+        self.max_connections = max_connections
         self.connect_timeout = settings.connect_timeout / api.SECOND or None
         self.max_idle_s = IDLE_FRACTION * (settings.idle_close or DEFAULT_IDLE_NS) / api.SECOND
         self.connections: set[Connection] = set()
         self.connecting_count = 0
-        self.avoid_reuse_until = 0.0  # until when kept connections are not to be trusted
-        self.buffered_bytes = 0  # bytes of answers that are not whole yet
-        self.idle: dict[Connection, None] = {}  # in the order in which they became idle
-        self.idle_by_server: dict[Server, list[Connection]] = {}  # the same by server, the latest used last
-        self.tasks: set[asyncio.Task[None]] = set()  # danger: a task that nobody holds may be collected
+        self.avoid_reuse_until = 0.0  # loop time until which idle connections may be dead
+        self.buffered_bytes = 0  # bytes of incomplete answers in memory
+        self.idle: dict[Connection, None] = {}  # ordered by when they became idle
+        # The same by server; the last used comes last.
+        self.idle_by_server: dict[Server, list[Connection]] = {}
+        self.tasks: set[asyncio.Task[None]] = set()  # the event loop holds only weak references to tasks
         self.sweeper = self.loop.call_later(min(self.max_idle_s / 4, SWEEP_INTERVAL_S), self._sweep)
 
     def start(self, attempt: Attempt) -> None:
-        """Sends on a kept connection, else on a new one. Outcomes come later, never from in here."""
+        """Sends on an idle or a new connection. Outcomes are reported later, never from within this call."""
         server, now = attempt.server, self.loop.time()
-        # Danger: servers that drop kept connections unsaid turn what may not be repeated into a failure.
-        most = FRESH_IDLE_S if attempt.once and now < self.avoid_reuse_until else self.max_idle_s
+        # Some servers drop idle connections silently, which would fail requests that must not be repeated.
+        max_idle = FRESH_IDLE_S if attempt.once and now < self.avoid_reuse_until else self.max_idle_s
         while kept := self.idle_by_server.get(server):
-            if now - kept[-1].last_used_at >= most and most < self.max_idle_s:
-                break  # the others are older still, and good for what may be repeated
+            if now - kept[-1].last_used_at >= max_idle and max_idle < self.max_idle_s:
+                # The others have been idle for longer; requests that may be repeated can still use them.
+                break
             connection = kept[-1]
             self._remove_idle(connection)
             if now - connection.last_used_at < self.max_idle_s and connection.is_quiet:
@@ -414,9 +422,9 @@
         try:
             async with asyncio.timeout(self.connect_timeout):
                 connection = await self._open(attempt.server)
-        except (OSError, TimeoutError, ValueError) as err:  # the last for an address that no socket takes
+        except (OSError, TimeoutError, ValueError) as err:  # ValueError: the address is invalid
             attempt.carried = None
-            # Danger: a lack of our own would pass for a sick server.
+            # A local lack of resources must not count against the server.
             is_local = isinstance(err, OSError) and err.errno in LOCAL_RESOURCE_ERRORS
             attempt.end(api.Status.MOOT if is_local else api.Status.CONNECT_FAILED)
             return
@@ -425,7 +433,7 @@
             attempt.end(api.Status.CONNECT_FAILED)
         elif attempt.may_write():
             connection.send(attempt)
-        else:  # danger: the request may be over or the server's grace past since the send was decided
+        else:  # while connecting, the request may have ended or the server's drain grace may have expired
             self.keep(connection)
             attempt.end(api.Status.MOOT)
 
@@ -433,7 +441,7 @@
         if len(self.connections) + self.connecting_count >= self.max_connections and self.idle:
             next(iter(self.idle)).close()
         if len(self.connections) + self.connecting_count >= self.max_connections:
-            raise OSError(errno.EMFILE, "as many connections to servers are open as may be")
+            raise OSError(errno.EMFILE, "too many open connections to servers")
         self.connecting_count += 1
         try:
             _, connection = await self.loop.create_connection(
@@ -444,7 +452,7 @@
         return connection
 
     def keep(self, connection: Connection) -> None:
-        """Takes a connection back, if its server is still the one that it was opened to."""
+        """Returns a connection to the pool if its server is still the one that it was opened to."""
         if not connection.usable or not connection.server.usable:
             connection.close()
             return
@@ -470,7 +478,7 @@
             connection.close()
 
     def _sweep(self) -> None:
-        """Danger: a request written to a connection that the server drops for idling ends as a reset."""
+        """Closes connections before the server closes them as idle, which would reset the next request."""
         now = self.loop.time()
         for connection in [c for c in self.connections if c.stream is not None]:
             connection.check_stall(now)
