--- a/tests/net.py
+++ b/tests/net.py
@@ -1,4 +1,4 @@
-"""A node on loopback between the stand-ins of `rigs`, for tests."""
+"""A node on loopback between test servers and a test discovery from `rigs`."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
 async def rig(
     *scripts: Script, known: bool = True, sockets: int = 1024, watch: bool = True, **parts: Any
 ) -> AsyncIterator[Rig]:
-    """A node with scripted servers `s0`, `s1` ..., each in a cell of its own from `s1` on, and discovery."""
+    """A node with discovery and scripted servers `s0`, `s1` ...; from `s1` on, each has its own cell."""
     servers = [Server(script) for script in scripts]
     found = Discovery()
     listeners = [await asyncio.start_server(server, "127.0.0.1", 0) for server in servers]
--- a/tests/test_embedded.py
+++ b/tests/test_embedded.py
@@ -37,7 +37,7 @@
 from rigs.servers import OK, PATIENCE, Script, Seen, reply, serve_ok
 from tests.embedded import Tier, library, tier
 from tests.net import MS, SETTINGS
-from tests.test_node import RACED, run
+from tests.test_node import PARALLEL_CLASSES, run
 
 ROOT = Path(__file__).parent.parent
 SAFE_ONLY = Settings(classes=(RequestClass("safe", SECOND, 4 * SECOND, Effect.SAFE),), max_attempts=3)
@@ -285,7 +285,7 @@
 
     async with (
         tier_elsewhere(script, script, script) as (servers, _),
-        Client(servers.config(classes=RACED)) as client,
+        Client(servers.config(classes=PARALLEL_CLASSES)) as client,
     ):
         call = asyncio.ensure_future(client.call("safe", timeout=2.0))
         await asyncio.sleep(0)
--- a/tests/test_eviction.py
+++ b/tests/test_eviction.py
@@ -1,4 +1,4 @@
-"""Which connection goes in a crowd: decided without sockets."""
+"""Which idle connection is closed when there are too many; decided without sockets."""
 
 from __future__ import annotations
 
@@ -16,33 +16,21 @@
 
 
 @pytest.mark.parametrize(
-    ("never", "once", "often", "goes"),
+    ("never", "once", "often", "expected"),
     [
         ([], [], [], None),
-        (
-            [FIRST_REQUEST_GRACE_S + 0.1, 0.0],
-            [9.0],
-            [9.0],
-            "never0",
-        ),  # silent for long: whatever else there is
-        (
-            [FIRST_REQUEST_GRACE_S - 0.1, 0.0],
-            [REUSE_GRACE_S + 0.1, 0.0],
-            [9.0],
-            "once0",
-        ),  # a new client's request is on its way
-        (
-            [FIRST_REQUEST_GRACE_S - 0.1, 0.0],
-            [REUSE_GRACE_S - 0.1, 0.0],
-            [9.0],
-            "never0",
-        ),  # and so may the next of one in use be
-        ([FIRST_REQUEST_GRACE_S - 0.1, 0.0], [], [9.0], "never0"),  # rather than the usual clients
+        # A connection that has been silent for long goes first.
+        ([FIRST_REQUEST_GRACE_S + 0.1, 0.0], [9.0], [9.0], "never0"),
+        # The first request of a new client may be on the way.
+        ([FIRST_REQUEST_GRACE_S - 0.1, 0.0], [REUSE_GRACE_S + 0.1, 0.0], [9.0], "once0"),
+        # So may the next request of a client that has just been answered.
+        ([FIRST_REQUEST_GRACE_S - 0.1, 0.0], [REUSE_GRACE_S - 0.1, 0.0], [9.0], "never0"),
+        ([FIRST_REQUEST_GRACE_S - 0.1, 0.0], [], [9.0], "never0"),  # before regular clients
         ([], [], [0.2, 0.1], "often0"),
     ],
 )
-def test_who_goes_by_what_it_asked_and_for_how_long_it_has_been_idle(
-    never: list[float], once: list[float], often: list[float], goes: str | None
+def test_the_victim_depends_on_requests_answered_and_idle_time(
+    never: list[float], once: list[float], often: list[float], expected: str | None
 ) -> None:
     now = 100.0
     groups = {
@@ -50,13 +38,13 @@
         for name, ages in (("never", never), ("once", once), ("often", often))
     }
     chosen = select_victim(groups["never"], groups["once"], groups["often"], now)
-    assert (chosen and chosen.name) == goes
+    assert (chosen and chosen.name) == expected
 
 
-def test_in_a_crowd_that_stays_a_new_client_is_heard() -> None:
+def test_a_new_client_is_not_closed_before_its_request_arrives() -> None:
     once = [Idle(f"o{i}", -REUSE_GRACE_S) for i in range(50)]
     never: list[Idle] = []
-    for step in range(40):  # each new one comes before the last one's request has
+    for step in range(40):  # each new client connects before the previous one's request has arrived
         now = 1.0 + step * 0.003
         gone = select_victim(never, once, [], now)
         assert gone is not None and gone.name.startswith("o")
--- a/tests/test_long_bodies.py
+++ b/tests/test_long_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of megabytes, in and out: whole or seen to be broken, at the pace of the slower, within a sum."""
+"""Bodies of megabytes in both directions: complete or visibly broken, at the slower side's pace, bounded."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 LONG = random.Random(5).randbytes(3_000_001)
 
 
-# Decided without I/O ----------------------------------------------------------------------------
+# Without I/O ------------------------------------------------------------------------------------
 
 
-def test_the_room_is_kept_and_everybody_gets_some_in_the_end() -> None:
+def test_the_memory_limit_holds_and_every_body_completes() -> None:
     for seed in range(200):
         rng, room = random.Random(seed), BodyMemory[int](1_000, 2_600)
         left = {who: rng.choice([[10], [300], [990], [1_500], [200] * 6]) for who in range(40)}
@@ -36,7 +36,7 @@
             elif may and rng.random() < 0.7:
                 who = rng.choice(sorted(may))
                 may.discard(who)
-                if left[who]:  # one whose length is not known asks in steps
+                if left[who]:  # a body of unknown length reserves in steps
                     asked[who] += left[who].pop()
                     may |= {who} if room.reserve(who, asked[who], now) else set()
                 else:
@@ -47,7 +47,7 @@
     assert not room.held and not room.waiting and room.used == 0
 
 
-def test_small_bodies_pass_a_large_one_only_for_a_while() -> None:
+def test_small_bodies_overtake_a_large_one_only_for_a_while() -> None:
     room = BodyMemory[str](100, 200)
     assert room.reserve("a", 60, 0.0) and not room.reserve("large", 90, 0.0)
     assert room.reserve("b", 30, OVERTAKE_WINDOW_S / 2)
@@ -57,7 +57,7 @@
     assert room.grant_waiting(OVERTAKE_WINDOW_S) == ["large", "c"]
 
 
-def test_where_nobody_can_read_on_one_is_turned_away_for_the_others() -> None:
+def test_if_nobody_can_continue_one_body_is_dropped_for_the_others() -> None:
     room = BodyMemory[str](100, 120)
     for who in ("a", "b"):
         assert room.reserve(who, 50, 0.0)
@@ -68,7 +68,7 @@
 
 
 class _Ends:
-    """Both ends of a stream."""
+    """The producer and the sink of a stream."""
 
     def __init__(self) -> None:
         self.said: list[object] = []
@@ -129,7 +129,7 @@
 
 
 async def _body(caller: Caller, version: bytes = b"1.1") -> bytes:
-    """One answer's body, by whichever framing it has."""
+    """The body of one answer, with any framing."""
     async with asyncio.timeout(PATIENCE):
         head = await caller.reader.readuntil(b"\r\n\r\n")
         assert head.startswith(b"HTTP/1.1 200 ")
@@ -156,7 +156,7 @@
         assert r.servers[0].connections == 1 and r.node.figures().counts.served[2] == 3
         old = await r.caller()
         old.writer.write(call("unsafe").replace(b"HTTP/1.1", b"HTTP/1.0"))
-        assert await _body(old) == LONG  # one that knows no chunks
+        assert await _body(old) == LONG  # an HTTP/1.0 client without chunked encoding
         assert not r.node.pool.buffered_bytes
 
 
@@ -178,22 +178,22 @@
 
     async with rig(script) as r:
         caller = await r.caller()
-        caller.reader._limit = 1  # type: ignore[attr-defined]  # it stops reading at once
+        caller.reader._limit = 1  # stops reading at once
         caller.writer.write(call("unsafe"))
         await r.until(lambda: sent > 0)
         before = -1
-        while before != sent:  # until nothing moves any more
+        while before != sent:  # until no more bytes are sent
             before = sent
             await asyncio.sleep(0.3)
         assert sent < 16_000_000 and r.node.figures().inflight == 1
         fast = await r.caller()
         assert (await fast.ask(b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 200
-        caller.writer.transport.abort()  # and leaves: nothing more is read of its answer
+        caller.writer.transport.abort()  # the caller leaves: nothing more of its answer is read
         await r.servers[0].until(lambda: r.servers[0].closed == 1)
         assert r.node.figures().inflight == 0 and not r.node.pool.connections
 
 
-def test_a_caller_that_reads_slowly_slows_its_server_and_nobody_else() -> None:
+def test_a_slow_reader_slows_down_only_its_server() -> None:
     run(_slow_reader)
 
 
@@ -216,13 +216,13 @@
         caller.writer.write(call("safe"))
         with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
             await _body(caller)
-        assert len(r.sends) == 1  # its first bytes are told: it can't be asked for again
+        assert len(r.sends) == 1  # its first bytes have been sent on, so it can't be retried
         counts = r.node.figures().counts
         assert counts.failed[0] == 1 and counts.served[0] == 0
 
 
 @pytest.mark.parametrize("how", ["reset", "chunks"])
-def test_an_answer_that_breaks_on_the_way_is_seen_to_be_broken(how: str) -> None:
+def test_the_caller_sees_that_a_streamed_answer_broke(how: str) -> None:
     run(_breaks, how)
 
 
@@ -252,7 +252,7 @@
         (b"1 200 OK\r\nConnection: close", 5, "end", 200),
         (b"1 200 OK\r\nConnection: x, Close", 3_000_000, "end", 200),
         (b"0 200 OK\r\nX: y", 5, "end", 200),
-        (b"1 200 OK\r\nX: y", 5, "end", 502),  # nobody said that the end ends it
+        (b"1 200 OK\r\nX: y", 5, "end", 502),  # nothing says that the end of the connection ends the body
         (b"1 200 OK\r\nConnection: close", 5, "reset", 502),
         (b"1 200 OK\r\nConnection: close\r\nContent-Length: 9", 5, "end", 502),
         (b"1 500 x\r\nConnection: close", 5, "end", 502),
@@ -272,7 +272,7 @@
 
 
 async def _upload(r: Rig, body: bytes, chunk: int, cls: str = "unsafe") -> int:
-    """Sends a request with a long body, in chunks of the protocol where `chunk` is not 0."""
+    """Sends a request with a long body, with chunked encoding if `chunk` is not 0."""
     caller = await r.caller()
     head = call(cls, extra="Transfer-Encoding: chunked\r\n" if chunk else "")
     head = head.replace(b"Content-Length: 0\r\n", b"" if chunk else b"Content-Length: %d\r\n" % len(body))
@@ -284,7 +284,7 @@
     return (await caller.answer())[0]
 
 
-async def _again(chunk: int) -> None:
+async def _retried(chunk: int) -> None:
     async def script(seen: Seen) -> bytes:
         return reply(503, extra="X-Unprocessed: 1\r\n") if len(r.sends) == 1 else OK
 
@@ -295,8 +295,8 @@
 
 
 @pytest.mark.parametrize("chunk", [0, 64_000, 333])
-def test_a_long_body_goes_out_whole_again_where_it_never_ran(chunk: int) -> None:
-    run(_again, chunk)
+def test_a_long_request_body_is_retried_in_full_if_it_never_ran(chunk: int) -> None:
+    run(_retried, chunk)
 
 
 async def _many() -> None:
@@ -307,7 +307,7 @@
     async with rig(script) as r:
         room = r.node.callers.body_memory.limit = 2 * len(LONG)
         r.node.callers.body_memory.hard_limit = room + len(LONG)
-        left = await r.caller()  # one that leaves while it holds room
+        left = await r.caller()  # leaves while it holds memory
         left.writer.write(call("unsafe").replace(b"Content-Length: 0", b"Content-Length: 3000000"))
         await r.until(lambda: r.node.callers.body_memory.used > 0)
         asks = [asyncio.create_task(_upload(r, LONG, i % 2 * 50_000)) for i in range(12)]
@@ -317,11 +317,11 @@
         assert r.node.callers.body_memory.used == 0
 
 
-def test_many_long_bodies_wait_for_room_and_all_come_whole() -> None:
+def test_many_long_bodies_wait_for_memory_and_all_complete() -> None:
     run(_many)
 
 
-async def _let_go() -> None:
+async def _freed() -> None:
     async def script(seen: Seen) -> bytes:
         return reply(500) if len(r.sends) % 2 else OK
 
@@ -342,18 +342,18 @@
             gc.enable()
 
 
-def test_a_request_that_is_over_holds_its_body_no_longer_without_the_collector() -> None:
-    run(_let_go)
+def test_a_finished_request_frees_its_body_without_the_garbage_collector() -> None:
+    run(_freed)
 
 
-async def _no_room() -> None:
+async def _no_memory() -> None:
     async def script(seen: Seen) -> bytes:
         return OK
 
     async with rig(script) as r:
         r.node.callers.body_memory.limit, r.node.callers.body_memory.hard_limit = 1_000_000, 1_200_000
         callers = [await r.caller() for _ in range(3)]
-        for caller in callers:  # none says how long its body is, and none ends
+        for caller in callers:  # no length is given, and none of them ends
             caller.writer.write(
                 call("unsafe", extra="Transfer-Encoding: chunked\r\n").replace(b"Content-Length: 0\r\n", b"")
             )
@@ -365,8 +365,8 @@
         assert not r.sends and r.node.callers.body_memory.used == 0
 
 
-def test_bodies_that_never_fit_are_turned_away_and_hold_nothing() -> None:
-    run(_no_room)
+def test_bodies_that_never_fit_are_rejected_and_hold_no_memory() -> None:
+    run(_no_memory)
 
 
 async def _slow(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -382,14 +382,14 @@
         for caller in (steady, stalled):
             caller.writer.write(call("unsafe").replace(b"Content-Length: 0", b"Content-Length: 6000"))
         stalled.writer.write(b"x" * 3_000)
-        for _ in range(20):  # slower than any limit on the whole, and steady
+        for _ in range(20):  # slower than every limit in total, but steady
             steady.writer.write(b"x" * 300)
             await asyncio.sleep(0.08)
         assert (await steady.answer())[0] == 200
         assert (await stalled.answer())[0] == 408
 
 
-def test_a_body_may_come_slowly_but_not_stop(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_body_may_arrive_slowly_but_not_stall(monkeypatch: pytest.MonkeyPatch) -> None:
     run(_slow, monkeypatch)
 
 
@@ -406,5 +406,5 @@
         assert status == 200
 
 
-def test_spaces_round_a_fields_value_are_not_part_of_it() -> None:
+def test_whitespace_around_a_field_value_is_ignored() -> None:
     run(_spaces)
--- a/tests/test_many_nodes.py
+++ b/tests/test_many_nodes.py
@@ -1,4 +1,4 @@
-"""One node of many: it sees a few calls a second and has less than a call in its part of the window."""
+"""One node of many: a few requests a second, and a share of the in-flight limit below one request."""
 
 from minthitch.interface import SECOND, Send
 from tests.rules import CLASSES, MS, SAFE, UNSAFE, Node, settings
@@ -6,8 +6,11 @@
 MANY = settings(siblings=900)
 
 
-def test_one_of_many_nodes_does_not_refuse_in_calm() -> None:
-    """Guards against a window that never grows (the grown peshawar: a third refused on its quiet day)."""
+def test_one_of_many_nodes_does_not_refuse_under_normal_load() -> None:
+    """Guards against an in-flight limit that never grows.
+
+    In scenario peshawar, grown, a third was refused on a quiet day.
+    """
     refused = 0
     for seed in range(5):
         node = Node(MANY, seed)
@@ -17,19 +20,19 @@
     assert refused <= 0.1 * 500
 
 
-def test_the_load_of_one_of_many_nodes_recovers() -> None:
-    """Guards against evidence that is kept by count and never fades once nearly all is refused."""
+def test_the_in_flight_limit_of_one_of_many_nodes_recovers() -> None:
+    """Guards against load evidence kept by count, which never fades once nearly all is refused."""
     node = Node(MANY)
     node.listed(130)
     node.queue(60, 400 * MS, 200 * MS)
-    node.queue(60, 400 * MS, 2 * SECOND)  # ten times the calm one, past every aim
+    node.queue(60, 400 * MS, 2 * SECOND)  # ten times the normal latency, above every latency target
     assert node.queue(50, 400 * MS, 200 * MS) > 5
     node.wait(10 * SECOND)
     assert node.queue(50, 400 * MS, 200 * MS) <= 10
 
 
-def test_a_start_of_one_of_many_nodes_is_bounded() -> None:
-    """Guards against averages that start at nothing and let a surge in (peshawar: 3.6 calls a node)."""
+def test_the_first_sends_of_one_of_many_nodes_are_bounded() -> None:
+    """Guards against averages that start at zero and admit a surge (peshawar: 3.6 requests a node)."""
     out = 0
     for seed in range(30):
         node = Node(MANY, seed)
@@ -41,8 +44,8 @@
     assert 30 <= out < 30 * 4
 
 
-def test_many_nodes_do_not_all_crowd_the_best_server() -> None:
-    """Guards against herding: one server known as quick got five times the mean (the grown karachi)."""
+def test_many_nodes_do_not_all_choose_the_fastest_server() -> None:
+    """Guards against herding: a server known as fast got five times the mean load (karachi, grown)."""
     sends: list[int] = []
     for seed in range(60):
         node = Node(MANY, seed)
@@ -54,14 +57,14 @@
     assert sends.count(1) < 20
 
 
-def test_the_worthier_class_goes_first_at_one_of_many_nodes() -> None:
-    """Guards against whole calls held to a part of one, which refuse by chance (peshawar-later overload)."""
-    turned = {SAFE.name: 0, UNSAFE.name: 0}
+def test_the_class_worth_more_is_preferred_at_one_of_many_nodes() -> None:
+    """Guards against a limit below one request, which refuses at random (peshawar-later overload)."""
+    refused_by_class = {SAFE.name: 0, UNSAFE.name: 0}
     for seed in range(5):
         node = Node(MANY, seed)
         node.listed(130)
         node.queue(200, 200 * MS, 600 * MS, (SAFE, UNSAFE))
         for book in node.records.values():
             if not book.sent:
-                turned[CLASSES[book.arrived.cls].name] += 1
-    assert turned[SAFE.name] > 1.3 * turned[UNSAFE.name] > 0
+                refused_by_class[CLASSES[book.arrived.cls].name] += 1
+    assert refused_by_class[SAFE.name] > 1.3 * refused_by_class[UNSAFE.name] > 0
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The node over loopback sockets: one answer, exact outcomes, and what each class allows."""
+"""The node over loopback sockets: one answer per request, exact outcomes, and what each class allows."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
         assert seen.head.startswith(b"POST /api?a=1 HTTP/1.1\r\n") and seen.field("X-Correlation-Id")
         left = seen.field("X-Time-Left")
         assert left and left.endswith("u") and 0 < int(left[:-1]) < 6_000_000
-        assert r.servers[0].connections == 1  # kept alive
+        assert r.servers[0].connections == 1  # the connection was kept alive
 
 
 def test_bodies_and_the_request_line_pass_unchanged() -> None:
@@ -87,7 +87,7 @@
         ("end", 1, 502),
     ],
 )
-def test_an_unsafe_request_goes_out_again_only_if_it_never_ran(
+def test_an_unsafe_request_is_retried_only_if_it_never_ran(
     answer: bytes | str, sends: int, status: int
 ) -> None:
     async def cut(*args: Any) -> None:
@@ -126,18 +126,18 @@
         assert len(r.sends) >= 1
         pause = re.search(rb"\r\nRetry-After: (\d+\.\d+)\r\n", head)
         assert bool(pause) == (status == 503)
-        assert pause is None or 0.15 <= float(pause[1]) <= 0.49  # 0.04 to 0.12 of the aim
+        assert pause is None or 0.15 <= float(pause[1]) <= 0.49  # 0.04 to 0.12 of the latency target
     async with rig(_never, policyLimits={"retryAfter": False}) as r:
         _, head, _ = await r.ask(call(cls, left="300m"))
         assert b"Retry-After" not in head
 
 
-def test_silence_ends_in_a_failure_for_unsafe_and_a_refusal_for_safe_requests() -> None:
+def test_a_timeout_fails_unsafe_and_refuses_safe_requests() -> None:
     run(_timeout, "unsafe", 502)
     run(_timeout, "safe", 503)
 
 
-async def _keyed_stays_in_its_cell() -> None:
+async def _keyed_retried_in_its_cell() -> None:
     async def script(seen: Seen) -> bytes:
         return reply(500) if len(r.sends) == 1 else OK
 
@@ -151,41 +151,42 @@
             status, _, _ = await r.ask(call("keyed", b"x"))
             assert status in (200, 502)
             cell = {cells[f"s{i}"] for i, server in enumerate(r.servers) if server.seen}
-            assert len(cell) == 1  # danger: another cell's servers would let the repeat take effect
+            assert len(cell) == 1  # a retry in another cell would take effect twice
             assert {seen.field("Idempotency-Key") for seen in r.sends} == {"k1"}
 
 
-def test_a_keyed_request_that_may_have_run_stays_with_the_servers_that_drop_its_repeat() -> None:
-    run(_keyed_stays_in_its_cell)
+def test_a_keyed_request_that_may_have_run_is_retried_only_in_its_cell() -> None:
+    run(_keyed_retried_in_its_cell)
 
 
-# An aim this long makes one server's chance in the time left too small: safe requests are raced.
-RACED = [{**spec, "objectiveNs": 8000 * 1_000_000} for spec in SETTINGS["classes"]]
+# With so long a latency target one server's chance to answer in time is too small: safe requests are sent to
+# several servers at once.
+PARALLEL_CLASSES = [{**spec, "objectiveNs": 8000 * 1_000_000} for spec in SETTINGS["classes"]]
 
 
-async def _race() -> None:
+async def _parallel_attempts() -> None:
     async def script(seen: Seen) -> bytes | None:
         first.append(seen)
         return None if len(first) == 1 else OK
 
     first: list[Seen] = []
-    async with rig(script, script, script, classes=RACED) as r:
+    async with rig(script, script, script, classes=PARALLEL_CLASSES) as r:
         caller = await r.caller()
         status, _, body = await caller.ask(call("safe", left="2000m"))
         assert (status, body) == (200, b"done")
         assert len(r.sends) > 1
         silent = next(s for s in r.servers if s.seen and s.seen[0] is first[0])
-        await silent.until(lambda: silent.closed == 1)  # the loser's connection is closed, not kept
+        await silent.until(lambda: silent.closed == 1)  # the slower attempt's connection is closed, not kept
         again, _, _ = await caller.ask(call("safe"))
         assert again == 200
         await r.until(lambda: not r.node.engine.requests)
 
 
-def test_a_race_is_ended_by_the_first_answer_and_its_losers_are_cancelled() -> None:
-    run(_race)
+def test_the_first_answer_of_parallel_attempts_wins_and_the_others_are_cancelled() -> None:
+    run(_parallel_attempts)
 
 
-async def _late_loser() -> None:
+async def _simultaneous_answers() -> None:
     both = asyncio.Event()
 
     async def script(seen: Seen) -> bytes:
@@ -196,9 +197,9 @@
                 await both.wait()
         return reply(200, str(seen.connection).encode())
 
-    async with rig(script, script, script, classes=RACED) as r:
+    async with rig(script, script, script, classes=PARALLEL_CLASSES) as r:
         caller, most = await r.caller(), 0
-        for _ in range(20):  # answers that cross: each request is answered once and in its turn
+        for _ in range(20):  # two answers arrive at once: each request is answered once and in order
             both.clear()
             for server in r.servers:
                 server.seen.clear()
@@ -208,11 +209,11 @@
         assert most > 1
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.2):
-                await caller.reader.read(1)  # nothing more comes
+                await caller.reader.read(1)  # nothing more arrives
 
 
-def test_answers_that_cross_reach_the_caller_once() -> None:
-    run(_late_loser)
+def test_simultaneous_answers_reach_the_caller_once() -> None:
+    run(_simultaneous_answers)
 
 
 async def _stale() -> None:
@@ -226,11 +227,11 @@
         for _ in range(3):
             status, _, _ = await r.ask(call("unsafe"))
             assert status == 200
-            await r.until(lambda: not r.node.pool.connections)  # dropped when the peer closes
+            await r.until(lambda: not r.node.pool.connections)  # closed when the peer closes
         assert r.servers[0].connections == 3
 
 
-def test_a_kept_connection_that_the_server_closed_is_not_used_again() -> None:
+def test_an_idle_connection_that_the_server_closed_is_not_reused() -> None:
     run(_stale)
 
 
@@ -240,7 +241,7 @@
         await r.servers[0].until(lambda: r.servers[0].closed == 1)
 
 
-def test_idle_connections_are_dropped_before_the_server_drops_them() -> None:
+def test_idle_connections_are_closed_before_the_server_closes_them() -> None:
     run(_idle_dropped)
 
 
@@ -256,11 +257,11 @@
         before = r.node.engine.fleet.servers["s0"].entry.started
         r.discovery.change(host)
         await r.until(lambda: r.node.engine.fleet.seq == 3)
-        # Or all that is known of it would be lost.
+        # a later start would discard what is known of the server
         assert r.node.engine.fleet.servers["s0"].entry.started == before
 
 
-def test_a_new_start_or_address_closes_the_kept_connections() -> None:
+def test_a_restarted_or_moved_server_loses_its_idle_connections() -> None:
     run(_restarted, {"born_ms": 1_700_000_000_000})
     run(_restarted, {"dial": ""})
 
@@ -285,7 +286,7 @@
 
 
 class Gate:
-    """Holds connections up until they are let through."""
+    """Holds new connections back until `opened` is set."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.opened, self.waiting = asyncio.Event(), 0
@@ -312,7 +313,7 @@
         await r.until(lambda: r.node.engine.fleet.seq == 2)
         gate.opened.set()
         status, _, _ = await caller.answer()
-        assert status == 503  # it never left, so a retry is harmless
+        assert status == 503  # the request never left the node, so a retry is harmless
         assert not r.servers[0].seen
 
 
@@ -341,12 +342,12 @@
     run(_gone_while_connecting, monkeypatch)
 
 
-async def _unwritten(monkeypatch: pytest.MonkeyPatch) -> None:
+async def _partly_sent(monkeypatch: pytest.MonkeyPatch) -> None:
     async def script(_seen: Seen) -> bytes:
         return OK
 
     async def stuck(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await reader.readexactly(1)  # a part has come, the rest cannot leave: buffers are full
+        await reader.readexactly(1)  # a part has arrived; the rest can't be sent because the buffers are full
         await release.wait()
         reset(writer)
 
@@ -373,12 +374,15 @@
         monkeypatch.setattr(Pool, "_open", real)
         release.set()
         status, _, _ = await caller.answer()
-        assert status == 200 and len(r.servers[0].seen) == 1  # it never ran whole, so it went out again
+        # Not sent in full, so it never ran and was retried.
+        assert status == 200 and len(r.servers[0].seen) == 1
         slow.close()
 
 
-def test_a_break_before_the_last_byte_left_is_no_reset(monkeypatch: pytest.MonkeyPatch) -> None:
-    run(_unwritten, monkeypatch)
+def test_a_break_before_the_last_byte_was_sent_proves_that_the_request_never_ran(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    run(_partly_sent, monkeypatch)
 
 
 async def _caller_gone() -> None:
@@ -388,7 +392,8 @@
         caller.writer.write(call("unsafe", left="90000m"))
         await r.servers[0].until(lambda: bool(r.servers[0].seen))
         caller.writer.close()
-        await r.servers[0].until(lambda: r.servers[0].closed == 1)  # nobody waits: the attempt is given up
+        # Nobody waits for the answer: the attempt is cancelled.
+        await r.servers[0].until(lambda: r.servers[0].closed == 1)
         await r.until(lambda: not r.node.engine.requests)
         assert (await r.ask(b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 200
 
@@ -420,7 +425,7 @@
         (b"GET /api HTTP/1.1\r\nX: " + b"x" * 40_000 + b"\r\n\r\n", 431),
     ],
 )
-def test_bad_input_is_answered_and_the_node_lives_on(
+def test_bad_input_gets_an_error_and_the_node_continues(
     data: bytes, status: int, capfd: pytest.CaptureFixture[str]
 ) -> None:
     async def bad() -> None:
@@ -458,7 +463,7 @@
     run(_pipelined)
 
 
-async def _decisions_fail(monkeypatch: pytest.MonkeyPatch) -> None:
+async def _balancer_fails(monkeypatch: pytest.MonkeyPatch) -> None:
     async with rig(serve_ok) as r:
         real = r.node.engine.balancer.handle
 
@@ -470,18 +475,18 @@
         monkeypatch.setattr(r.node.engine.balancer, "handle", failing)
         assert (await r.ask(call("safe")))[0] == 502
         monkeypatch.setattr(r.node.engine.balancer, "handle", lambda now, event: [])
-        assert (await r.ask(call("safe", left="200m")))[0] == 502  # held past its time
+        assert (await r.ask(call("safe", left="200m")))[0] == 502  # held until its deadline
         monkeypatch.setattr(r.node, "handle_request", lambda caller, call: 1 // 0)
-        assert (await r.ask(call("safe")))[0] == 502  # a fault before the decisions
+        assert (await r.ask(call("safe")))[0] == 502  # an error before the balancer is reached
         monkeypatch.undo()
         assert (await r.ask(call("safe")))[0] == 200
 
 
-def test_no_caller_stays_unanswered_when_the_decisions_fail(monkeypatch: pytest.MonkeyPatch) -> None:
-    run(_decisions_fail, monkeypatch)
+def test_every_caller_is_answered_when_the_balancer_fails(monkeypatch: pytest.MonkeyPatch) -> None:
+    run(_balancer_fails, monkeypatch)
 
 
-async def _events_wait(monkeypatch: pytest.MonkeyPatch) -> None:
+async def _events_queued(monkeypatch: pytest.MonkeyPatch) -> None:
     async with rig(serve_ok) as r:
         depth, deepest, handled, real = 0, 0, 0, r.node.engine.balancer.handle
 
@@ -490,7 +495,7 @@
             depth, handled = depth + 1, handled + 1
             deepest = max(deepest, depth)
             if type(event) is not TimerFired:
-                r.node.engine.post(TimerFired(1 << 40 | 1))  # comes while the decisions are at work
+                r.node.engine.post(TimerFired(1 << 40 | 1))  # arrives while the balancer handles an event
             actions = real(now, event)
             depth -= 1
             return actions
@@ -500,8 +505,8 @@
         assert deepest == 1 and handled >= 4
 
 
-def test_events_wait_while_the_decisions_are_at_work(monkeypatch: pytest.MonkeyPatch) -> None:
-    run(_events_wait, monkeypatch)
+def test_events_are_queued_while_the_balancer_handles_one(monkeypatch: pytest.MonkeyPatch) -> None:
+    run(_events_queued, monkeypatch)
 
 
 async def _timers() -> None:
@@ -518,8 +523,8 @@
             due[token] = time.monotonic_ns() + delay
             r.node.engine._act(SetTimer(token, delay))
         await r.until(lambda: not due)
-        assert max(early) <= 0  # one that comes early is ignored, and no other follows
+        assert max(early) <= 0  # an early timer would be ignored, and no other would follow
 
 
-def test_no_timer_comes_early() -> None:
+def test_no_timer_fires_early() -> None:
     run(_timers)
--- a/tests/test_rough.py
+++ b/tests/test_robustness.py
@@ -1,4 +1,4 @@
-"""Spoilt answers, bad clients, new configurations: what must not mix up, hang, leak or crash."""
+"""Malformed answers, bad clients and reloads must not mix up answers, hang, leak or crash."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 NOISE = bytes(range(128, 178)) + b"\r\n\r\n"
 
 
-async def _behind(more: bytes) -> None:
+async def _extra_bytes(more: bytes) -> None:
     async def script(seen: Seen) -> bytes:
         return reply(200, b"mine" + seen.body) + more
 
@@ -45,17 +45,17 @@
             status, _, got = await caller.ask(call("unsafe", body))
             assert (status, got) == (200, b"mine" + body)
         assert len(r.sends) == 3
-        assert r.servers[0].connections == 3  # what has more to say than belongs to it is not used again
+        assert r.servers[0].connections == 3  # a connection with bytes beyond its answer is not reused
 
 
 @pytest.mark.parametrize(
     "more", [OK, reply(200, b"other"), NOISE, b"x" * 200_000, b"HTTP/1.1 200 OK\r\nX-Pad: p"]
 )
-def test_a_good_answer_is_served_whatever_comes_right_behind(more: bytes) -> None:
-    run(_behind, more)
+def test_a_valid_answer_is_served_whatever_follows_it(more: bytes) -> None:
+    run(_extra_bytes, more)
 
 
-async def _spoilt(answer: bytes) -> None:
+async def _malformed(answer: bytes) -> None:
     async def script(seen: Seen) -> bytes | None:
         if len(r.sends) == 1:
             seen.writer.write(answer)  # and the connection stays open
@@ -64,15 +64,15 @@
 
     async with rig(script, script) as r:
         status, _, _ = await r.ask(call("unsafe", left="6000m"))
-        assert status == 502 and len(r.sends) == 1  # at once, and not by the deadline's timer
+        assert status == 502 and len(r.sends) == 1  # at once, not at the deadline
         assert not r.node.pool.idle
         spoilt = next(server for server in r.servers if server.seen)
         await spoilt.until(lambda: spoilt.closed == 1)
 
 
-async def _spoilt_in_time(answer: bytes) -> None:
+async def _malformed_in_time(answer: bytes) -> None:
     async with asyncio.timeout(4.0):  # the deadline is at 6 s
-        await _spoilt(answer)
+        await _malformed(answer)
 
 
 @pytest.mark.parametrize(
@@ -87,7 +87,7 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 4\r\n\r\ndone",
         b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx",
-        b"HTTP/1.1 200 OK\r\nX-Pad: " + b"p" * 40_000,  # one field without end
+        b"HTTP/1.1 200 OK\r\nX-Pad: " + b"p" * 40_000,  # a field that never ends
         b"HTTP/1.1 200 OK\r\n" + b"X-Pad: p\r\n" * 5_000,
         b"HTTP/1.1 103 Early Hints\r\n\r\n" * 2_000,
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4;x=" + b"e" * 300_000,
@@ -95,11 +95,11 @@
         b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
     ],
 )
-def test_a_spoilt_answer_is_a_failure_at_once(answer: bytes) -> None:
-    run(_spoilt_in_time, answer)
+def test_a_malformed_answer_is_a_failure_at_once(answer: bytes) -> None:
+    run(_malformed_in_time, answer)
 
 
-async def _ahead() -> None:
+async def _interim() -> None:
     async def script(seen: Seen) -> bytes:
         return b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + OK
 
@@ -110,8 +110,8 @@
         assert r.servers[0].connections == 1
 
 
-def test_interim_answers_ahead_are_skipped() -> None:
-    run(_ahead)
+def test_interim_answers_are_skipped() -> None:
+    run(_interim)
 
 
 async def _large() -> None:
@@ -135,7 +135,7 @@
         server = next(iter(r.node.engine.fleet.servers.values()))
         kept = r.node.pool.idle_by_server[server][0]
         assert kept.transport is not None
-        kept.transport.pause_reading()  # as when the loop has not come to it yet
+        kept.transport.pause_reading()  # as if the event loop had not read from it yet
         seen = r.servers[0].seen[0]
         seen.writer.write(reply(200, b"stale"))
         await seen.writer.drain()
@@ -144,7 +144,7 @@
         assert r.servers[0].connections == 2
 
 
-def test_a_kept_connection_with_unread_bytes_is_not_used_again() -> None:
+def test_an_idle_connection_with_unread_bytes_is_not_reused() -> None:
     run(_unread_bytes)
 
 
@@ -157,16 +157,16 @@
         await r.servers[0].until(lambda: bool(r.sends))
         r.node.pool.max_connections = 1
         status, _, _ = await r.ask(call("unsafe", left="600m"))
-        assert status == 503  # nothing of it has left the node
+        assert status == 503  # the request never left the node
         balancer = r.node.engine.balancer
         assert isinstance(balancer, Balancer)
         server = next(iter(balancer.servers.values()))
-        # the lack is the node's own
+        # the lack of connections is the node's own
         assert server.evidence.trials == 0 and server.connect_after < balancer.load_at
         first.cancel()
 
 
-def test_a_full_pool_is_no_fault_of_the_server() -> None:
+def test_a_full_pool_does_not_count_against_the_server() -> None:
     run(_pool_full)
 
 
@@ -183,13 +183,13 @@
 INNER = _head("Content-Length: 0\r\n\r\n", identity="78")
 
 
-async def _turned_away(data: bytes) -> None:
+async def _rejected(data: bytes) -> None:
     async with rig(serve_ok) as r:
         caller = await r.caller()
         caller.writer.write(data)
         got = b""
-        with suppress(ConnectionError):  # what is still unread at the close makes it a reset
-            got = await caller.ended()  # an error or nothing, and the end
+        with suppress(ConnectionError):  # closing with unread bytes sends a reset
+            got = await caller.ended()  # an error or nothing, then the end
         assert not got or got.startswith((b"HTTP/1.1 4", b"HTTP/1.1 5"))
         assert got.count(b"HTTP/1.1") <= 1
         assert not r.sends
@@ -199,7 +199,7 @@
 @pytest.mark.parametrize(
     "data",
     [
-        b"",  # silent
+        b"",  # sends nothing
         b"POST /ap",
         _head("X-Pad: "),
         _head("Content-Length: 300\r\n\r\n") + b"half",
@@ -213,14 +213,14 @@
         _head("Transfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n0\r\nX-Pad: ") + b"p" * 300_000,
         _head("X-Pad: ") + b"p" * 200_000,
         _head("a line with no colon\r\n\r\n"),
-        _head("\r\n", method="GET"),  # not the class's method
+        _head("\r\n", method="GET"),  # wrong method for the class
         _head("Content-Length: 0\r\n\r\n", cls="safe"),
         _head("Content-Length: 0\r\nIdempotency-Key: k\r\n\r\n"),
         _head("Content-Length: 0\r\n\r\n", cls="unsafes") * 600,
     ],
 )
-def test_what_cannot_be_taken_gets_one_error_or_a_close_and_reaches_no_server(data: bytes) -> None:
-    run(_turned_away, data)
+def test_a_bad_request_gets_one_error_or_a_close_and_reaches_no_server(data: bytes) -> None:
+    run(_rejected, data)
 
 
 async def _open_id() -> None:
@@ -240,11 +240,11 @@
         release.set()
         assert (await one.answer())[0] == 200
         assert len(r.sends) == 1
-        assert (await one.ask(data))[0] == 200  # it is free again
+        assert (await one.ask(data))[0] == 200  # the id is free again
         assert not r.node.engine.ids
 
 
-def test_the_id_of_another_open_request_is_turned_away() -> None:
+def test_the_id_of_another_open_request_is_rejected() -> None:
     run(_open_id)
 
 
@@ -260,7 +260,7 @@
         assert r.sends[0].field("X-Correlation-Id") == "77" and r.sends[0].field("X-Other") is None
 
 
-def test_trailers_change_nothing() -> None:
+def test_trailers_are_ignored() -> None:
     run(_trailer)
 
 
@@ -286,37 +286,37 @@
     run(_pipelined, count, drain)
 
 
-async def _crowd() -> None:
-    async with rig(serve_ok, sockets=128) as r:  # 40 callers
-        usual = [await r.caller() for _ in range(20)]
-        for caller in usual:
+async def _silent_connections() -> None:
+    async with rig(serve_ok, sockets=128) as r:  # at most 40 callers
+        regular = [await r.caller() for _ in range(20)]
+        for caller in regular:
             assert (await caller.ask(call("unsafe")))[0] == 200
-        half = await r.caller()
-        half.writer.write(call("unsafe", b"whole")[:-2])
+        incomplete = await r.caller()
+        incomplete.writer.write(call("unsafe", b"whole")[:-2])
         await r.until(lambda: any(c.reading for c in r.node.callers.all))
         once = [await r.caller() for _ in range(15)]
         silent = [await r.caller() for _ in range(100)]
-        for caller in usual:  # none was pushed out, none refused
+        for caller in regular:  # none was closed or refused
             assert (await caller.ask(call("unsafe")))[0] == 200
-        half.writer.write(b"le")
-        assert (await half.answer())[0] == 200
+        incomplete.writer.write(b"le")
+        assert (await incomplete.answer())[0] == 200
         for caller in (*once, *silent):
             assert await caller.ended() == b""
         assert len(r.node.callers.all) <= 40
         stay = []
-        for _ in range(60):  # they ask once and stay
+        for _ in range(60):  # each sends one request and stays connected
             stay.append(await r.caller())
             assert (await stay[-1].ask(call("unsafe")))[0] == 200
-        for caller in usual:
+        for caller in regular:
             assert (await caller.ask(call("unsafe")))[0] == 200
 
 
-def test_a_crowd_that_says_nothing_pushes_out_no_usual_client(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(eviction, "REUSE_GRACE_S", 2 * PATIENCE)  # on a busy machine too
-    run(_crowd)
+def test_silent_connections_do_not_push_out_regular_clients(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(eviction, "REUSE_GRACE_S", 2 * PATIENCE)  # for busy machines
+    run(_silent_connections)
 
 
-async def _half_behind() -> None:
+async def _incomplete_after_complete() -> None:
     async with rig(serve_ok) as r:
         caller = await r.caller()
         caller.writer.write(call("unsafe") + call("unsafe") + b"POST /api HTTP/1.1\r\n")
@@ -324,8 +324,8 @@
         assert await caller.ended() == b""
 
 
-def test_half_a_request_behind_whole_ones_is_ended_after_them() -> None:
-    run(_half_behind)
+def test_an_incomplete_request_after_complete_ones_is_rejected_after_them() -> None:
+    run(_incomplete_after_complete)
 
 
 async def _does_not_read() -> None:
@@ -339,16 +339,16 @@
         await asyncio.get_running_loop().sock_connect(sock, ("127.0.0.1", r.node.port))
         await asyncio.get_running_loop().sock_sendall(sock, b"".join(call("unsafe") for _ in range(200)))
         await r.until(lambda: len(r.node.callers.all) == 1)
-        await r.until(lambda: not r.node.callers.all)  # cut off
+        await r.until(lambda: not r.node.callers.all)  # disconnected
         assert len(r.sends) < 200
         sock.close()
 
 
-def test_a_caller_that_reads_nothing_is_cut_off() -> None:
+def test_a_caller_that_reads_nothing_is_disconnected() -> None:
     run(_does_not_read)
 
 
-# New configurations ---------------------------------------------------------------------------
+# Reloaded configurations ----------------------------------------------------------------------
 
 
 async def _lookup(*hosts: dict[str, object], seq: int = 1) -> tuple[Discovery, asyncio.Server]:
@@ -364,7 +364,7 @@
 
 
 async def _answers(port: int, body: bytes) -> None:
-    """Waits until requests are answered with `body`; each is answered meanwhile."""
+    """Waits until requests are answered with `body`; until then, each must be answered."""
     async with asyncio.timeout(PATIENCE):
         while True:
             status, _, got = await (await connect(port)).ask(call("unsafe"))
@@ -374,7 +374,7 @@
             await asyncio.sleep(0.02)
 
 
-async def _hup(path: Path) -> None:
+async def _reloaded(path: Path) -> None:
     async def other(_seen: Seen) -> bytes:
         return reply(200, b"other")
 
@@ -382,7 +382,8 @@
     listeners = [await asyncio.start_server(server, "127.0.0.1", 0) for server in (one, two)]
     dials = [address_of(listener) for listener in listeners]
     first, lookup_1 = await _lookup(entry("s0", dials[0]), seq=900)
-    second, lookup_2 = await _lookup(entry("s1", dials[1]), seq=3)  # s0 is gone, and its numbers are lower
+    # Without s0, and with lower sequence numbers.
+    second, lookup_2 = await _lookup(entry("s1", dials[1]), seq=3)
     third, lookup_3 = await _lookup(entry("s0", dials[0]), seq=3)
     nowhere = f"127.0.0.1:{free_port()}"
     async with program(path, [entry("s0", dials[0])], address_of(lookup_1)) as (process, port):
@@ -393,7 +394,7 @@
         await asyncio.sleep(0.2)
         await _answers(port, b"done")
         path.write_text(text)
-        _rewrite(path, address_of(lookup_1), nowhere)  # the old list serves on while nothing answers
+        _rewrite(path, address_of(lookup_1), nowhere)  # the old list stays in use while discovery is down
         process.send_signal(signal.SIGHUP)
         await asyncio.sleep(0.2)
         await _answers(port, b"done")
@@ -415,11 +416,11 @@
         listener.close()
 
 
-def test_sighup_takes_the_new_discovery_in_full_and_serves_on(tmp_path: Path) -> None:
-    run(_hup, tmp_path / "config.json")
+def test_sighup_switches_to_the_new_discovery_without_interruption(tmp_path: Path) -> None:
+    run(_reloaded, tmp_path / "config.json")
 
 
-async def _hup_under_load(path: Path) -> None:
+async def _reloaded_under_load(path: Path) -> None:
     async def slow(_seen: Seen) -> bytes:
         await asyncio.sleep(0.05)
         return OK
@@ -447,16 +448,16 @@
         waiting.close()
 
 
-def test_sighup_under_load_loses_nothing(tmp_path: Path) -> None:
-    run(_hup_under_load, tmp_path / "config.json")
+def test_sighup_under_load_loses_no_request(tmp_path: Path) -> None:
+    run(_reloaded_under_load, tmp_path / "config.json")
 
 
-# Kept connections that servers drop ---------------------------------------------------------
+# Idle connections that servers drop -----------------------------------------------------------
 
 
 async def _dropped() -> None:
     async def script(seen: Seen) -> bytes | None:
-        if len([s for s in r.sends if s.connection == seen.connection]) > 1:  # a kept one: gone unsaid
+        if len([s for s in r.sends if s.connection == seen.connection]) > 1:  # reused: dropped without notice
             reset(seen.writer)
             return None
         return OK
@@ -464,12 +465,13 @@
     async with rig(script) as r:
         caller = await r.caller()
         assert (await caller.ask(call("safe")))[0] == 200
-        assert (await caller.ask(call("safe")))[0] == 200  # the kept one breaks, and it goes out again
+        # The reused connection breaks and the request is retried.
+        assert (await caller.ask(call("safe")))[0] == 200
         for _ in range(3):
             await asyncio.sleep(0.1)
-            assert (await caller.ask(call("unsafe")))[0] == 200  # on connections of their own
+            assert (await caller.ask(call("unsafe")))[0] == 200  # on new connections
         assert r.servers[0].connections == 5
 
 
-def test_where_kept_connections_break_what_may_not_be_repeated_goes_out_on_new_ones() -> None:
+def test_after_a_stale_connection_unsafe_requests_use_new_connections() -> None:
     run(_dropped)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""The program as it is run: configuration, SIGTERM, a restart from the known list, and the watch."""
+"""The node as a process: configuration, SIGTERM, a restart from the configured list, and the watch."""
 
 from __future__ import annotations
 
@@ -92,7 +92,7 @@
     listener.close()
 
 
-def test_a_restart_serves_from_the_known_list_while_discovery_is_down(tmp_path: Path) -> None:
+def test_a_restart_serves_from_the_configured_list_while_discovery_is_down(tmp_path: Path) -> None:
     run(_restart_from_known, tmp_path / "config.json")
 
 
@@ -113,7 +113,7 @@
         await server.until(lambda: len(server.seen) == 1)
         process.send_signal(signal.SIGTERM)
         async with asyncio.timeout(PATIENCE):
-            while await ready(port) != 503:  # not ready any more, and still accepting
+            while await ready(port) != 503:  # no longer ready, but still accepting
                 await asyncio.sleep(0.005)
         late = await connect(port)
         late.writer.write(call("unsafe"))
@@ -129,7 +129,7 @@
         each.close()
 
 
-def test_sigterm_answers_what_came_and_comes_and_exits_with_0(tmp_path: Path) -> None:
+def test_sigterm_answers_open_and_new_requests_and_exits_with_0(tmp_path: Path) -> None:
     run(_sigterm, tmp_path / "config.json")
 
 
@@ -153,7 +153,7 @@
         json.dumps({**GOOD, "discovery": 5}),
     ],
 )
-def test_a_bad_configuration_is_one_plain_line(text: str | None, tmp_path: Path) -> None:
+def test_a_bad_configuration_is_reported_in_one_line(text: str | None, tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
@@ -173,7 +173,8 @@
 async def _watch_lost() -> None:
     async with rig(serve_ok, serve_ok) as r:
         await r.discovery.watches(1)
-        assert r.discovery.targets == ["/v1/endpoints?watch=1&after=7"]  # from the known list's version
+        # Resumes from the configured list's sequence number.
+        assert r.discovery.targets == ["/v1/endpoints?watch=1&after=7"]
         r.discovery.change(dict(r.discovery.hosts[0], health="draining"))
         await r.until(lambda: r.node.engine.fleet.seq == 2)
         r.discovery.hosts[0]["health"] = "draining"
@@ -185,7 +186,7 @@
         await r.until(lambda: list(r.node.engine.fleet.servers) == ["s0"])
 
 
-def test_a_watch_that_ends_is_opened_again_from_where_it_was() -> None:
+def test_a_watch_that_ends_is_resumed() -> None:
     run(_watch_lost)
 
 
@@ -217,16 +218,16 @@
     run(bad)
 
 
-async def _asked() -> None:
+async def _on_demand() -> None:
     async with rig(serve_ok, registryMode="ask", rules={"mustAskInNs": 400_000_000}) as r:
         await r.discovery.watches(1)
         r.discovery.writers[0].transport.abort()
-        await r.discovery.watches(2)  # the decisions subscribe again
+        await r.discovery.watches(2)  # the balancer subscribes again
         assert (await r.ask(call("safe")))[0] == 200
 
 
-def test_where_lists_are_asked_for_the_decisions_subscribe() -> None:
-    run(_asked)
+def test_in_on_demand_mode_the_balancer_subscribes() -> None:
+    run(_on_demand)
 
 
 async def _ready_waits() -> None:
@@ -258,13 +259,13 @@
             await r.node.finished.wait()
 
 
-def test_a_node_that_is_told_to_end_answers_all_before_it_is_killed() -> None:
+def test_shutdown_answers_all_requests_before_sigkill() -> None:
     run(_answers_all_before_sigkill)
 
 
 async def _silent_watch() -> None:
     async with rig(serve_ok, serve_ok) as r:
-        r.discovery.beats = False  # the watch that is open says nothing any more, nor does it end
+        r.discovery.beats = False  # the open watch goes silent but does not end
         r.discovery.hosts = [dict(r.discovery.hosts[0], health="draining"), r.discovery.hosts[1]]
         r.discovery.seq += 1
         balancer = r.node.engine.balancer
@@ -273,5 +274,5 @@
         assert r.discovery.targets[-1] == "/v1/endpoints?watch=1&after=1"
 
 
-def test_a_watch_that_falls_silent_is_opened_again() -> None:
+def test_a_silent_watch_is_reopened() -> None:
     run(_silent_watch)
--- a/tests/test_silent_discovery.py
+++ b/tests/test_silent_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery falls silent and comes back with a drain, in virtual time: the node hears it within the grace."""
+"""Discovery goes silent and returns with a drain, in virtual time: the node must learn of it in time."""
 
 from __future__ import annotations
 
@@ -21,45 +21,48 @@
 from rigs.simulation.loop import Machine, VirtualLoop
 from rigs.simulation.network import Network
 
-GRACE = 0.5  # seconds, as in the settings
+GRACE_S = 0.5  # seconds, as in the settings
 NODE, AGENT, PORT = "10.0.0.1", "10.0.0.2", 8500
-BEAT = 2.0  # seconds between two empty lines of a watch
+HEARTBEAT_S = 2.0  # seconds between two empty lines of a watch
 
 
 class Agent:
-    """Discovery on its machine. What comes while it is silent is never answered; older watches are dead."""
+    """Discovery on a machine of its own.
+
+    Calls that arrive while it is silent are never answered, and watches opened before stay dead.
+    """
 
     def __init__(self, loop: VirtualLoop, network: Network, delay: float = 0.0) -> None:
         self.loop, self.network, self.delay = loop, network, delay
         self.machine, self.silent, self.health, self.seq = Machine(AGENT), False, "up", 1
-        self.open, self.most, self.watches = 0, 0, list[_Asked]()
+        self.open, self.max_open, self.watches = 0, 0, list[_AgentConnection]()
         network.add(AGENT, "z", self.machine)
         self.listen()
 
     def listen(self) -> None:
-        self.listener = self.network.listen(self.machine, lambda: _Asked(self), AGENT, PORT)
+        self.listener = self.network.listen(self.machine, lambda: _AgentConnection(self), AGENT, PORT)
 
     def line(self) -> bytes:
         return json.dumps(
             {"seq": self.seq, "whole": True, "hosts": [entry("s0", "10.0.0.3:1", self.health)]}
         ).encode()
 
-    def fall_silent(self) -> None:
+    def go_silent(self) -> None:
         self.silent, self.watches = True, []
 
-    def speak(self) -> None:
-        """It comes back, and what it has says that the server drains."""
+    def recover(self) -> None:
+        """It answers again, and its list now says that the server is draining."""
         self.silent, self.health, self.seq = False, "draining", self.seq + 1
 
 
-class _Asked(asyncio.Protocol):
+class _AgentConnection(asyncio.Protocol):
     def __init__(self, agent: Agent) -> None:
         self.agent = agent
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.agent.open += 1
-        self.agent.most = max(self.agent.most, self.agent.open)
+        self.agent.max_open = max(self.agent.max_open, self.agent.open)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.agent.open -= 1
@@ -80,7 +83,7 @@
     def write(self, line: bytes) -> None:
         if self in self.agent.watches and not self.transport.is_closing():
             self.transport.write(b"%x\r\n%s\n\r\n" % (len(line) + 1, line))
-            self.agent.loop.call_later(BEAT, self.write, b"")
+            self.agent.loop.call_later(HEARTBEAT_S, self.write, b"")
 
 
 class _Clock:
@@ -96,8 +99,8 @@
         return self.loop.call_later((when - self.now()) / SECOND, call)
 
 
-class Play:
-    """One node's discovery before an agent that is silent from `silent` to `back`, in seconds."""
+class Scenario:
+    """One node's discovery client and an agent that is silent for a while."""
 
     def __init__(self, seed: int, **parts: Any) -> None:
         self.loop = VirtualLoop(seed)
@@ -105,7 +108,7 @@
         self.agent = Agent(self.loop, self.network)
         self.node = Machine(NODE)
         self.network.add(NODE, "z", self.node)
-        self.lines, self.writes = list[str](), list[bool]()
+        self.lines, self.may_write_results = list[str](), list[bool]()
         self.engine = Engine(from_object(settings_with(**parts)), seed, _Clock(self.loop), self.lines.append)
         self.seed = seed
 
@@ -117,79 +120,80 @@
         self.source.start()
 
     @property
-    def told(self) -> float:
-        """When the node heard that the server drains, in seconds; 0 for never."""
+    def drain_heard_at(self) -> float:
+        """When the node learned that the server is draining, in seconds; 0 for never."""
         server = self.engine.fleet.servers.get("s0")
         return server.told / SECOND if server is not None else 0.0
 
-    def look(self) -> None:
-        """Notes whether an attempt that was decided before, and connects still, might be written now."""
+    def record_may_write(self) -> None:
+        """Records whether an attempt that is still connecting might be written now."""
         request = cast(Request, SimpleNamespace(over=False, deadline=60 * SECOND))
         server = self.engine.fleet.servers.get("s0")
-        self.writes.append(server is not None and self.engine.may_write(request, server))
+        self.may_write_results.append(server is not None and self.engine.may_write(request, server))
 
 
 SEEDS = range(20)
 
 
-def back(seed: int) -> float:
-    return 10.0 + seed * 0.137  # so that it falls on all parts of the node's calls
+def recovery_time(seed: int) -> float:
+    return 10.0 + seed * 0.137  # spread over all phases of the node's retry interval
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("start", [0.0, 5.0], ids=["watched", "started in the silence"])
-def test_a_drain_that_is_told_as_silence_ends_is_heard_within_half_its_grace(seed: int, start: float) -> None:
-    """A call that met the silence hung for 2 s of the drain's grace of 0.5 s (herd+mass, seed 525645978087:
-    all 58 nodes, 159 sends 0.57 s after).
+def test_a_drain_announced_after_a_silence_arrives_within_half_its_grace(seed: int, start: float) -> None:
+    """A call made during the silence hung for 2 s of the drain's grace of 0.5 s.
+
+    Seen in herd+mass, seed 525645978087: on all 58 nodes, with 159 sends 0.57 s after the drain began.
     """
-    play = Play(seed)
-    play.at(start, play.start, play.node)
-    play.at(2.0, play.agent.fall_silent)
-    play.at(back(seed), play.agent.speak)
-    play.at(back(seed) - 0.1, play.look)
-    play.at(back(seed) + GRACE, play.look)
-    play.loop.run_until(20.0)
-    assert back(seed) < play.told < back(seed) + GRACE / 2
-    assert play.writes == [start < 2.0, False], "what connects past the grace is not written"
-    assert play.agent.most <= 3, "the old watch, a call, and one beside it"
-    assert len(play.lines) <= 2
+    scenario = Scenario(seed)
+    scenario.at(start, scenario.start, scenario.node)
+    scenario.at(2.0, scenario.agent.go_silent)
+    scenario.at(recovery_time(seed), scenario.agent.recover)
+    scenario.at(recovery_time(seed) - 0.1, scenario.record_may_write)
+    scenario.at(recovery_time(seed) + GRACE_S, scenario.record_may_write)
+    scenario.loop.run_until(20.0)
+    assert recovery_time(seed) < scenario.drain_heard_at < recovery_time(seed) + GRACE_S / 2
+    assert scenario.may_write_results == [start < 2.0, False], "what connects past the grace is not written"
+    assert scenario.agent.max_open <= 3, "the old watch, a call, and one beside it"
+    assert len(scenario.lines) <= 2
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_drain_that_is_told_by_discovery_that_refused_is_heard_within_half_its_grace(seed: int) -> None:
-    """The pause between two calls grew to 0.75 s."""
-    play = Play(seed)
-    play.at(0.0, play.start, play.node)
+def test_a_drain_announced_after_refused_connections_arrives_within_half_its_grace(seed: int) -> None:
+    """The pause between two calls had grown to 0.75 s."""
+    scenario = Scenario(seed)
+    scenario.at(0.0, scenario.start, scenario.node)
 
     def end() -> None:
-        play.agent.listener.close()
-        play.agent.fall_silent()
-        play.network.reset(play.agent.machine)
+        scenario.agent.listener.close()
+        scenario.agent.go_silent()
+        scenario.network.reset(scenario.agent.machine)
 
     def again() -> None:
-        play.agent.listen()
-        play.agent.speak()
-
-    play.at(2.0, end)
-    play.at(back(seed), again)
-    play.loop.run_until(20.0)
-    assert back(seed) < play.told < back(seed) + GRACE / 2
-
-
-def test_discovery_that_answers_later_than_its_callers_ask_again_is_heard() -> None:
-    play = Play(1)
-    play.agent.delay, play.agent.health = 1.5, "draining"
-    play.at(0.0, play.start, play.node)
-    play.loop.run_until(10.0)
-    assert 0 < play.told < 2.0
-    assert play.agent.open == 1, "those beside it are closed"
-
-
-def test_discovery_that_is_asked_gets_one_call_at_a_time() -> None:
-    """It is one service for all nodes, with a queue: what is asked beside lengthens it."""
-    play = Play(1, registryMode="ask")
-    play.agent.silent = True
-    play.at(0.0, play.start, play.node)
-    play.at(0.0, lambda: play.source.subscribe(), play.node)
-    play.loop.run_until(60.0)
-    assert play.agent.most == 1
+        scenario.agent.listen()
+        scenario.agent.recover()
+
+    scenario.at(2.0, end)
+    scenario.at(recovery_time(seed), again)
+    scenario.loop.run_until(20.0)
+    assert recovery_time(seed) < scenario.drain_heard_at < recovery_time(seed) + GRACE_S / 2
+
+
+def test_discovery_slower_than_the_retry_interval_is_heard() -> None:
+    scenario = Scenario(1)
+    scenario.agent.delay, scenario.agent.health = 1.5, "draining"
+    scenario.at(0.0, scenario.start, scenario.node)
+    scenario.loop.run_until(10.0)
+    assert 0 < scenario.drain_heard_at < 2.0
+    assert scenario.agent.open == 1, "those beside it are closed"
+
+
+def test_on_demand_discovery_gets_one_call_at_a_time() -> None:
+    """On-demand discovery is one service for all nodes, with a queue that additional calls lengthen."""
+    scenario = Scenario(1, registryMode="ask")
+    scenario.agent.silent = True
+    scenario.at(0.0, scenario.start, scenario.node)
+    scenario.at(0.0, lambda: scenario.source.subscribe(), scenario.node)
+    scenario.loop.run_until(60.0)
+    assert scenario.agent.max_open == 1
