--- a/minthitch/net/callers.py
+++ b/minthitch/net/callers.py
@@ -99,8 +99,8 @@
 class Caller(asyncio.Protocol):
     """One caller's connection. It handles one request at a time; pipelined requests wait in a queue."""
 
-    def __init__(self, table: Callers) -> None:
-        self.table, self.host = table, table.host
+    def __init__(self, callers: Callers) -> None:
+        self.callers, self.host = callers, callers.host
         self.loop = asyncio.get_running_loop()
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
@@ -128,7 +128,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.table.add(self)
+        self.callers.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.pipelined.clear()
@@ -136,7 +136,7 @@
         stream, self.stream = self.stream, None
         if stream is not None:
             stream.drop()
-        self.table.remove(self)
+        self.callers.remove(self)
         self.current = None
 
     def pause_writing(self) -> None:
@@ -250,14 +250,14 @@
     def _reserve_memory(self, size: int) -> None:
         """Reserves memory for a long body within the limit for all callers: many at once would fill it."""
         if size > max(MOST_BODY, self.granted):
-            if self.held_body_bytes + size > self.table.body_memory.hard_limit:
+            if self.held_body_bytes + size > self.callers.body_memory.hard_limit:
                 raise Rejected(413, "body exceeds the memory for request bodies")
             self.granted = size
-            self.awaits_memory = not self.table.body_memory.reserve(
+            self.awaits_memory = not self.callers.body_memory.reserve(
                 self, self.held_body_bytes + size, self.loop.time()
             )
             if self.awaits_memory:
-                self.loop.call_soon(self.table.grant_memory)
+                self.loop.call_soon(self.callers.grant_memory)
 
     def on_memory_granted(self) -> None:
         """Called once memory for the body is available."""
@@ -308,7 +308,7 @@
             self._start_request(self.pipelined.popleft())
         if self.closing or transport.is_closing():
             return
-        self.table.update_idle(self)
+        self.callers.update_idle(self)
         # Read on while nothing is queued: otherwise a caller's disconnect would go unnoticed.
         if self.pipelined or self.unparsed or self.awaits_memory:
             if transport.is_reading():
@@ -333,7 +333,7 @@
 
     def _reject(self, err: Rejected) -> None:
         """Answers and closes, so that repeating a bad request costs the client a new connection."""
-        self.table.count_rejected(f"{err.status}: {err}")
+        self.callers.count_rejected(f"{err.status}: {err}")
         if self.current is None:
             self.current = Incoming()
         self.current.keep_alive = False
@@ -347,7 +347,7 @@
     def _release_memory(self) -> None:
         if self.held_body_bytes and not self.pipelined:
             self.held_body_bytes = 0
-            self.table.release_memory(self)
+            self.callers.release_memory(self)
 
     def answer(self, call: Call, answer: Answer) -> None:
         """Sends the engine's final answer."""
@@ -447,7 +447,7 @@
             self.pipelined.clear()
             self.unparsed = b""
             self.transport.close()
-            self.table.update_idle(self)
+            self.callers.update_idle(self)
 
     def check_timeouts(self, now: float, stopping: bool) -> None:
         """Ends connections that stay silent, stop within a request, or do not read their answers."""
--- a/minthitch/net/node.py
+++ b/minthitch/net/node.py
@@ -35,10 +35,8 @@
 
 def memory_for_bodies(memory: int) -> BodyMemory[Caller]:
     """A budget for long request bodies that keeps the whole process within `memory` bytes."""
-    on_caller_lost = memory - BASE_MEMORY_BYTES
-    return BodyMemory(
-        max(on_caller_lost // 2, MIN_BODY_MEMORY_BYTES), max(on_caller_lost, 2 * MIN_BODY_MEMORY_BYTES)
-    )
+    available = memory - BASE_MEMORY_BYTES
+    return BodyMemory(max(available // 2, MIN_BODY_MEMORY_BYTES), max(available, 2 * MIN_BODY_MEMORY_BYTES))
 
 
 class Node:
@@ -175,8 +173,8 @@
 
     def _check_finished(self) -> None:
         ending = self.lifecycle.state is State.ENDING
-        gone = not self.callers.all or self.lifecycle.cuts_streams(self.loop.time())
-        if ending and not self.listening and gone and not self.engine.open:
+        callers_done = not self.callers.all or self.lifecycle.cuts_streams(self.loop.time())
+        if ending and not self.listening and callers_done and not self.engine.open:
             self.finished.set()
 
     # For administration -------------------------------------------------------------------------
--- a/minthitch/net/pool.py
+++ b/minthitch/net/pool.py
@@ -395,7 +395,7 @@
         # The same by server; the last used comes last.
         self.idle_by_server: dict[Server, list[Connection]] = {}
         self.tasks: set[asyncio.Task[None]] = set()  # the event loop holds only weak references to tasks
-        self.sweeper = self.loop.call_later(min(self.max_idle_s / 4, SWEEP_INTERVAL_S), self._sweep)
+        self.sweep_timer = self.loop.call_later(min(self.max_idle_s / 4, SWEEP_INTERVAL_S), self._sweep)
 
     def start(self, attempt: Attempt) -> None:
         """Sends on an idle or a new connection. Outcomes are reported later, never from within this call."""
@@ -487,9 +487,9 @@
             if connection.last_used_at > limit:
                 break
             connection.close()
-        self.sweeper = self.loop.call_later(min(self.max_idle_s / 4, SWEEP_INTERVAL_S), self._sweep)
+        self.sweep_timer = self.loop.call_later(min(self.max_idle_s / 4, SWEEP_INTERVAL_S), self._sweep)
 
     def close(self) -> None:
-        self.sweeper.cancel()
+        self.sweep_timer.cancel()
         for connection in list(self.connections):
             connection.close()
--- a/tests/test_long_bodies.py
+++ b/tests/test_long_bodies.py
@@ -178,7 +178,7 @@
 
     async with rig(script) as r:
         caller = await r.caller()
-        caller.reader._limit = 1  # stops reading at once
+        caller.reader._limit = 1  # type: ignore[attr-defined]  # stops reading at once
         caller.writer.write(call("unsafe"))
         await r.until(lambda: sent > 0)
         before = -1
