--- a/minthitch/mesh/http/upstream.py
+++ b/minthitch/mesh/http/upstream.py
@@ -1,6 +1,6 @@
 """A sidecar's connections to the one server beside it.
 
-Connection reuse, parsing and closing are the node's (minthitch.net.servers). This module adds the mesh's
+Connection reuse, parsing and closing are the node's (minthitch.net.pool). This module adds the mesh's
 headers, its outcomes, and the check that a response belongs to the request that waits for it.
 """
 
@@ -14,7 +14,7 @@
 from minthitch.engine.attempts import Attempt
 from minthitch.engine.calls import Message, Served
 from minthitch.engine.fleet import Server
-from minthitch.net.servers import COPIED, IDLE_PART, Connection, Pool
+from minthitch.net.pool import IDLE_FRACTION, MAX_COPY_BYTES, Connection, Pool
 
 # Assumed idle limit of the server until it states one in Keep-Alive. The pool uses half of it, well below
 # what servers state.
@@ -134,8 +134,8 @@
     stray_responses = 0  # responses that belonged to other requests
     not_executed = False  # whether the current response states that its request did not run
 
-    def _begin(self) -> None:
-        super()._begin()
+    def _start_answer(self) -> None:
+        super()._start_answer()
         self.not_executed = False
 
     def send(self, attempt: Attempt) -> None:
@@ -150,17 +150,17 @@
         self.written = False
         call = cast(UpstreamCall, attempt)
         head, body = _request_head(call), call.message.body
-        if len(body) > COPIED:
+        if len(body) > MAX_COPY_BYTES:
             self.transport.write(head)
             self.transport.write(body)
         else:
             self.transport.write(head + body)
         if self.transport.get_write_buffer_size() == 0:
-            self._wrote()
+            self._on_written()
 
     def on_header(self, name: bytes, value: bytes) -> None:
         super().on_header(name, value)
-        if self.headed or self.complete:  # a trailer, or a header of a later response
+        if self.head_complete or self.complete:  # a trailer, or a header of a later response
             return
         lower = name.lower()
         if lower == b"x-not-executed":
@@ -178,20 +178,20 @@
         _, _, seconds = value.lower().partition(b"timeout=")
         digits = seconds.split(b",")[0].strip()
         if digits.isdigit() and len(digits) < 6:
-            self.pool.idle_for = max(min(self.pool.idle_for, IDLE_PART * int(digits)), MIN_IDLE_S)
+            self.pool.max_idle_s = max(min(self.pool.max_idle_s, IDLE_FRACTION * int(digits)), MIN_IDLE_S)
 
-    def _answered(self) -> None:
+    def _on_answer_complete(self) -> None:
         attempt = self.attempt
         if attempt is None:
-            self._passed_on()
+            self._on_stream_complete()
             return
         call = cast(UpstreamCall, attempt)
-        if self._is_stray(call) and self.lasts and not self.surplus:
+        if self._is_stray(call) and self.keeps_open and not self.has_surplus:
             self.stray_responses += 1
             self._reset()  # the response to the current request is still to come
             return
         outcome = classify_response(call, self.status, self.not_executed, tuple(self.fields), self.body)
-        keep = self.lasts and self.written and not self.surplus and outcome.kind is not UNKNOWN
+        keep = self.keeps_open and self.written and not self.has_surplus and outcome.kind is not UNKNOWN
         self._reset()
         if keep:
             self.attempt, attempt.carried = None, None
@@ -256,11 +256,11 @@
         self.start(cast(Attempt, call))
 
     async def _open(self, server: Server) -> Connection:
-        self.opening += 1
+        self.connecting_count += 1
         try:
             _, connection = await self.loop.create_connection(
                 lambda: ServerConnection(self, server), server.host, server.port
             )
         finally:
-            self.opening -= 1
+            self.connecting_count -= 1
         return connection
--- a/minthitch/mesh/sidecar/exchange.py
+++ b/minthitch/mesh/sidecar/exchange.py
@@ -117,7 +117,7 @@
         hop_by_hop = {part.strip().lower() for part in request.fields.get(b"connection", b"").split(b",")}
         self.fields: Fields = tuple(
             field
-            for field in request.head
+            for field in request.forwarded_fields
             if field[0].lower() not in REWRITTEN_HEADERS and field[0].lower() not in hop_by_hop
         )
         self.in_flight: dict[int, Attempt] = {}
--- a/tests/mesh/test_admission.py
+++ b/tests/mesh/test_admission.py
@@ -178,7 +178,7 @@
 class ForwardedHeaders(unittest.TestCase):
     def test_client_headers_for_caller_deadline_and_target_are_not_forwarded(self) -> None:
         item = Incoming()
-        item.head = [
+        item.forwarded_fields = [
             (b"X-Request-Id", b"1"),
             (b"x-caller-service", b"forged"),
             (b"X-Deadline-Ms", b"9"),
--- a/tests/mesh/test_delivery_http.py
+++ b/tests/mesh/test_delivery_http.py
@@ -144,7 +144,7 @@
 
 class ModelConnection(ServerConnection):
     @property
-    def quiet(self) -> bool:
+    def is_quiet(self) -> bool:
         wire = cast(Wire, self.transport)
         return not wire.closing and not wire.unread and not wire.half_closed
 
@@ -420,9 +420,9 @@
         """The end of the connection is taken as the end of the response."""
 
         def lost(connection: ServerConnection, exc: Exception | None) -> None:
-            if connection.headed and not connection.complete and connection.attempt is not None:
-                connection._whole()
-                connection._answered()
+            if connection.head_complete and not connection.complete and connection.attempt is not None:
+                connection._freeze_answer()
+                connection._on_answer_complete()
             real(connection, exc)
 
         real = ServerConnection.connection_lost
--- a/tests/mesh/test_http.py
+++ b/tests/mesh/test_http.py
@@ -44,7 +44,9 @@
                     break
                 if isinstance(reply, tuple):
                     writer.write(reply[0])
-                    while self.pool and not any(vars(c).get("stray_responses") for c in self.pool.opened):
+                    while self.pool and not any(
+                        vars(c).get("stray_responses") for c in self.pool.connections
+                    ):
                         await asyncio.sleep(0)
                     reply = reply[1]
                 writer.write(reply.removeprefix(THEN_CLOSE))
