--- a/bench/record_cost.py
+++ b/bench/record_cost.py
@@ -22,7 +22,7 @@
 import uvloop
 
 from minthitch.record import writer as writer_module
-from minthitch.record.choose import open_store
+from minthitch.record.backends import open_store
 from minthitch.record.model import Claim, Done, Result, Settle, State, Write
 from minthitch.record.sql import COLUMNS
 from minthitch.record.sqlite import SqliteStore
@@ -95,7 +95,7 @@
 
 async def measure(make: Callable[[], Store], seconds: float, most_batch: int) -> dict[int, Figures]:
     """Figures by how many sales are at once; `most_batch` 1 is a commit for each write."""
-    writer_module.MOST_BATCH = most_batch
+    writer_module.MAX_BATCH = most_batch
     sales = Sales(make)
     found = {}
     for at_once in AT_ONCE:
@@ -176,7 +176,7 @@
     short: list[str] = []
     group = uvloop.run(measure(make("group"), seconds, BATCH))
     each = uvloop.run(measure(make("each"), seconds, 1))
-    writer_module.MOST_BATCH = BATCH
+    writer_module.MAX_BATCH = BATCH
     for at_once in AT_ONCE:
         for what, figures in (("group commit", group[at_once]), ("a commit each", each[at_once])):
             print(
--- a/bench/record_kills.py
+++ b/bench/record_kills.py
@@ -25,7 +25,7 @@
 
 import uvloop
 
-from minthitch.record.choose import open_store
+from minthitch.record.backends import open_store
 from minthitch.record.model import Record, State
 from rigs.caller import Caller
 from rigs.doomed import MUTANTS, POINTS
@@ -226,7 +226,7 @@
     def _judge(self, where: str) -> list[str]:
         store = open_store(where)
         store.open()
-        store.begin("n1", 0)  # what the last process left open is in doubt now
+        store.start_epoch("n1", 0)  # what the last process left open is in doubt now
         records: dict[str, Record] = {record.identity: record for record in store.export()}
         store.close()
         self.records, found = records, []
--- a/minthitch/cli/record.py
+++ b/minthitch/cli/record.py
@@ -10,9 +10,9 @@
 from typing import Any
 
 from minthitch.config import ConfigError
-from minthitch.record.choose import POSTGRES, open_store
-from minthitch.record.model import Word
-from minthitch.record.shown import as_json
+from minthitch.record.backends import POSTGRES_SCHEMES, open_store
+from minthitch.record.model import Resolution
+from minthitch.record.serialization import as_json
 from minthitch.record.store import Store, StoreError
 
 
@@ -28,13 +28,13 @@
     subcommands.add_parser("doubtful", help="what may have run and has no word yet, a line each")
     resolve = subcommands.add_parser("resolve", help="note what was found out of a sale in doubt or failed")
     resolve.add_argument("identity")
-    resolve.add_argument("found", choices=[outcome.value for outcome in Word])
+    resolve.add_argument("found", choices=[outcome.value for outcome in Resolution])
     resolve.add_argument("--why", required=True, help="how it is known")
     subcommands.add_parser("export", help="every record, as JSON lines")
 
 
 def _show(store: Store, args: argparse.Namespace) -> int:
-    record = store.show(args.identity)
+    record = store.get(args.identity)
     if record is None:
         print(f"minthitch: no record of {args.identity!r}", file=sys.stderr)
         return 1
@@ -53,7 +53,7 @@
 
 
 def _resolve(store: Store, args: argparse.Namespace) -> int:
-    record = store.resolve(args.identity, Word(args.found), args.why)
+    record = store.resolve(args.identity, Resolution(args.found), args.why)
     print(f"{record.identity} is noted as {args.found}")
     return 0
 
@@ -82,7 +82,7 @@
         ConfigError: the store can't be used.
     """
     # Danger: opening would make an empty store, and say that nothing is known.
-    if not args.store.startswith(POSTGRES) and not os.path.exists(args.store):
+    if not args.store.startswith(POSTGRES_SCHEMES) and not os.path.exists(args.store):
         raise ConfigError(f"--store {args.store!r}: no such file")
     store: Store | None = None
     try:
--- a/minthitch/record/attach.py
+++ b/minthitch/record/attach.py
@@ -9,9 +9,9 @@
 from minthitch.config import ConfigError, RecordConfig
 from minthitch.engine import Engine
 from minthitch.interface import MILLISECOND
-from minthitch.record.choose import open_store, shown
+from minthitch.record.backends import open_store, redacted
 from minthitch.record.keeper import RecordKeeper
-from minthitch.record.life import Life, Need, Terms
+from minthitch.record.lifecycle import Lifecycle, Need, Terms
 from minthitch.record.page import RecordPage
 from minthitch.record.store import Store, StoreError
 from minthitch.record.writer import Results, Writer
@@ -32,7 +32,7 @@
         try:
             epoch = self.writer.start(node, config.lease // MILLISECOND)
         except StoreError as err:
-            raise ConfigError(f"record.store = {shown(config.store)!r}: {err}") from None
+            raise ConfigError(f"record.store = {redacted(config.store)!r}: {err}") from None
         terms = Terms(
             node,
             epoch,
@@ -46,7 +46,7 @@
             for number, spec in enumerate(engine.settings.classes)
             if spec.name in config.required | config.best_effort
         }
-        life = Life(terms, engine.clock.now() + config.lease)
+        life = Lifecycle(terms, engine.clock.now() + config.lease)
         self.keeper = engine.keeper = RecordKeeper(engine, life, self.writer, needs, config.identity.encode())
 
     def _deliver(self, results: Results) -> None:
@@ -65,7 +65,7 @@
             call(self.keeper)
 
     def _chore(self, store: Store) -> None:
-        taken = store.take_over()
+        taken = store.fence_expired()
         if taken:
             self.log(f"{len(taken)} open sales of nodes that fell silent are in doubt now")
         store.prune((time.time_ns() - self.config.keep_for) // MILLISECOND, self.config.keep_most)
--- a/minthitch/record/keeper.py
+++ b/minthitch/record/keeper.py
@@ -1,4 +1,4 @@
-"""The engine's keeper with a store of record: events to `Life`, its actions to engine and writer."""
+"""The engine's keeper with a store of record: events to `Lifecycle`, its actions to engine and writer."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from minthitch.engine import Answer, Attempt, Engine, Failed, Refused, Request, Served
 from minthitch.interface import MILLISECOND
-from minthitch.record.life import (
+from minthitch.record.lifecycle import (
     Action,
     Answered,
     AttemptOver,
@@ -16,12 +16,12 @@
     Came,
     Conclude,
     Event,
-    Life,
+    Lifecycle,
     Need,
     Opened,
     Put,
     Release,
-    SendWanted,
+    SendRequested,
     StoreBack,
     Tell,
     Tick,
@@ -46,7 +46,7 @@
     def __init__(
         self,
         engine: Engine,
-        life: Life,
+        life: Lifecycle,
         writer: Writer,
         needs: Mapping[int, Need],
         identity_field: bytes = b"idempotency-key",
@@ -89,7 +89,7 @@
     def may_start(self, attempt: Attempt) -> bool:
         if attempt.request.number not in self.requests:
             return True
-        self.feed(SendWanted(attempt.request.number, attempt.index, attempt.server.name, self._wall()))
+        self.feed(SendRequested(attempt.request.number, attempt.index, attempt.server.name, self._wall()))
         return False  # the store has the word
 
     def over(self, attempt: Attempt) -> None:
@@ -138,7 +138,7 @@
 
     def feed(self, event: Event) -> None:
         self.events.append(event)
-        if self.pumping:  # danger: `Life` keeps its actions in one list
+        if self.pumping:  # danger: `Lifecycle` keeps its actions in one list
             return
         self.pumping = True
         try:
--- a/minthitch/record/life.py
+++ b/minthitch/record/lifecycle.py
@@ -28,10 +28,10 @@
     Missing,
     Record,
     Renew,
+    Resolution,
     Result,
     Settle,
     State,
-    Word,
     Write,
 )
 
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SendWanted:
+class SendRequested:
     """The balancer decided a send; `number` is the request, new in this process."""
 
     number: int
@@ -135,7 +135,7 @@
     """Time has passed."""
 
 
-Event = Opened | SendWanted | AttemptOver | Answered | CallerGone | Came | StoreBack | Tick
+Event = Opened | SendRequested | AttemptOver | Answered | CallerGone | Came | StoreBack | Tick
 
 
 # Actions ----------------------------------------------------------------------------------------
@@ -187,7 +187,7 @@
         "claiming",
         "waiting",
         "wanted_at",
-        "out",
+        "in_flight",
         "may_have_run",
         "answer",
         "told",
@@ -203,9 +203,9 @@
         self.opened = opened
         self.durable = False  # its intent is on record, by this epoch
         self.claiming: set[int] = set()  # tickets of its claims and attempts that are not back
-        self.waiting: dict[int, SendWanted] = {}  # attempts that wait for the store
+        self.waiting: dict[int, SendRequested] = {}  # attempts that wait for the store
         self.wanted_at = 0  # since when
-        self.out: set[int] = set()  # attempts that were released and are not over
+        self.in_flight: set[int] = set()  # attempts that were released and are not over
         self.may_have_run = False
         self.answer: Answered | None = None
         self.told = self.concluded = False
@@ -216,11 +216,11 @@
         self.pending = 0  # writes of it whose results are not back
 
     @property
-    def over(self) -> bool:
+    def is_over(self) -> bool:
         return self.answer is not None or self.concluded or bool(self.gone_at)
 
 
-class Life:
+class Lifecycle:
     """The recorded calls of one node's one start. Feed events in order; carry out the actions in order."""
 
     def __init__(self, terms: Terms, lease_until: int) -> None:
@@ -254,8 +254,8 @@
         elif isinstance(event, Tick):
             self._tick(now)
         elif (call := self.calls.get(event.number)) is not None:
-            if isinstance(event, SendWanted):
-                self._wanted(now, call, event)
+            if isinstance(event, SendRequested):
+                self._on_send_requested(now, call, event)
             elif isinstance(event, AttemptOver):
                 self._attempt_over(call, event)
             elif isinstance(event, Answered):
@@ -271,8 +271,8 @@
         if len(self.calls) > MOST_OPEN:  # danger: a flood would fill the memory
             self._refuse(call, "too many recorded calls are open")
 
-    def _wanted(self, now: int, call: _Call, event: SendWanted) -> None:
-        if call.over:
+    def _on_send_requested(self, now: int, call: _Call, event: SendRequested) -> None:
+        if call.is_over:
             return
         if self.fenced:
             self._refuse(call, "this node was taken over")
@@ -295,7 +295,7 @@
             write = self._claim(call, event)
         call.claiming.add(self._put(now, write, event.number))
 
-    def _claim(self, call: _Call, event: SendWanted) -> Claim:
+    def _claim(self, call: _Call, event: SendRequested) -> Claim:
         opened = call.opened
         return Claim(
             opened.identity,
@@ -314,7 +314,7 @@
         holder.joined.append(call.opened.number)
         call.look_at = -1  # waits, and not for the store
 
-    def _release(self, now: int, call: _Call) -> None:
+    def _release_if_leased(self, now: int, call: _Call) -> None:
         """Lets what waits go. Danger: behind a lease that ran out another may have taken this node over."""
         if now >= self.lease_until:
             self._renew(now)
@@ -324,7 +324,7 @@
     def _let_go(self, call: _Call) -> None:
         waiting, call.waiting = call.waiting, {}
         for attempt in waiting:
-            call.out.add(attempt)
+            call.in_flight.add(attempt)
             self.actions.append(Release(call.opened.number, attempt))
 
     def _renew(self, now: int) -> None:
@@ -332,8 +332,8 @@
             self.renewing = self._put(now, Renew(self.terms.epoch, self.terms.lease // MILLISECOND), 0)
 
     def _attempt_over(self, call: _Call, event: AttemptOver) -> None:
-        if event.attempt in call.out:
-            call.out.discard(event.attempt)
+        if event.attempt in call.in_flight:
+            call.in_flight.discard(event.attempt)
             call.may_have_run = call.may_have_run or not event.never_ran
         call.waiting.pop(event.attempt, None)
 
@@ -370,37 +370,37 @@
             return
         self.lease_until = asked + self.terms.lease  # danger: counted from the answer, it would be too long
         for call in list(self.calls.values()):
-            if call.durable and call.waiting and not call.claiming and not call.over:
-                self._release(now, call)
+            if call.durable and call.waiting and not call.claiming and not call.is_over:
+                self._release_if_leased(now, call)
 
     def _intended(self, now: int, call: _Call, write: Write, result: Result) -> None:
         """What came of a claim, a further attempt or a look."""
         if isinstance(result, Done):
             call.durable = True
             self.counts["recorded"] += isinstance(write, Claim)
-            if call.over:
+            if call.is_over:
                 self._finish(now, call)
             else:
-                self._release(now, call)
+                self._release_if_leased(now, call)
         elif isinstance(result, Held):
-            self._held(now, call, result.record)
+            self._on_existing(now, call, result.record)
         elif isinstance(result, Missing):
             call.look_at = 0  # what another node held is gone: begin anew
             self._claim_again(now, call)
-        elif isinstance(result, Lost) and not call.over:
+        elif isinstance(result, Lost) and not call.is_over:
             self._without_store(now, call, result.cause)
         self._forget(call)
 
     def _claim_again(self, now: int, call: _Call) -> None:
-        if call.waiting and not call.over:
+        if call.waiting and not call.is_over:
             first = next(iter(call.waiting.values()))
             call.claiming.add(self._put(now, self._claim(call, first), call.opened.number))
 
-    def _held(self, now: int, call: _Call, record: Record) -> None:
-        if call.out or call.may_have_run:  # best effort: it went out, and is on record elsewhere
+    def _on_existing(self, now: int, call: _Call, record: Record) -> None:
+        if call.in_flight or call.may_have_run:  # best effort: it went out, and is on record elsewhere
             self.counts["conflicts"] += 1
             return
-        if call.over:
+        if call.is_over:
             return
         if record.digest != call.opened.digest:
             self._conclude(call, State.FAILED, "another request has this identity", record)
@@ -412,7 +412,7 @@
             self._conclude(call, State.SERVED, "on record", record)
         elif record.state is State.INTENT:
             call.look_at = now + POLL
-        elif record.word is Word.RAN:
+        elif record.word is Resolution.RAN:
             self._conclude(call, State.FAILED, f"it ran, as was found later: {record.why}", record)
         else:
             why = record.reason or record.state.value
@@ -420,7 +420,7 @@
 
     def _without_store(self, now: int, call: _Call, cause: str) -> None:
         if call.opened.need is Need.REQUIRED:
-            if call.may_have_run or call.out:
+            if call.may_have_run or call.in_flight:
                 call.waiting.clear()  # what is out may still answer
             else:
                 self._refuse(call, f"the store of record is away: {cause}")
@@ -434,7 +434,7 @@
         """Another process has this node's place: nothing recorded is sent any more."""
         self.fenced = True
         for call in list(self.calls.values()):
-            if not call.over and not call.out and not call.may_have_run:
+            if not call.is_over and not call.in_flight and not call.may_have_run:
                 self._refuse(call, "this node was taken over")
 
     # Outcomes -----------------------------------------------------------------------------------
@@ -451,12 +451,12 @@
         self.actions.append(Conclude(call.opened.number, state, reason, record, retry_after))
         joined, call.joined = call.joined, []
         for number in joined:
-            if (other := self.calls.get(number)) is not None and not other.over:
+            if (other := self.calls.get(number)) is not None and not other.is_over:
                 self._conclude(other, state, reason, record, retry_after)
         self._forget(call)
 
     def _answered(self, now: int, call: _Call, event: Answered) -> None:
-        if call.over:
+        if call.is_over:
             return
         call.answer = event
         call.waiting.clear()
@@ -468,7 +468,7 @@
         self._finish(now, call)
 
     def _gone(self, now: int, call: _Call, event: CallerGone) -> None:
-        if call.over:
+        if call.is_over:
             return
         call.gone_at, call.told = event.at or 1, True
         call.waiting.clear()
@@ -485,7 +485,7 @@
             self._pass_on(call)
             self._forget(call)
             return
-        ran = call.may_have_run or bool(call.out)
+        ran = call.may_have_run or bool(call.in_flight)
         answer = call.answer
         if answer is not None and answer.state is State.SERVED:
             kept = answer.body if len(answer.body) <= self.terms.keep_answer else None
@@ -547,7 +547,7 @@
         answer, opened = call.answer, call.opened
         for number in joined:
             other = self.calls.get(number)
-            if other is None or other.over:
+            if other is None or other.is_over:
                 continue
             if answer is not None and answer.state is State.SERVED:
                 record = Record(
@@ -563,13 +563,13 @@
                     content_type=answer.content_type,
                 )
                 self._conclude(other, State.SERVED, "as the first", record)
-            elif call.may_have_run or call.out:
+            elif call.may_have_run or call.in_flight:
                 self._conclude(other, State.FAILED, "it may have run: as the first")
             else:
                 self._refuse(other, "as the first")
 
     def _forget(self, call: _Call) -> None:
-        done = call.over and (call.told or call.concluded) and not call.pending
+        done = call.is_over and (call.told or call.concluded) and not call.pending
         if done and not call.durable:
             number, identity = call.opened.number, call.opened.identity
             self.calls.pop(number, None)
@@ -586,13 +586,13 @@
                 self.counts["told before durable"] += 1
                 self._tell(call)
                 self._pass_on(call)
-            elif not call.over:
+            elif not call.is_over:
                 self._overdue(now, call)
 
     def _overdue(self, now: int, call: _Call) -> None:
         if (
             now >= call.opened.deadline - MARGIN
-            and not call.out
+            and not call.in_flight
             and not call.may_have_run
             and (call.look_at or call.waiting)
         ):
--- a/minthitch/record/model.py
+++ b/minthitch/record/model.py
@@ -16,7 +16,7 @@
     DOUBT = "doubt"  # its node ended, or was fenced off, while it was an intent
 
 
-class Word(Enum):
+class Resolution(Enum):
     """What an operator, or a later word of the servers, says of a call that may have run."""
 
     RAN = "ran"
@@ -42,13 +42,13 @@
     answer_digest: bytes = b""
     answer: bytes | None = None  # None: none, or longer than what is kept
     content_type: bytes = b""
-    word: Word | None = None
+    word: Resolution | None = None
     why: str = ""  # of the word
 
     @property
     def may_begin(self) -> bool:
         """Whether the call may be sent again: only where it is known that it never ran."""
-        return self.state is State.NEVER_RAN or self.word is Word.NEVER_RAN
+        return self.state is State.NEVER_RAN or self.word is Resolution.NEVER_RAN
 
 
 # What is written --------------------------------------------------------------------------------
--- a/minthitch/record/page.py
+++ b/minthitch/record/page.py
@@ -5,8 +5,8 @@
 import asyncio
 from concurrent.futures import ThreadPoolExecutor
 
-from minthitch.record.choose import open_store
-from minthitch.record.shown import as_json
+from minthitch.record.backends import open_store
+from minthitch.record.serialization import as_json
 from minthitch.record.store import Store, StoreError
 
 
@@ -27,7 +27,7 @@
     def _look(self, identity: str) -> tuple[int, object]:
         try:
             store = self._opened()
-            record = store.show(identity)
+            record = store.get(identity)
             if record is None:
                 return 404, {"error": f"no record of {identity!r}"}
             return 200, as_json(record, store.conflicts(identity))
--- a/minthitch/record/sql.py
+++ b/minthitch/record/sql.py
@@ -20,10 +20,10 @@
     Look,
     Missing,
     Record,
+    Resolution,
     Result,
     Settle,
     State,
-    Word,
     Write,
 )
 from minthitch.record.store import CommitUnknown, StoreError
@@ -154,12 +154,12 @@
     def _run(self, statement: str, *parameters: Any) -> list[tuple[Any, ...]]:
         return self.run(self._sql(statement), parameters)
 
-    def _changed(self, statement: str, *parameters: Any) -> int:
+    def _count_changed(self, statement: str, *parameters: Any) -> int:
         return self.changed(self._sql(statement), parameters)
 
     # Epochs -------------------------------------------------------------------------------------
 
-    def begin(self, node: str, lease: int) -> int:
+    def start_epoch(self, node: str, lease: int) -> int:
         with self._transaction("a new epoch"):
             older = self._run("SELECT epoch FROM epochs WHERE node = ? AND fenced = 0", node)
             for (epoch,) in older:
@@ -171,14 +171,14 @@
             )
         return int(rows[0][0])
 
-    def take_over(self) -> list[Record]:
+    def fence_expired(self) -> list[Record]:
         with self._transaction("a take-over"):
             ended = self._run("SELECT epoch FROM epochs WHERE fenced = 0 AND lease_until < NOW")
             return [record for (epoch,) in ended for record in self._fence(epoch, "its node fell silent")]
 
     def _fence(self, epoch: int, reason: str) -> list[Record]:
         """Danger: two that take over at once must not both count it; the condition lets one through."""
-        if not self._changed("UPDATE epochs SET fenced = 1 WHERE epoch = ? AND fenced = 0", epoch):
+        if not self._count_changed("UPDATE epochs SET fenced = 1 WHERE epoch = ? AND fenced = 0", epoch):
             return []
         rows = self._run(
             f"UPDATE records SET state = 'doubt', reason = ?, ended_at = NOW "
@@ -216,7 +216,7 @@
 
     def _write(self, write: Write, fenced: bool) -> Result:
         if isinstance(write, Look):
-            found = self.show(write.identity)
+            found = self.get(write.identity)
             return Missing() if found is None else Held(found)
         if fenced:
             if isinstance(write, Settle):  # a late word: it helps whoever has to resolve the doubt
@@ -225,7 +225,7 @@
         if isinstance(write, Claim):
             return self._claim(write)
         if isinstance(write, Attempted):
-            done = self._changed(
+            done = self._count_changed(
                 "UPDATE records SET server = ?, attempts = attempts + 1 "
                 "WHERE identity = ? AND epoch = ? AND state = 'intent'",
                 write.server,
@@ -235,15 +235,17 @@
             return Done() if done else self._as_it_is(write.identity)
         if isinstance(write, Settle):
             return self._settle(write)
-        self._changed("UPDATE epochs SET lease_until = NOW + ? WHERE epoch = ?", write.lease, write.epoch)
+        self._count_changed(
+            "UPDATE epochs SET lease_until = NOW + ? WHERE epoch = ?", write.lease, write.epoch
+        )
         return Done()
 
     def _as_it_is(self, identity: str) -> Result:
-        found = self.show(identity)
+        found = self.get(identity)
         return Missing() if found is None else Held(found)
 
     def _claim(self, write: Claim) -> Result:
-        done = self._changed(
+        done = self._count_changed(
             f"INSERT INTO records ({COLUMNS}) VALUES (?, ?, ?, ?, ?, 1, 'intent', ?, 1, ?, 0, '', ?, NULL, "
             "?, NULL, '') ON CONFLICT (identity) DO UPDATE SET cls = excluded.cls, digest = excluded.digest, "
             "node = excluded.node, epoch = excluded.epoch, turn = records.turn + 1, state = 'intent', "
@@ -263,7 +265,7 @@
         return Done() if done else self._as_it_is(write.identity)
 
     def _settle(self, write: Settle) -> Result:
-        done = self._changed(
+        done = self._count_changed(
             "UPDATE records SET state = ?, ended_at = ?, reason = ?, answer_digest = ?, answer = ?, "
             "content_type = ? WHERE identity = ? AND epoch = ? AND state = 'intent'",
             write.state.value,
@@ -277,7 +279,7 @@
         )
         if done:
             return Done()
-        found = self.show(write.identity)
+        found = self.get(write.identity)
         if found is None:
             return Missing()
         outcome = (write.epoch, write.state, write.answer_digest)
@@ -298,12 +300,12 @@
             kind,
         )
 
-    def landed(self, token: str) -> bool:
+    def is_committed(self, token: str) -> bool:
         return bool(self._run("SELECT 1 FROM batches WHERE token = ?", token))
 
     # Reading and resolving ----------------------------------------------------------------------
 
-    def show(self, identity: str) -> Record | None:
+    def get(self, identity: str) -> Record | None:
         rows = self._run(f"SELECT {COLUMNS} FROM records WHERE identity = ?", identity)
         return _record(rows[0]) if rows else None
 
@@ -314,7 +316,7 @@
         )
         return [_record(row) for row in rows]
 
-    def resolve(self, identity: str, word: Word, why: str) -> Record:
+    def resolve(self, identity: str, word: Resolution, why: str) -> Record:
         with self._transaction("a resolution"):
             rows = self._run(
                 "UPDATE records SET word = ?, why = ? WHERE identity = ? AND word IS NULL "
@@ -323,7 +325,7 @@
                 why,
                 identity,
             )
-            found = _record(rows[0]) if rows else self.show(identity)
+            found = _record(rows[0]) if rows else self.get(identity)
         if found is None:
             raise StoreError(f"no record of {identity!r}")
         if not rows:
@@ -350,10 +352,10 @@
         """Danger: what is open or in doubt stays, whatever its age."""
         ended = "state IN ('served', 'never-ran') OR (word IS NOT NULL AND state IN ('doubt', 'failed'))"
         with self._transaction("pruning"):
-            count = self._changed(f"DELETE FROM records WHERE ended_at < ? AND ({ended})", before)
+            count = self._count_changed(f"DELETE FROM records WHERE ended_at < ? AND ({ended})", before)
             (total,) = self._run("SELECT count(*) FROM records")[0]
             if total > most:
-                count += self._changed(
+                count += self._count_changed(
                     f"DELETE FROM records WHERE identity IN (SELECT identity FROM records WHERE {ended} "
                     "ORDER BY ended_at LIMIT ?)",
                     total - most,
@@ -398,6 +400,6 @@
         bytes(answer_digest),
         None if answer is None else bytes(answer),
         bytes(content_type),
-        None if word is None else Word(word),
+        None if word is None else Resolution(word),
         why,
     )
--- a/minthitch/record/store.py
+++ b/minthitch/record/store.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator, Sequence
 from typing import Protocol
 
-from minthitch.record.model import Record, Result, Word, Write
+from minthitch.record.model import Record, Resolution, Result, Write
 
 
 class StoreError(Exception):
@@ -13,7 +13,7 @@
 
 
 class CommitUnknown(StoreError):
-    """The commit's answer never came: `Store.landed` tells whether the batch is there.
+    """The commit's answer never came: `Store.is_committed` tells whether the batch is there.
 
     `results` are those of its writes, if it is.
     """
@@ -29,27 +29,27 @@
     def open(self) -> None:
         """Connects, and brings the schema up to date. A schema newer than the program is an error."""
 
-    def begin(self, node: str, lease: int) -> int:
+    def start_epoch(self, node: str, lease: int) -> int:
         """A new epoch of the node, with a lease of so many ms.
 
         In the same transaction the node's older epochs are fenced, and their open intents put in doubt.
         """
 
-    def take_over(self) -> list[Record]:
+    def fence_expired(self) -> list[Record]:
         """Fences every epoch whose lease has run out by the store's clock; gives what is in doubt by it."""
 
     def apply(self, token: str, writes: Sequence[Write]) -> list[Result]:
         """All writes in order in one transaction, durable when it returns. Raises CommitUnknown too."""
 
-    def landed(self, token: str) -> bool:
+    def is_committed(self, token: str) -> bool:
         """Whether a batch whose commit's answer never came is there."""
 
-    def show(self, identity: str) -> Record | None: ...
+    def get(self, identity: str) -> Record | None: ...
 
     def doubtful(self) -> list[Record]:
         """What may have run and has no word yet, the oldest first."""
 
-    def resolve(self, identity: str, word: Word, why: str) -> Record:
+    def resolve(self, identity: str, word: Resolution, why: str) -> Record:
         """Notes what is known now of a call in doubt or failed. StoreError for any other."""
 
     def export(self) -> Iterator[Record]: ...
--- a/minthitch/record/writer.py
+++ b/minthitch/record/writer.py
@@ -15,7 +15,7 @@
 from minthitch.record.model import Lost, Result, Write
 from minthitch.record.store import CommitUnknown, Store, StoreError
 
-MOST_BATCH = 256  # writes in one transaction
+MAX_BATCH = 256  # writes in one transaction
 MOST_WAITING = 20_000  # writes that wait; more are told that the store is too slow
 RETRY_LEAST, RETRY_MOST = 0.05, 2.0  # seconds between two tries to reach a store that is away
 CHORE_EVERY = 5.0  # seconds
@@ -82,7 +82,7 @@
         try:
             self.store = self.make()
             self.store.open()
-            self.epoch = self.store.begin(self.node, self.lease)
+            self.epoch = self.store.start_epoch(self.node, self.lease)
         except StoreError as err:
             self.error = err
             self._drop()
@@ -106,12 +106,12 @@
             self._gone(str(err), [], None)
 
     def _next(self, due: float) -> list[tuple[int, Write]] | None:
-        """What waits, at most MOST_BATCH; nothing when the chore is due; None at the end."""
+        """What waits, at most MAX_BATCH; nothing when the chore is due; None at the end."""
         with self.lock:
             self.lock.wait_for(lambda: bool(self.waiting) or self.stopping, max(due - time.monotonic(), 0.0))
             if self.stopping and not self.waiting:
                 return None
-            return [self.waiting.popleft() for _ in range(min(len(self.waiting), MOST_BATCH))]
+            return [self.waiting.popleft() for _ in range(min(len(self.waiting), MAX_BATCH))]
 
     def _write(self, batch: list[tuple[int, Write]]) -> None:
         assert self.store is not None
@@ -154,7 +154,7 @@
     def _read_back(self, unknown: list[tuple[int, Write]], token: str, results: list[Result]) -> None:
         assert self.store is not None
         try:
-            landed = self.store.landed(token)
+            landed = self.store.is_committed(token)
         except StoreError as err:
             self._gone(str(err), unknown, (token, results))
             return
--- a/rigs/doomed.py
+++ b/rigs/doomed.py
@@ -20,7 +20,7 @@
 from minthitch.program import run
 from minthitch.record import attach
 from minthitch.record.keeper import RecordKeeper
-from minthitch.record.life import Life, Release, SendWanted
+from minthitch.record.lifecycle import Lifecycle, Release, SendRequested
 from minthitch.record.model import Claim, Record, Settle, State, Write
 from minthitch.record.sql import SqlStore
 
@@ -93,30 +93,30 @@
     _around(Engine, "tell", None, lambda engine, number: fate.at("after-tell"))
 
 
-class IntentAfterSend(Life):
+class IntentAfterSend(Lifecycle):
     """The send does not wait for its intent."""
 
-    def _wanted(self, now: int, call: Any, event: SendWanted) -> None:
-        super()._wanted(now, call, event)
-        for attempt in call.waiting if not call.over else ():
-            call.out.add(attempt)
+    def _on_send_requested(self, now: int, call: Any, event: SendRequested) -> None:
+        super()._on_send_requested(now, call, event)
+        for attempt in call.waiting if not call.is_over else ():
+            call.in_flight.add(attempt)
             self.actions.append(Release(call.opened.number, attempt))
         call.waiting = {}
 
 
-class DoubtIsNothing(Life):
+class DoubtIsNothing(Lifecycle):
     """What is in doubt is begun anew."""
 
-    def _held(self, now: int, call: Any, record: Record) -> None:
-        if record.state is State.DOUBT and not call.over and not call.out:
-            self._release(now, call)
+    def _on_existing(self, now: int, call: Any, record: Record) -> None:
+        if record.state is State.DOUBT and not call.is_over and not call.in_flight:
+            self._release_if_leased(now, call)
         else:
-            super()._held(now, call, record)
+            super()._on_existing(now, call, record)
 
 
 def no_fence(store: Any, epoch: int, reason: str) -> list[Record]:
     """A start forgets the open intents of its older epochs: the fence is left out."""
-    store._changed("DELETE FROM records WHERE epoch = ? AND state = 'intent'", epoch)
+    store._count_changed("DELETE FROM records WHERE epoch = ? AND state = 'intent'", epoch)
     return []
 
 
@@ -128,7 +128,7 @@
         setattr(SqlStore, "_fence", no_fence)  # noqa: B010
     else:
         lives = {"intent-after-send": IntentAfterSend, "doubt-is-nothing": DoubtIsNothing}
-        setattr(attach, "Life", lives[name])  # noqa: B010
+        setattr(attach, "Lifecycle", lives[name])  # noqa: B010
 
 
 def main() -> int:
--- a/rigs/faultystore.py
+++ b/rigs/faultystore.py
@@ -40,9 +40,9 @@
         self.inner.open()
         self.faults.opened += 1
 
-    def landed(self, token: str) -> bool:
+    def is_committed(self, token: str) -> bool:
         self._reach()
-        return self.inner.landed(token)
+        return self.inner.is_committed(token)
 
     def apply(self, token: str, writes: Sequence[Write]) -> list[Result]:
         fault = self.faults.script.popleft() if self.faults.script else ""
--- a/rigs/modelstore.py
+++ b/rigs/modelstore.py
@@ -15,10 +15,10 @@
     Missing,
     Record,
     Renew,
+    Resolution,
     Result,
     Settle,
     State,
-    Word,
     Write,
 )
 
@@ -33,7 +33,7 @@
         self.now = 1_000
         self.conflicts: list[tuple[str, int, State]] = []
 
-    def begin(self, node: str, lease: int) -> int:
+    def start_epoch(self, node: str, lease: int) -> int:
         for epoch, (name, _) in list(self.epochs.items()):
             if name == node:
                 self._fence(epoch, "its node started anew")
@@ -41,7 +41,7 @@
         self.epochs[epoch] = (node, self.now + lease)
         return epoch
 
-    def take_over(self) -> list[Record]:
+    def fence_expired(self) -> list[Record]:
         ended = [epoch for epoch, (_, until) in self.epochs.items() if until < self.now]
         return [record for epoch in ended for record in self._fence(epoch, "its node fell silent")]
 
@@ -118,7 +118,7 @@
         )
         return Done()
 
-    def resolve(self, identity: str, word: Word, why: str) -> bool:
+    def resolve(self, identity: str, word: Resolution, why: str) -> bool:
         found = self.records.get(identity)
         if found is None or found.word or found.state not in (State.DOUBT, State.FAILED):
             return False
--- a/tests/test_record_keeper.py
+++ b/tests/test_record_keeper.py
@@ -14,8 +14,8 @@
 from minthitch.interface import MILLISECOND, SECOND, ListKind, Settings, Status
 from minthitch.listing import static_listing
 from minthitch.record.keeper import RecordKeeper, digest
-from minthitch.record.life import Life, Need, Terms
-from minthitch.record.model import Record, State, Word
+from minthitch.record.lifecycle import Lifecycle, Need, Terms
+from minthitch.record.model import Record, Resolution, State
 from minthitch.record.sqlite import SqliteStore
 from minthitch.record.writer import Results, Writer
 from rigs.faultystore import Faults, FaultyStore
@@ -59,7 +59,7 @@
         )
         epoch = self.writer.start(name, 10_000)
         terms = Terms(name, epoch, intent_within=400 * MILLISECOND, answer_within=200 * MILLISECOND)
-        life = Life(terms, self.engine.clock.now() + terms.lease)
+        life = Lifecycle(terms, self.engine.clock.now() + terms.lease)
         self.keeper = RecordKeeper(self.engine, life, self.writer, {2: need}, b"X-Sale-Id")
         self.engine.keeper = self.keeper
 
@@ -94,7 +94,7 @@
         store = SqliteStore(self.path)
         store.open()
         try:
-            return store.show(identity)
+            return store.get(identity)
         finally:
             store.close()
 
@@ -170,7 +170,7 @@
             store = SqliteStore(path)
             store.open()
             assert "taken over: served" in store.conflicts("sale-1")[0]  # its late word is kept
-            store.resolve("sale-1", Word.NEVER_RAN, "the ledger has none")
+            store.resolve("sale-1", Resolution.NEVER_RAN, "the ledger has none")
             store.close()
             fresh, _ = new.ask("d", "sale-1")
             await new.sent()
--- a/tests/test_record_life.py
+++ b/tests/test_record_life.py
@@ -7,7 +7,7 @@
 import pytest
 
 from minthitch.interface import MILLISECOND, SECOND
-from minthitch.record.life import (
+from minthitch.record.lifecycle import (
     MARGIN,
     MOST_BACKLOG,
     MOST_OPEN,
@@ -18,12 +18,12 @@
     CallerGone,
     Came,
     Conclude,
-    Life,
+    Lifecycle,
     Need,
     Opened,
     Put,
     Release,
-    SendWanted,
+    SendRequested,
     StoreBack,
     Tell,
     Terms,
@@ -40,10 +40,10 @@
     Missing,
     Record,
     Renew,
+    Resolution,
     Result,
     Settle,
     State,
-    Word,
 )
 
 MS = MILLISECOND
@@ -55,7 +55,7 @@
 
     def __init__(self, lease: int = 10 * SECOND) -> None:
         self.now = 100 * SECOND
-        self.life = Life(TERMS, self.now + lease)
+        self.life = Lifecycle(TERMS, self.now + lease)
         self.puts: list[Put] = []
         self.seen: list[Action] = []
 
@@ -71,7 +71,7 @@
         self.feed(Opened(number, identity, "buy", digest, need, self.now + 2 * SECOND))
 
     def want(self, number: int = 1, attempt: int = 0, server: str = "s1") -> list[Action]:
-        return self.feed(SendWanted(number, attempt, server, 1))
+        return self.feed(SendRequested(number, attempt, server, 1))
 
     def come(self, result: Result) -> list[Action]:
         """The result of the oldest write that waits."""
@@ -161,7 +161,7 @@
             "may have run: its node fell silent",
         ),
         (
-            record(State.DOUBT, word=Word.RAN, why="ledger"),
+            record(State.DOUBT, word=Resolution.RAN, why="ledger"),
             State.FAILED,
             "it ran, as was found later: ledger",
         ),
--- a/tests/test_record_machine.py
+++ b/tests/test_record_machine.py
@@ -15,19 +15,19 @@
 from hypothesis import strategies as st
 
 from minthitch.interface import MILLISECOND, SECOND
-from minthitch.record.life import (
+from minthitch.record.lifecycle import (
     Action,
     Answered,
     AttemptOver,
     CallerGone,
     Came,
     Conclude,
-    Life,
+    Lifecycle,
     Need,
     Opened,
     Put,
     Release,
-    SendWanted,
+    SendRequested,
     StoreBack,
     Tell,
     Terms,
@@ -47,7 +47,7 @@
 
     def __init__(self, world: World, name: str) -> None:
         self.world, self.name = world, name
-        self.epoch = world.store.begin(name, LEASE // MS)
+        self.epoch = world.store.start_epoch(name, LEASE // MS)
         self.life = world.make(Terms(name, self.epoch, lease=LEASE), world.now + LEASE)
         self.asked: list[Put] = []  # writes that are on their way
         self.out: list[tuple[int, int, str]] = []  # request, attempt, identity: at a server
@@ -78,7 +78,7 @@
         number = next(self.world.numbers)
         self.open[number] = identity
         self.feed(Opened(number, identity, "buy", b"d", Need.REQUIRED, self.world.now + 2 * SECOND))
-        self.feed(SendWanted(number, 0, "s", 1))
+        self.feed(SendRequested(number, 0, "s", 1))
 
     def serve(self, rng: random.Random, how: str) -> None:
         """A server does one of the attempts that are out."""
@@ -105,7 +105,7 @@
 
 
 class World:
-    def __init__(self, make: Callable[[Terms, int], Life] = Life) -> None:
+    def __init__(self, make: Callable[[Terms, int], Lifecycle] = Lifecycle) -> None:
         self.make, self.store, self.now = make, ModelStore(), 100 * SECOND
         self.numbers = iter(range(1, 1 << 30))
         self.ran: Counter[str] = Counter()  # the servers' own ledger
@@ -133,7 +133,7 @@
         elif roll < 0.90:
             self._pass(rng.choice([1, 20, 100, 400]) * MS, start)
         elif roll < 0.95:
-            self.store.take_over()
+            self.store.fence_expired()
         else:
             self._restart(rng.choice(NODES), stalls=rng.random() < 0.5)
         self._monotone()
@@ -174,7 +174,7 @@
                 else:
                     break
         self.store.now += 10 * LEASE // MS
-        self.store.take_over()
+        self.store.fence_expired()
 
     def judge(self) -> list[str]:
         """The operators' three questions, and that nothing stays an intent."""
@@ -193,7 +193,7 @@
         return found
 
 
-def play(seed: int, steps: int, make: Callable[[Terms, int], Life] = Life) -> list[str]:
+def play(seed: int, steps: int, make: Callable[[Terms, int], Lifecycle] = Lifecycle) -> list[str]:
     world, rng = World(make), random.Random(seed)
     for _ in range(steps):
         world.step(rng)
@@ -216,22 +216,22 @@
 # Mutations: each leaves a rule out, and must be seen ----------------------------------------------
 
 
-class SendsFirst(Life):
+class SendsFirst(Lifecycle):
     """The intent is written after the send."""
 
-    def _wanted(self, now: int, call: Any, event: SendWanted) -> None:
-        super()._wanted(now, call, event)
-        if not call.over and event.attempt in call.waiting:
+    def _on_send_requested(self, now: int, call: Any, event: SendRequested) -> None:
+        super()._on_send_requested(now, call, event)
+        if not call.is_over and event.attempt in call.waiting:
             self._without_lease(call)
 
     def _without_lease(self, call: Any) -> None:
         for attempt in call.waiting:
-            call.out.add(attempt)
+            call.in_flight.add(attempt)
             self.actions.append(Release(call.opened.number, attempt))
         call.waiting = {}
 
 
-class NoFence(Life):
+class NoFence(Lifecycle):
     """A claim's word is taken without regard to the fence or the lease."""
 
     def _came(self, now: int, event: Came) -> None:
@@ -241,18 +241,18 @@
         super()._came(now, event)
 
 
-class SendsWhatIsInDoubt(Life):
+class SendsWhatIsInDoubt(Lifecycle):
     """A record in doubt is taken for one that never ran."""
 
-    def _held(self, now: int, call: Any, record: Record) -> None:
-        if record.state is State.DOUBT and not call.over and not call.out:
+    def _on_existing(self, now: int, call: Any, record: Record) -> None:
+        if record.state is State.DOUBT and not call.is_over and not call.in_flight:
             call.durable = False
-            self._release(now, call)
+            self._release_if_leased(now, call)
         else:
-            super()._held(now, call, record)
+            super()._on_existing(now, call, record)
 
 
-class ForgetsOutcomes(Life):
+class ForgetsOutcomes(Lifecycle):
     """A sale that failed is recorded as one that never ran."""
 
     def _put(self, now: int, write: Any, number: int) -> int:
@@ -262,5 +262,5 @@
 
 
 @pytest.mark.parametrize("mutant", [SendsFirst, NoFence, SendsWhatIsInDoubt, ForgetsOutcomes])
-def test_a_rule_left_out_is_seen(mutant: Callable[[Terms, int], Life]) -> None:
+def test_a_rule_left_out_is_seen(mutant: Callable[[Terms, int], Lifecycle]) -> None:
     assert any(play(seed, 300, mutant) for seed in range(60))
--- a/tests/test_record_postgres.py
+++ b/tests/test_record_postgres.py
@@ -11,7 +11,7 @@
 import psycopg
 import pytest
 
-from minthitch.record.choose import open_store, shown
+from minthitch.record.backends import open_store, redacted
 from minthitch.record.model import Claim, Done, Held, Lost, Record, Result, Settle, State
 from minthitch.record.postgres import PostgresStore
 from minthitch.record.store import CommitUnknown, StoreError
@@ -47,7 +47,7 @@
     with pytest.raises(StoreError, match="password authentication failed") as caught:
         PostgresStore(url).open()
     assert "guessed-wrong" not in str(caught.value) and "\n" not in str(caught.value)
-    assert shown(url) == f"127.0.0.1:{server.port}/record"
+    assert redacted(url) == f"127.0.0.1:{server.port}/record"
 
 
 def test_a_server_that_is_not_there_or_refuses_is_one_clear_error(server: Postgres) -> None:
@@ -63,41 +63,41 @@
 def test_a_commit_whose_answer_never_came_is_unknown_and_read_back(
     server: Postgres, store: PostgresStore, fault: str, written: bool
 ) -> None:
-    epoch = store.begin("n1", LEASE)
+    epoch = store.start_epoch("n1", LEASE)
     server.script.append(fault)
     with pytest.raises(CommitUnknown) as caught:
         store.apply("token", [claim("a", epoch)])
     assert caught.value.results == [Done()]
     store.open()
-    assert store.landed("token") == written
-    assert (store.show("a") is not None) == written
+    assert store.is_committed("token") == written
+    assert (store.get("a") is not None) == written
 
 
 @pytest.mark.parametrize("state", ["40001", "53100", "23505"])
 def test_an_error_that_the_server_states_at_commit_was_not_done(
     server: Postgres, store: PostgresStore, state: str
 ) -> None:
-    epoch = store.begin("n1", LEASE)
+    epoch = store.start_epoch("n1", LEASE)
     server.script.append(state)
     with pytest.raises(StoreError, match=state) as caught:
         store.apply("token", [claim("a", epoch)])
     assert not isinstance(caught.value, CommitUnknown)
-    assert store.show("a") is None and store.apply("again", [claim("a", epoch)]) == [Done()]
+    assert store.get("a") is None and store.apply("again", [claim("a", epoch)]) == [Done()]
 
 
 def test_an_administrator_that_ends_it_in_a_commit_leaves_it_unknown(
     server: Postgres, store: PostgresStore
 ) -> None:
-    epoch = store.begin("n1", LEASE)
+    epoch = store.start_epoch("n1", LEASE)
     server.script.append("57P01")
     with pytest.raises(CommitUnknown):
         store.apply("token", [claim("a", epoch)])
     store.open()
-    assert not store.landed("token")
+    assert not store.is_committed("token")
 
 
 def test_a_server_that_stalls_is_left_in_time(server: Postgres, store: PostgresStore) -> None:
-    epoch = store.begin("n1", LEASE)
+    epoch = store.start_epoch("n1", LEASE)
     server.script.append("stall")
     began = time.monotonic()
     with pytest.raises(CommitUnknown):
@@ -125,7 +125,7 @@
 def test_what_is_overdue_is_cancelled_so_that_the_server_keeps_no_lock(
     server: Postgres, store: PostgresStore
 ) -> None:
-    epoch = store.begin("n1", LEASE)
+    epoch = store.start_epoch("n1", LEASE)
     server.always = "stall"
     with pytest.raises(StoreError, match="57014"):
         store.apply("token", [claim("a", epoch)])
@@ -135,18 +135,18 @@
 
 
 def test_a_server_that_hears_no_cancel_is_cut_off(server: Postgres, store: PostgresStore) -> None:
-    epoch = store.begin("n1", LEASE)
+    epoch = store.start_epoch("n1", LEASE)
     server.always = "deaf"
     with pytest.raises(StoreError):
         store.apply("token", [claim("a", epoch)])
     server.go.set()
     server.always = ""
     store.open()
-    assert not store.landed("token") and store.apply("again", [claim("a", epoch)]) == [Done()]
+    assert not store.is_committed("token") and store.apply("again", [claim("a", epoch)]) == [Done()]
 
 
 def test_a_read_only_server_loses_the_batch(server: Postgres, store: PostgresStore) -> None:
-    epoch = store.begin("n1", LEASE)
+    epoch = store.start_epoch("n1", LEASE)
     server.always = "read-only"
     with pytest.raises(StoreError, match="25006"):
         store.apply("token", [claim("a", epoch)])
@@ -155,7 +155,7 @@
 
 
 def test_bytes_texts_and_numbers_pass_unchanged(store: PostgresStore) -> None:
-    epoch = store.begin("nód 'ø\"; --", LEASE)
+    epoch = store.start_epoch("nód 'ø\"; --", LEASE)
     identity, every = "säle '1' \\x $1 ?", bytes(range(256))
     store.apply(
         "t",
@@ -164,7 +164,7 @@
             Settle(identity, epoch, State.SERVED, 1 << 51, "", every, every, b"a/b"),
         ],
     )
-    record = store.show(identity)
+    record = store.get(identity)
     assert isinstance(record, Record) and record.answer == record.digest == every
     assert (record.made_at, record.ended_at, record.content_type) == (1 << 50, 1 << 51, b"a/b")
 
@@ -223,9 +223,9 @@
 
 
 def test_the_operators_commands_work_on_it(server: Postgres, store: PostgresStore) -> None:
-    old = store.begin("n1", LEASE)
+    old = store.start_epoch("n1", LEASE)
     store.apply("t", [claim("sale-1", old)])
-    store.begin("n1", LEASE)
+    store.start_epoch("n1", LEASE)
     done = command("record", "--store", server.url, "doubtful")
     assert done.returncode == 0 and done.stdout.startswith("sale-1  doubt")
     done = command("record", "--store", server.url, "resolve", "sale-1", "ran", "--why", "the till has it")
--- a/tests/test_record_program.py
+++ b/tests/test_record_program.py
@@ -13,7 +13,7 @@
 from minthitch import Client, ConfigError, Failed, Served, operatorfile
 from minthitch.interface import MILLISECOND, SECOND
 from minthitch.record.model import Record, State
-from minthitch.record.shown import as_json
+from minthitch.record.serialization import as_json
 from rigs.process import NodeProcess
 from rigs.servers import OK, Seen, serve_ok
 from tests.embedded import tier
--- a/tests/test_record_store.py
+++ b/tests/test_record_store.py
@@ -27,9 +27,9 @@
     Missing,
     Record,
     Renew,
+    Resolution,
     Settle,
     State,
-    Word,
     Write,
 )
 from minthitch.record.postgres import PostgresStore
@@ -88,10 +88,10 @@
 
 
 def test_the_life_of_a_record(store: SqlStore) -> None:
-    epoch = store.begin("n1", LEASE)
+    epoch = store.start_epoch("n1", LEASE)
     assert put(store, Look("a")) == [Missing()]
     assert put(store, claim("a", epoch), Attempted("a", epoch, "s2", 5), settle("a", epoch)) == [Done()] * 3
-    record = store.show("a")
+    record = store.get("a")
     assert record == Record(
         "a", "buy", b"d", "n1", epoch, 1, State.SERVED, "s2", 2, 1, 2, "", b"", b"ticket", b"a/b"
     )
@@ -99,7 +99,7 @@
 
 
 def test_an_outcome_is_written_once_and_a_second_is_a_conflict(store: SqlStore) -> None:
-    epoch = store.begin("n1", LEASE)
+    epoch = store.start_epoch("n1", LEASE)
     put(store, claim("a", epoch), settle("a", epoch, digest=b"1"))
     assert put(store, settle("a", epoch, digest=b"1")) == [Done()]  # the same again: its answer was lost
     (held,) = put(store, settle("a", epoch, State.FAILED))
@@ -116,7 +116,7 @@
 
     def node(name: str) -> None:
         own = again()
-        epoch = own.begin(name, LEASE)
+        epoch = own.start_epoch(name, LEASE)
         for i in range(20):
             barrier.wait()
             if isinstance(put(own, claim(f"sale{i}", epoch, node=name))[0], Done):
@@ -132,17 +132,17 @@
 
 
 def test_a_restart_puts_open_intents_in_doubt_once_and_fences_the_old_process(store: SqlStore) -> None:
-    old = store.begin("n1", LEASE)
+    old = store.start_epoch("n1", LEASE)
     put(store, claim("open", old), claim("done", old), settle("done", old))
-    new = store.begin("n1", LEASE)
+    new = store.start_epoch("n1", LEASE)
     assert new > old
     assert [r.identity for r in store.doubtful()] == ["open"]
     assert (
         put(store, settle("open", old), claim("late", old), Attempted("open", old, "s", 1), Renew(old, LEASE))
         == [Fenced()] * 4
     )  # the stalled one that wakes
-    assert store.show("late") is None
-    record = store.show("open")
+    assert store.get("late") is None
+    record = store.get("open")
     assert record is not None and record.state is State.DOUBT and record.epoch == old
     assert store.conflicts("open")[0].startswith("from a node that was taken over: served")  # its late word
     (held,) = put(store, claim("open", new))
@@ -152,64 +152,64 @@
 def test_only_leases_that_ran_out_are_taken_over_and_each_once(
     again: Callable[[], SqlStore], store: SqlStore
 ) -> None:
-    silent, live = store.begin("n1", 0), store.begin("n2", LEASE)
+    silent, live = store.start_epoch("n1", 0), store.start_epoch("n2", LEASE)
     put(store, claim("a", silent), claim("b", live, node="n2"))
-    while not (found := store.take_over()):  # the store's clock is in ms
+    while not (found := store.fence_expired()):  # the store's clock is in ms
         pass
     assert [r.identity for r in found] == ["a"] and found[0].state is State.DOUBT
     other = again()
-    assert other.take_over() == store.take_over() == []
+    assert other.fence_expired() == store.fence_expired() == []
     other.close()
     assert put(store, settle("b", live)) == [Done()]
 
 
 def test_a_renewed_lease_is_kept(store: SqlStore) -> None:
-    epoch = store.begin("n1", 0)
+    epoch = store.start_epoch("n1", 0)
     assert put(store, Renew(epoch, LEASE), claim("a", epoch)) == [Done(), Done()]
-    assert store.take_over() == []
+    assert store.fence_expired() == []
 
 
 def test_what_never_ran_may_be_begun_again_with_a_new_turn(store: SqlStore) -> None:
-    epoch = store.begin("n1", LEASE)
+    epoch = store.start_epoch("n1", LEASE)
     put(store, claim("a", epoch), settle("a", epoch, State.NEVER_RAN))
     assert put(store, claim("a", epoch)) == [Done()]
-    record = store.show("a")
+    record = store.get("a")
     assert record is not None and (record.turn, record.state, record.attempts) == (2, State.INTENT, 1)
 
 
 def test_an_operators_word_resolves_what_may_have_run_and_only_once(store: SqlStore) -> None:
-    old = store.begin("n1", LEASE)
+    old = store.start_epoch("n1", LEASE)
     put(store, claim("a", old), claim("b", old), claim("c", old), settle("c", old))
-    new = store.begin("n1", LEASE)
-    assert store.resolve("a", Word.RAN, "the ledger has it").word is Word.RAN
-    assert store.resolve("b", Word.NEVER_RAN, "the ledger has none").why == "the ledger has none"
+    new = store.start_epoch("n1", LEASE)
+    assert store.resolve("a", Resolution.RAN, "the ledger has it").word is Resolution.RAN
+    assert store.resolve("b", Resolution.NEVER_RAN, "the ledger has none").why == "the ledger has none"
     for identity, text in (("a", "'a' is ran"), ("c", "'c' is served"), ("z", "no record of 'z'")):
         with pytest.raises(StoreError, match=text):
-            store.resolve(identity, Word.NEVER_RAN, "")
+            store.resolve(identity, Resolution.NEVER_RAN, "")
     assert store.doubtful() == []
     (held,) = put(store, claim("a", new))
-    assert isinstance(held, Held) and held.record.word is Word.RAN
+    assert isinstance(held, Held) and held.record.word is Resolution.RAN
     assert put(store, claim("b", new)) == [Done()]
-    record = store.show("a")
+    record = store.get("a")
     assert record is not None and record.state is State.DOUBT  # the outcome itself stays as it was
 
 
 def test_a_batch_is_written_whole_or_not_at_all(store: SqlStore) -> None:
-    epoch = store.begin("n1", LEASE)
+    epoch = store.start_epoch("n1", LEASE)
     put(store, claim("a", epoch))
     with pytest.raises(StoreError):
         store.apply("t1", [claim("b", epoch), settle("a", epoch), claim(None, epoch)])  # type: ignore[arg-type]
-    assert store.show("b") is None and not store.landed("t1")
-    record = store.show("a")
+    assert store.get("b") is None and not store.is_committed("t1")
+    record = store.get("a")
     assert record is not None and record.state is State.INTENT
     store.apply("t2", [claim("b", epoch)])
-    assert store.landed("t2")
+    assert store.is_committed("t2")
 
 
 def test_pruning_leaves_what_is_open_or_in_doubt(store: SqlStore) -> None:
-    old = store.begin("n1", LEASE)
+    old = store.start_epoch("n1", LEASE)
     put(store, claim("doubt", old))
-    epoch = store.begin("n1", LEASE)
+    epoch = store.start_epoch("n1", LEASE)
     for i in range(10):
         put(store, claim(f"s{i}", epoch), Settle(f"s{i}", epoch, State.SERVED, 100 + i))
     put(store, claim("open", epoch), claim("failed", epoch), settle("failed", epoch, State.FAILED))
@@ -221,7 +221,7 @@
 
 
 def test_an_export_goes_through_all_pages(store: SqlStore) -> None:
-    epoch = store.begin("n1", LEASE)
+    epoch = store.start_epoch("n1", LEASE)
     put(store, *(claim(f"i{i:05}", epoch) for i in range(1_201)))
     assert [r.identity for r in store.export()] == [f"i{i:05}" for i in range(1_201)]
 
@@ -230,14 +230,14 @@
 def test_sqlite_and_the_model_agree_on_random_writes(store: SqlStore, seed: int) -> None:
     rng, model = random.Random(seed), ModelStore()
     epochs = {
-        "n1": (store.begin("n1", LEASE), model.begin("n1", LEASE)),
-        "n2": (store.begin("n2", LEASE), model.begin("n2", LEASE)),
+        "n1": (store.start_epoch("n1", LEASE), model.start_epoch("n1", LEASE)),
+        "n2": (store.start_epoch("n2", LEASE), model.start_epoch("n2", LEASE)),
     }
     pairs = list(epochs.values())  # old ones too: stalled processes go on writing
     for step in range(150):
         if rng.random() < 0.05:
             name = rng.choice(["n1", "n2"])
-            epochs[name] = (store.begin(name, LEASE), model.begin(name, LEASE))
+            epochs[name] = (store.start_epoch(name, LEASE), model.start_epoch(name, LEASE))
             pairs.append(epochs[name])
         mine, theirs = rng.choice(pairs)
         identity, state = (
@@ -247,7 +247,7 @@
         roll, digest = rng.random(), bytes([rng.randrange(3)])
 
         if rng.random() < 0.05:
-            word = rng.choice(list(Word))
+            word = rng.choice(list(Resolution))
             resolved = model.resolve(identity, word, "w")
             try:
                 store.resolve(identity, word, "w")
@@ -286,7 +286,7 @@
         SqliteStore(path).open()
     good = SqliteStore(tmp_path / "good.db")
     good.open()
-    epoch = good.begin("n1", LEASE)
+    epoch = good.start_epoch("n1", LEASE)
     put(good, *(claim(f"i{i}", epoch) for i in range(2_000)))
     good.close()
     data = bytearray((tmp_path / "good.db").read_bytes())
@@ -311,7 +311,7 @@
 
 
 def test_a_lock_of_another_process_is_an_error_in_time_and_passes(sqlite: SqliteStore) -> None:
-    epoch = sqlite.begin("n1", LEASE)
+    epoch = sqlite.start_epoch("n1", LEASE)
     other = sqlite3.connect(sqlite.path, isolation_level=None)
     other.execute("BEGIN IMMEDIATE")
     with pytest.raises(StoreError, match="locked"):
@@ -338,7 +338,7 @@
     try:
         store = SqliteStore(folder / "record.db")
         store.open()
-        epoch = store.begin("n1", LEASE)
+        epoch = store.start_epoch("n1", LEASE)
         assert put(store, claim("a", epoch)) == [Done()]
         store.run("PRAGMA query_only = ON")  # under the open connection: what SQLite itself then says
         with pytest.raises(StoreError, match="readonly database") as caught:
@@ -366,16 +366,16 @@
 @pytest.mark.parametrize("by", [-86_400_000, 86_400_000])
 def test_a_stores_clock_that_jumps_costs_leases_and_no_sale(sqlite: SqliteStore, by: int) -> None:
     """Forward, every lease has run out: its node is fenced, its open sale in doubt. Backward, none has."""
-    ours, theirs = sqlite.begin("n1", LEASE), sqlite.begin("n2", LEASE)
+    ours, theirs = sqlite.start_epoch("n1", LEASE), sqlite.start_epoch("n2", LEASE)
     put(sqlite, claim("a", ours), claim("b", theirs, node="n2"), settle("b", theirs))
     sqlite.dialect = replace(sqlite.dialect, now=f"({sqlite.dialect.now} + {by})")
     sqlite._translated.clear()
-    assert [record.identity for record in sqlite.take_over()] == (["a"] if by > 0 else [])
+    assert [record.identity for record in sqlite.fence_expired()] == (["a"] if by > 0 else [])
     late = put(sqlite, settle("a", ours), claim("c", theirs, node="n2"))
     assert late == ([Fenced(), Fenced()] if by > 0 else [Done(), Done()])
-    shown = sqlite.show("b")
+    shown = sqlite.get("b")
     assert shown is not None and shown.state is State.SERVED
-    anew = sqlite.begin("n1", LEASE)  # a restart after the jump
+    anew = sqlite.start_epoch("n1", LEASE)  # a restart after the jump
     assert put(sqlite, claim("d", anew), settle("d", anew)) == [Done(), Done()]
     assert isinstance(put(sqlite, claim("a", anew))[0], Held)  # never sent again, whatever the clock says
 
@@ -389,7 +389,7 @@
 signal.signal(signal.SIGXFSZ, signal.SIG_IGN)
 store = SqliteStore({str(tmp_path / "record.db")!r})
 store.open()
-epoch = store.begin("n1", LEASE)
+epoch = store.start_epoch("n1", LEASE)
 assert put(store, claim("before", epoch)) == [Done()]
 resource.setrlimit(resource.RLIMIT_FSIZE, (200_000, resource.RLIM_INFINITY))
 failed = 0
@@ -413,7 +413,7 @@
 
 
 def test_a_second_process_on_the_file_shares_it(sqlite: SqliteStore) -> None:
-    epoch = sqlite.begin("n1", LEASE)
+    epoch = sqlite.start_epoch("n1", LEASE)
     put(sqlite, claim("a", epoch))
     code = f"""
 import sys
@@ -421,7 +421,7 @@
 from tests.test_record_store import *
 other = SqliteStore({sqlite.path!r})
 other.open()
-epoch = other.begin("n2", LEASE)
+epoch = other.start_epoch("n2", LEASE)
 print([type(result).__name__ for result in put(other, claim("a", epoch), claim("b", epoch))])
 """
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60)
--- a/tests/test_record_writer.py
+++ b/tests/test_record_writer.py
@@ -58,7 +58,7 @@
         store = SqliteStore(self.path)
         store.open()
         try:
-            return store.show(identity)
+            return store.get(identity)
         finally:
             store.close()
 
@@ -85,7 +85,7 @@
 
 
 def test_a_batch_is_bounded(desk: Desk, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(writer_module, "MOST_BATCH", 10)
+    monkeypatch.setattr(writer_module, "MAX_BATCH", 10)
     monkeypatch.setattr(writer_module, "MOST_WAITING", 25)
     desk.faults.script.append("stalls")
     desk.claim(0)
