--- a/minthitch/record/__init__.py
+++ b/minthitch/record/__init__.py
@@ -1,1 +1,1 @@
-"""A store of record: what became of calls whose outcome must not be forgotten. docs/design/record.md."""
+"""The store of record: a durable log of calls and their outcomes. See docs/design/record.md."""
--- a/minthitch/record/backends.py
+++ b/minthitch/record/backends.py
@@ -1,4 +1,4 @@
-"""From the configuration's word to a store."""
+"""Selects the database backend from the configured location."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 POSTGRES_SCHEMES = ("postgresql://", "postgres://")
 
 
-def open_store(where: str) -> Store:
-    """A store that is not open yet: a PostgreSQL URL, else a file's path. Raises StoreError."""
-    if not where.startswith(POSTGRES_SCHEMES):
-        return SqliteStore(where)
+def open_store(location: str) -> Store:
+    """Creates a store without opening it: a PostgreSQL URL, else a SQLite path. Raises StoreError."""
+    if not location.startswith(POSTGRES_SCHEMES):
+        return SqliteStore(location)
     try:
-        from minthitch.record.postgres import PostgresStore  # an extra, loaded where it is asked for
+        from minthitch.record.postgres import PostgresStore  # an optional extra, imported only if used
     except ImportError as err:
         raise StoreError(f"PostgreSQL needs the extra `postgres` ({err})") from None
-    return PostgresStore(where)
+    return PostgresStore(location)
 
 
-def redacted(where: str) -> str:
-    """What a log may say of it: no password."""
-    return where.rpartition("@")[2] if where.startswith(POSTGRES_SCHEMES) else where
+def redacted(location: str) -> str:
+    """The location as it may be logged: a URL without user and password."""
+    return location.rpartition("@")[2] if location.startswith(POSTGRES_SCHEMES) else location
--- a/minthitch/record/keeper.py
+++ b/minthitch/record/keeper.py
@@ -1,4 +1,4 @@
-"""The engine's keeper with a store of record: events to `Lifecycle`, its actions to engine and writer."""
+"""The engine's keeper: passes events to `Lifecycle`, and carries out its actions in engine and writer."""
 
 from __future__ import annotations
 
@@ -11,67 +11,67 @@
 from minthitch.record.lifecycle import (
     Action,
     Answered,
-    AttemptOver,
+    AttemptFinished,
     CallerGone,
-    Came,
     Conclude,
+    DeliverAnswer,
     Event,
     Lifecycle,
-    Need,
     Opened,
-    Put,
+    RecordingMode,
     Release,
     SendRequested,
-    StoreBack,
-    Tell,
+    StoreAvailable,
+    SubmitWrite,
     Tick,
+    WriteFinished,
 )
 from minthitch.record.model import State
 from minthitch.record.writer import Results, Writer
 
-TICK = 10 * MILLISECOND  # between two looks at what is overdue
+TICK_INTERVAL = 10 * MILLISECOND  # between two checks for expired timeouts
 
 
 def digest(*parts: bytes) -> bytes:
-    """Equal for equal parts only."""
-    made = blake2b(digest_size=16)
+    """A digest of the parts; the length prefixes keep different splits of the same bytes apart."""
+    hasher = blake2b(digest_size=16)
     for part in parts:
-        made.update(len(part).to_bytes(8) + part)
-    return made.digest()
+        hasher.update(len(part).to_bytes(8) + part)
+    return hasher.digest()
 
 
 class RecordKeeper:
-    """Lives on the engine's loop. `needs`: what each recorded class asks of the store, by its number."""
+    """Runs on the engine's event loop. `modes`: the mode of each recorded class, by class number."""
 
     def __init__(
         self,
         engine: Engine,
-        life: Lifecycle,
+        lifecycle: Lifecycle,
         writer: Writer,
-        needs: Mapping[int, Need],
+        modes: Mapping[int, RecordingMode],
         identity_field: bytes = b"idempotency-key",
     ) -> None:
-        self.engine, self.life, self.writer, self.needs = engine, life, writer, dict(needs)
+        self.engine, self.lifecycle, self.writer, self.modes = engine, lifecycle, writer, dict(modes)
         self.identity_field = identity_field.lower()
         self.requests: dict[int, Request] = {}
         self.events: deque[Event] = deque()
-        self.pumping = False
-        self.told: set[int] = set()  # requests that may be told, while `may_tell` asks
+        self.processing = False
+        self.deliverable: set[int] = set()  # requests that `may_tell`, now running, may answer at once
         self.closed = False
         self._tick()
 
     def identity(self, request: Request) -> str:
-        """The field that the operator named, else the request's own id."""
+        """The header that the operator configured, else the request's own id."""
         for name, value in request.call.message.fields:
             if name.lower() == self.identity_field:
                 return value.decode("latin-1")
         return request.call.identity.decode("latin-1")
 
-    # What the engine tells ----------------------------------------------------------------------
+    # Calls from the engine ----------------------------------------------------------------------
 
     def opened(self, request: Request) -> None:
-        need = self.needs.get(request.call.cls)
-        if need is None:  # danger: what is not recorded must pay nothing
+        mode = self.modes.get(request.call.cls)
+        if mode is None:  # unrecorded classes must have no overhead
             return
         message = request.call.message
         self.requests[request.number] = request
@@ -81,7 +81,7 @@
                 self.identity(request),
                 request.spec.name,
                 digest(message.method, message.target, message.body),
-                need,
+                mode,
                 request.deadline,
             )
         )
@@ -89,12 +89,12 @@
     def may_start(self, attempt: Attempt) -> bool:
         if attempt.request.number not in self.requests:
             return True
-        self.feed(SendRequested(attempt.request.number, attempt.index, attempt.server.name, self._wall()))
-        return False  # the store has the word
+        self.feed(SendRequested(attempt.request.number, attempt.index, attempt.server.name, self._wall_ms()))
+        return False  # released once the store has accepted the intent
 
     def over(self, attempt: Attempt) -> None:
         if attempt.request.number in self.requests and attempt.status is not None:
-            self.feed(AttemptOver(attempt.request.number, attempt.index, attempt.status.never_ran))
+            self.feed(AttemptFinished(attempt.request.number, attempt.index, attempt.status.never_ran))
 
     def may_tell(self, request: Request, answer: Answer) -> bool:
         number = request.number
@@ -102,34 +102,40 @@
             return True
         if isinstance(answer, Served):
             event = Answered(
-                number, State.SERVED, self._wall(), "", digest(answer.body), answer.body, answer.content_type
+                number,
+                State.SERVED,
+                self._wall_ms(),
+                "",
+                digest(answer.body),
+                answer.body,
+                answer.content_type,
             )
         else:
             state = State.NEVER_RAN if isinstance(answer, Refused) else State.FAILED
-            event = Answered(number, state, self._wall(), answer.reason)
+            event = Answered(number, state, self._wall_ms(), answer.reason)
         self.feed(event)
-        may = number in self.told
-        self.told.discard(number)
-        if may:
+        may_answer = number in self.deliverable
+        self.deliverable.discard(number)
+        if may_answer:
             self.requests.pop(number, None)
-        return may
+        return may_answer
 
     def gone(self, request: Request) -> None:
         if self.requests.pop(request.number, None) is not None:
-            self.feed(CallerGone(request.number, self._wall()))
+            self.feed(CallerGone(request.number, self._wall_ms()))
 
-    def _wall(self) -> int:
+    def _wall_ms(self) -> int:
         return self.engine.clock.wall() // MILLISECOND
 
-    # What the store tells -----------------------------------------------------------------------
+    # Calls from the writer, on the engine's loop ------------------------------------------------
 
-    def came(self, results: Results) -> None:
-        """On the engine's loop."""
+    def on_results(self, results: Results) -> None:
+        """The results of finished writes."""
         for ticket, result in results:
-            self.feed(Came(ticket, result))
+            self.feed(WriteFinished(ticket, result))
 
-    def back(self) -> None:
-        self.feed(StoreBack())
+    def on_store_available(self) -> None:
+        self.feed(StoreAvailable())
 
     def close(self) -> None:
         self.closed = True
@@ -138,25 +144,25 @@
 
     def feed(self, event: Event) -> None:
         self.events.append(event)
-        if self.pumping:  # danger: `Lifecycle` keeps its actions in one list
+        if self.processing:  # reentrant call: `Lifecycle` collects its actions in one list
             return
-        self.pumping = True
+        self.processing = True
         try:
             while self.events:
-                for action in self.life.handle(self.engine.clock.now(), self.events.popleft()):
-                    self._act(action)
+                for action in self.lifecycle.handle(self.engine.clock.now(), self.events.popleft()):
+                    self._carry_out(action)
         finally:
-            self.pumping = False
+            self.processing = False
 
-    def _act(self, action: Action) -> None:
-        if isinstance(action, Put):
+    def _carry_out(self, action: Action) -> None:
+        if isinstance(action, SubmitWrite):
             self.writer.put(action.ticket, action.write)
-        elif isinstance(action, Tell):
+        elif isinstance(action, DeliverAnswer):
             if action.number in self.engine.untold:
                 self.requests.pop(action.number, None)
                 self.engine.tell(action.number)
             else:
-                self.told.add(action.number)
+                self.deliverable.add(action.number)
         elif (request := self.requests.get(action.number)) is None:
             return
         elif isinstance(action, Release):
@@ -165,21 +171,21 @@
                 self.engine.release(attempt)
         else:
             del self.requests[action.number]
-            self.engine.conclude(request, _answer(action))
+            self.engine.conclude(request, _to_answer(action))
 
     def _tick(self) -> None:
         if not self.closed:
             self.feed(Tick())
-            self.engine.clock.at(self.engine.clock.now() + TICK, self._tick)
+            self.engine.clock.at(self.engine.clock.now() + TICK_INTERVAL, self._tick)
 
 
-def _answer(action: Conclude) -> Answer:
+def _to_answer(action: Conclude) -> Answer:
     if action.state is State.NEVER_RAN:
         return Refused(action.retry_after, action.reason)
     record = action.record
     if action.state is not State.SERVED or record is None:
         return Failed(action.reason)
-    if record.answer is None:  # danger: served with what no server made would break the first rule
-        return Failed("it was served, and its answer is not kept")
+    if record.answer is None:  # must not report an answer that no server gave
+        return Failed("the call was served, but its answer was not kept")
     fields = ((b"content-type", record.content_type),) if record.content_type else ()
     return Served(record.answer, fields)
--- a/minthitch/record/lifecycle.py
+++ b/minthitch/record/lifecycle.py
@@ -1,13 +1,13 @@
-"""Decides the life of each recorded call: what is written, when a send may go, what its caller is told.
+"""State machine of recorded calls: what is written, when an attempt is sent, what the caller is answered.
 
-No I/O and no clock: events and times (monotonic ns) in, actions out. The rules:
+No I/O and no clock: takes events and times (monotonic ns) and returns actions. The rules:
 
-- Nothing of a call goes to a server before its intent is durable; with `BEST_EFFORT`, before the store has
-  had its time. A call whose identity has an outcome gets that outcome, one in doubt a failure; neither is
-  sent.
-- An answer waits for its outcome to be durable, but not beyond its time.
-- What could not be written is kept, bounded, and written when the store is back.
-- A node whose epoch was taken over sends nothing recorded any more; nor does one whose lease has run out.
+- No attempt is sent before the intent is durable; with `BEST_EFFORT`, it is sent without it after
+  `intent_within`. If the identity already has an outcome, the caller gets that outcome; if it is in doubt, a
+  failure. Neither is sent.
+- An answer is held until its outcome is durable, but at most for `answer_within`.
+- Outcomes that could not be written are kept in a bounded backlog and written when the store is available.
+- A node whose epoch is fenced, or whose lease has expired, sends no recorded call.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 from minthitch.interface import MILLISECOND, SECOND
 from minthitch.record.model import (
-    Attempted,
+    AddAttempt,
     Claim,
     Done,
+    Existing,
     Fenced,
-    Held,
-    Look,
-    Lost,
+    Lookup,
     Missing,
+    NotWritten,
     Record,
     Renew,
     Resolution,
@@ -35,30 +35,30 @@
     Write,
 )
 
-POLL = 50 * MILLISECOND  # between two looks at a call that another node holds
-MARGIN = 20 * MILLISECOND  # before a deadline by which its caller is told
-MOST_OPEN = 10_000  # calls in work
-MOST_BACKLOG = 10_000  # outcomes kept while the store is away
+POLL_INTERVAL = 50 * MILLISECOND  # between two lookups of a call that another node holds
+DEADLINE_MARGIN = 20 * MILLISECOND  # a caller is answered this long before its deadline
+MAX_OPEN_CALLS = 10_000  # recorded calls at once; further ones are refused
+MAX_BACKLOG = 10_000  # outcomes kept while the store is unavailable
 
 
-class Need(Enum):
-    """What a class asks of the store."""
+class RecordingMode(Enum):
+    """How strictly the calls of a class are recorded."""
 
     REQUIRED = "required"  # no send without a durable intent
-    BEST_EFFORT = "best-effort"  # a send goes once the store has had its time; what is missed is counted
+    BEST_EFFORT = "best-effort"  # sent unrecorded if the store fails or is slow; such calls are counted
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """The operator's settings; times in ns."""
+class RecordSettings:
+    """The operator's settings, with the node and its epoch; times in ns."""
 
     node: str
     epoch: int
     lease: int = 10 * SECOND
-    intent_within: int = 250 * MILLISECOND  # for an intent to be durable
-    answer_within: int = 250 * MILLISECOND  # for an outcome to be durable before its caller is told
-    retry_after: int = SECOND  # what a refusal for want of the store says
-    keep_answer: int = 16 * 1024  # bytes of an answer that are kept
+    intent_within: int = 250 * MILLISECOND  # how long a send waits for its intent
+    answer_within: int = 250 * MILLISECOND  # how long an answer waits for its outcome to be durable
+    retry_after: int = SECOND  # in refusals while the store is unavailable
+    keep_answer: int = 16 * 1024  # bytes; a longer answer is recorded by its digest only
 
     def __post_init__(self) -> None:
         for name in ("epoch", "lease", "intent_within", "answer_within", "keep_answer"):
@@ -71,28 +71,28 @@
 
 @dataclass(frozen=True, slots=True)
 class SendRequested:
-    """The balancer decided a send; `number` is the request, new in this process."""
+    """The balancer decided to send an attempt. `number`: of the request, unique in this process."""
 
     number: int
     attempt: int
     server: str
-    at: int  # Unix ms, for people
+    at: int  # Unix ms, for display only
 
 
 @dataclass(frozen=True, slots=True)
 class Opened:
-    """A request of a recorded class was taken."""
+    """A request of a recorded class was accepted."""
 
     number: int
     identity: str
     cls: str
     digest: bytes
-    need: Need
+    mode: RecordingMode
     deadline: int
 
 
 @dataclass(frozen=True, slots=True)
-class AttemptOver:
+class AttemptFinished:
     number: int
     attempt: int
     never_ran: bool
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The balancer's final answer: `SERVED`, `FAILED` or `NEVER_RAN`, for a refusal."""
+    """The balancer's final answer: `SERVED`, `FAILED`, or `NEVER_RAN` for a refusal."""
 
     number: int
     state: State
@@ -118,16 +118,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Came:
-    """The result of the write with this ticket."""
+class WriteFinished:
+    """The result of the write with this ticket arrived."""
 
     ticket: int
     result: Result
 
 
 @dataclass(frozen=True, slots=True)
-class StoreBack:
-    """The store takes writes again."""
+class StoreAvailable:
+    """The store accepts writes again."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -135,15 +135,17 @@
     """Time has passed."""
 
 
-Event = Opened | SendRequested | AttemptOver | Answered | CallerGone | Came | StoreBack | Tick
+Event = (
+    Opened | SendRequested | AttemptFinished | Answered | CallerGone | WriteFinished | StoreAvailable | Tick
+)
 
 
 # Actions ----------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
-class Put:
-    """Give the write to the store; its result comes as `Came` with this ticket."""
+class SubmitWrite:
+    """Pass the write to the store; its result comes as `WriteFinished` with this ticket."""
 
     ticket: int
     write: Write
@@ -151,7 +153,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """The attempt may go to its server."""
+    """Send the attempt to its server now."""
 
     number: int
     attempt: int
@@ -159,79 +161,80 @@
 
 @dataclass(frozen=True, slots=True)
 class Conclude:
-    """Answer the request though nothing of it was sent: by the record, or as refused or failed."""
+    """Answer a request without sending it: from the record, or as refused or failed."""
 
     number: int
-    state: State  # SERVED by the record; FAILED; NEVER_RAN: refused
+    state: State  # SERVED: from the record; FAILED; NEVER_RAN: refused
     reason: str
     record: Record | None = None
     retry_after: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
-    """Give the caller the balancer's answer now."""
+class DeliverAnswer:
+    """Deliver the balancer's answer, held until now, to the caller."""
 
     number: int
 
 
-Action = Put | Release | Conclude | Tell
+Action = SubmitWrite | Release | Conclude | DeliverAnswer
 
 
 class _Call:
-    """One request in work."""
+    """A recorded request until it is answered and its writes are finished."""
 
     __slots__ = (
         "opened",
         "durable",
-        "claiming",
+        "pending_intents",
         "waiting",
-        "wanted_at",
+        "waiting_since",
         "in_flight",
         "may_have_run",
         "answer",
-        "told",
-        "tell_by",
+        "delivered",
+        "deliver_by",
         "concluded",
         "joined",
-        "look_at",
-        "gone_at",
-        "pending",
+        "lookup_at",
+        "caller_gone_at",
+        "pending_writes",
     )
 
     def __init__(self, opened: Opened) -> None:
         self.opened = opened
-        self.durable = False  # its intent is on record, by this epoch
-        self.claiming: set[int] = set()  # tickets of its claims and attempts that are not back
-        self.waiting: dict[int, SendRequested] = {}  # attempts that wait for the store
-        self.wanted_at = 0  # since when
-        self.in_flight: set[int] = set()  # attempts that were released and are not over
+        self.durable = False  # this epoch holds a durable intent of the call
+        self.pending_intents: set[int] = set()  # tickets of unfinished Claim, AddAttempt and Lookup writes
+        self.waiting: dict[int, SendRequested] = {}  # attempts held until the store answers
+        self.waiting_since = 0  # when the first of `waiting` was added
+        self.in_flight: set[int] = set()  # attempts that were released and have not ended
         self.may_have_run = False
         self.answer: Answered | None = None
-        self.told = self.concluded = False
-        self.tell_by = 0
-        self.joined: list[int] = []  # requests of the same identity that wait for this one's outcome
-        self.look_at = 0  # when to look again at another node's record; 0 = it does not wait for one
-        self.gone_at = 0
-        self.pending = 0  # writes of it whose results are not back
+        self.delivered = self.concluded = False
+        self.deliver_by = 0
+        self.joined: list[int] = []  # numbers of requests with the same identity that get this one's outcome
+        self.lookup_at = 0  # next lookup of a record that another node holds; 0 = none, -1 = joined
+        self.caller_gone_at = 0
+        self.pending_writes = 0  # unfinished writes of this call
 
     @property
     def is_over(self) -> bool:
-        return self.answer is not None or self.concluded or bool(self.gone_at)
+        return self.answer is not None or self.concluded or bool(self.caller_gone_at)
 
 
 class Lifecycle:
-    """The recorded calls of one node's one start. Feed events in order; carry out the actions in order."""
+    """The recorded calls of one epoch. Pass events in order; carry out the returned actions in order."""
 
-    def __init__(self, terms: Terms, lease_until: int) -> None:
-        self.terms, self.lease_until = terms, lease_until
+    def __init__(self, settings: RecordSettings, lease_until: int) -> None:
+        self.settings, self.lease_until = settings, lease_until
         self.calls: dict[int, _Call] = {}
-        self.holders: dict[str, int] = {}  # identity: the request that holds it here
-        self.tickets: dict[int, tuple[Write, int, int]] = {}  # write, request (0: none), when
+        self.holders: dict[str, int] = {}  # identity -> number of the request that holds it on this node
+        # Unfinished writes: ticket -> write, request number (0 = none), time of submission.
+        self.tickets: dict[int, tuple[Write, int, int]] = {}
         self.next_ticket = 1
         self.backlog: deque[Settle] = deque()
         self.fenced = False
-        self.renewing = 0  # the ticket of a renewal that is not back
+        self.renewal_ticket = 0  # ticket of the unfinished lease renewal; 0 = none
         self.counts = {
             "recorded": 0,
             "unrecorded": 0,
@@ -246,54 +249,54 @@
     def handle(self, now: int, event: Event) -> list[Action]:
         self.actions = []
         if isinstance(event, Opened):
-            self._opened(event)
-        elif isinstance(event, Came):
-            self._came(now, event)
-        elif isinstance(event, StoreBack):
-            self._back(now)
+            self._on_opened(event)
+        elif isinstance(event, WriteFinished):
+            self._on_write_finished(now, event)
+        elif isinstance(event, StoreAvailable):
+            self._on_store_available(now)
         elif isinstance(event, Tick):
-            self._tick(now)
+            self._on_tick(now)
         elif (call := self.calls.get(event.number)) is not None:
             if isinstance(event, SendRequested):
                 self._on_send_requested(now, call, event)
-            elif isinstance(event, AttemptOver):
-                self._attempt_over(call, event)
+            elif isinstance(event, AttemptFinished):
+                self._on_attempt_finished(call, event)
             elif isinstance(event, Answered):
-                self._answered(now, call, event)
+                self._on_answered(now, call, event)
             else:
-                self._gone(now, call, event)
+                self._on_caller_gone(now, call, event)
         return self.actions
 
     # Sends --------------------------------------------------------------------------------------
 
-    def _opened(self, event: Opened) -> None:
+    def _on_opened(self, event: Opened) -> None:
         call = self.calls[event.number] = _Call(event)
-        if len(self.calls) > MOST_OPEN:  # danger: a flood would fill the memory
+        if len(self.calls) > MAX_OPEN_CALLS:  # bounds the memory
             self._refuse(call, "too many recorded calls are open")
 
     def _on_send_requested(self, now: int, call: _Call, event: SendRequested) -> None:
         if call.is_over:
             return
         if self.fenced:
-            self._refuse(call, "this node was taken over")
+            self._refuse(call, "another process has taken over from this node")
             return
         holder = self.holders.setdefault(call.opened.identity, event.number)
         if holder != event.number:
             self._join(call, self.calls[holder])
             return
         if not call.waiting:
-            call.wanted_at = now
+            call.waiting_since = now
         call.waiting[event.attempt] = event
-        if call.look_at:  # another node holds it: the look decides
+        if call.lookup_at:  # another node holds the call: the lookup decides
             return
         write: Write
         if call.durable:
-            write = Attempted(call.opened.identity, self.terms.epoch, event.server, event.at)
-        elif call.claiming:
-            return  # a second copy of a race goes with the first one's claim
+            write = AddAttempt(call.opened.identity, self.settings.epoch, event.server, event.at)
+        elif call.pending_intents:
+            return  # a parallel attempt is released with the claim of the first
         else:
             write = self._claim(call, event)
-        call.claiming.add(self._put(now, write, event.number))
+        call.pending_intents.add(self._submit(now, write, event.number))
 
     def _claim(self, call: _Call, event: SendRequested) -> Claim:
         opened = call.opened
@@ -301,37 +304,39 @@
             opened.identity,
             opened.cls,
             opened.digest,
-            self.terms.node,
-            self.terms.epoch,
+            self.settings.node,
+            self.settings.epoch,
             event.server,
             event.at,
         )
 
     def _join(self, call: _Call, holder: _Call) -> None:
         if holder.opened.digest != call.opened.digest:
-            self._conclude(call, State.FAILED, "another request has this identity")
+            self._conclude(call, State.FAILED, "the identity belongs to a different request")
             return
         holder.joined.append(call.opened.number)
-        call.look_at = -1  # waits, and not for the store
+        call.lookup_at = -1  # waits for the other request, not for the store
 
     def _release_if_leased(self, now: int, call: _Call) -> None:
-        """Lets what waits go. Danger: behind a lease that ran out another may have taken this node over."""
+        """Releases the waiting attempts; renews an expired lease first, as the epoch may be fenced."""
         if now >= self.lease_until:
-            self._renew(now)
+            self._renew_lease(now)
         else:
-            self._let_go(call)
+            self._release_waiting(call)
 
-    def _let_go(self, call: _Call) -> None:
+    def _release_waiting(self, call: _Call) -> None:
         waiting, call.waiting = call.waiting, {}
         for attempt in waiting:
             call.in_flight.add(attempt)
             self.actions.append(Release(call.opened.number, attempt))
 
-    def _renew(self, now: int) -> None:
-        if not self.renewing and not self.fenced:
-            self.renewing = self._put(now, Renew(self.terms.epoch, self.terms.lease // MILLISECOND), 0)
+    def _renew_lease(self, now: int) -> None:
+        if not self.renewal_ticket and not self.fenced:
+            self.renewal_ticket = self._submit(
+                now, Renew(self.settings.epoch, self.settings.lease // MILLISECOND), 0
+            )
 
-    def _attempt_over(self, call: _Call, event: AttemptOver) -> None:
+    def _on_attempt_finished(self, call: _Call, event: AttemptFinished) -> None:
         if event.attempt in call.in_flight:
             call.in_flight.discard(event.attempt)
             call.may_have_run = call.may_have_run or not event.never_ran
@@ -339,159 +344,160 @@
 
     # Results ------------------------------------------------------------------------------------
 
-    def _put(self, now: int, write: Write, number: int) -> int:
+    def _submit(self, now: int, write: Write, number: int) -> int:
         ticket, self.next_ticket = self.next_ticket, self.next_ticket + 1
         self.tickets[ticket] = (write, number, now)
         if (call := self.calls.get(number)) is not None:
-            call.pending += 1
-        self.actions.append(Put(ticket, write))
+            call.pending_writes += 1
+        self.actions.append(SubmitWrite(ticket, write))
         return ticket
 
-    def _came(self, now: int, event: Came) -> None:
-        known = self.tickets.pop(event.ticket, None)
-        if known is None:  # told before
+    def _on_write_finished(self, now: int, event: WriteFinished) -> None:
+        entry = self.tickets.pop(event.ticket, None)
+        if entry is None:  # the result was handled before
             return
-        write, number, asked = known
+        write, number, submitted_at = entry
         if (call := self.calls.get(number)) is not None:
-            call.pending -= 1
+            call.pending_writes -= 1
         if isinstance(event.result, Fenced):
-            self._fence()
+            self._on_fenced()
         if isinstance(write, Renew):
-            self._renewed(now, event.result, asked)
+            self._on_lease_renewed(now, event.result, submitted_at)
         elif isinstance(write, Settle):
-            self._settled(write, event.result, number)
+            self._on_outcome_result(write, event.result, number)
         elif call is not None:
-            call.claiming.discard(event.ticket)
-            self._intended(now, call, write, event.result)
+            call.pending_intents.discard(event.ticket)
+            self._on_intent_result(now, call, write, event.result)
 
-    def _renewed(self, now: int, result: Result, asked: int) -> None:
-        self.renewing = 0
+    def _on_lease_renewed(self, now: int, result: Result, submitted_at: int) -> None:
+        self.renewal_ticket = 0
         if not isinstance(result, Done):
             return
-        self.lease_until = asked + self.terms.lease  # danger: counted from the answer, it would be too long
+        # Counted from the submission: counted from the result, it would end later than the store's lease.
+        self.lease_until = submitted_at + self.settings.lease
         for call in list(self.calls.values()):
-            if call.durable and call.waiting and not call.claiming and not call.is_over:
+            if call.durable and call.waiting and not call.pending_intents and not call.is_over:
                 self._release_if_leased(now, call)
 
-    def _intended(self, now: int, call: _Call, write: Write, result: Result) -> None:
-        """What came of a claim, a further attempt or a look."""
+    def _on_intent_result(self, now: int, call: _Call, write: Write, result: Result) -> None:
+        """Handles the result of a Claim, an AddAttempt or a Lookup."""
         if isinstance(result, Done):
             call.durable = True
             self.counts["recorded"] += isinstance(write, Claim)
             if call.is_over:
-                self._finish(now, call)
+                self._write_outcome(now, call)
             else:
                 self._release_if_leased(now, call)
-        elif isinstance(result, Held):
+        elif isinstance(result, Existing):
             self._on_existing(now, call, result.record)
         elif isinstance(result, Missing):
-            call.look_at = 0  # what another node held is gone: begin anew
+            call.lookup_at = 0  # the record of the other node is gone: claim it
             self._claim_again(now, call)
-        elif isinstance(result, Lost) and not call.is_over:
-            self._without_store(now, call, result.cause)
-        self._forget(call)
+        elif isinstance(result, NotWritten) and not call.is_over:
+            self._on_store_failure(now, call, result.cause)
+        self._forget_if_done(call)
 
     def _claim_again(self, now: int, call: _Call) -> None:
         if call.waiting and not call.is_over:
             first = next(iter(call.waiting.values()))
-            call.claiming.add(self._put(now, self._claim(call, first), call.opened.number))
+            call.pending_intents.add(self._submit(now, self._claim(call, first), call.opened.number))
 
     def _on_existing(self, now: int, call: _Call, record: Record) -> None:
-        if call.in_flight or call.may_have_run:  # best effort: it went out, and is on record elsewhere
+        if call.in_flight or call.may_have_run:  # best effort: sent unrecorded, and recorded elsewhere
             self.counts["conflicts"] += 1
             return
         if call.is_over:
             return
         if record.digest != call.opened.digest:
-            self._conclude(call, State.FAILED, "another request has this identity", record)
-        elif record.may_begin:
-            call.look_at = 0
+            self._conclude(call, State.FAILED, "the identity belongs to a different request", record)
+        elif record.may_be_resent:
+            call.lookup_at = 0
             self._claim_again(now, call)
         elif record.state is State.SERVED:
             self.counts["from record"] += 1
-            self._conclude(call, State.SERVED, "on record", record)
+            self._conclude(call, State.SERVED, "answered from the record", record)
         elif record.state is State.INTENT:
-            call.look_at = now + POLL
+            call.lookup_at = now + POLL_INTERVAL
         elif record.word is Resolution.RAN:
-            self._conclude(call, State.FAILED, f"it ran, as was found later: {record.why}", record)
+            self._conclude(call, State.FAILED, f"it ran, as was found out later: {record.why}", record)
         else:
             why = record.reason or record.state.value
             self._conclude(call, State.FAILED, f"it may have run: {why}", record)
 
-    def _without_store(self, now: int, call: _Call, cause: str) -> None:
-        if call.opened.need is Need.REQUIRED:
+    def _on_store_failure(self, now: int, call: _Call, cause: str) -> None:
+        if call.opened.mode is RecordingMode.REQUIRED:
             if call.may_have_run or call.in_flight:
-                call.waiting.clear()  # what is out may still answer
+                call.waiting.clear()  # attempts in flight may still answer
             else:
-                self._refuse(call, f"the store of record is away: {cause}")
+                self._refuse(call, f"the store of record is unavailable: {cause}")
             return
         if not call.waiting:
             return
         self.counts["unrecorded"] += 1
-        self._let_go(call)
+        self._release_waiting(call)
 
-    def _fence(self) -> None:
-        """Another process has this node's place: nothing recorded is sent any more."""
+    def _on_fenced(self) -> None:
+        """Another process took over from this one: no recorded call is sent any more."""
         self.fenced = True
         for call in list(self.calls.values()):
             if not call.is_over and not call.in_flight and not call.may_have_run:
-                self._refuse(call, "this node was taken over")
+                self._refuse(call, "another process has taken over from this node")
 
     # Outcomes -----------------------------------------------------------------------------------
 
     def _refuse(self, call: _Call, reason: str) -> None:
         self.counts["refused"] += 1
-        self._conclude(call, State.NEVER_RAN, reason, retry_after=self.terms.retry_after)
+        self._conclude(call, State.NEVER_RAN, reason, retry_after=self.settings.retry_after)
 
     def _conclude(
         self, call: _Call, state: State, reason: str, record: Record | None = None, retry_after: int = 0
     ) -> None:
-        call.concluded, call.look_at = True, 0
+        call.concluded, call.lookup_at = True, 0
         call.waiting.clear()
         self.actions.append(Conclude(call.opened.number, state, reason, record, retry_after))
         joined, call.joined = call.joined, []
         for number in joined:
             if (other := self.calls.get(number)) is not None and not other.is_over:
                 self._conclude(other, state, reason, record, retry_after)
-        self._forget(call)
+        self._forget_if_done(call)
 
-    def _answered(self, now: int, call: _Call, event: Answered) -> None:
+    def _on_answered(self, now: int, call: _Call, event: Answered) -> None:
         if call.is_over:
             return
         call.answer = event
         call.waiting.clear()
-        call.look_at = 0
-        if event.state is not State.SERVED:  # an answer that promises nothing is never held back
-            self._tell(call)
+        call.lookup_at = 0
+        if event.state is not State.SERVED:  # refusals and failures need no durable outcome
+            self._deliver_answer(call)
         else:
-            call.tell_by = min(now + self.terms.answer_within, call.opened.deadline - MARGIN)
-        self._finish(now, call)
+            call.deliver_by = min(now + self.settings.answer_within, call.opened.deadline - DEADLINE_MARGIN)
+        self._write_outcome(now, call)
 
-    def _gone(self, now: int, call: _Call, event: CallerGone) -> None:
+    def _on_caller_gone(self, now: int, call: _Call, event: CallerGone) -> None:
         if call.is_over:
             return
-        call.gone_at, call.told = event.at or 1, True
+        call.caller_gone_at, call.delivered = event.at or 1, True
         call.waiting.clear()
-        call.look_at = 0
-        # Its attempts are given up with it, and may have run.
-        self._finish(now, call)
-
-    def _finish(self, now: int, call: _Call) -> None:
-        """Writes the outcome of what is on record by this epoch."""
-        if call.claiming:
-            return  # whether its intent is on record comes first
+        call.lookup_at = 0
+        # Its attempts are cancelled with it, but may have run.
+        self._write_outcome(now, call)
+
+    def _write_outcome(self, now: int, call: _Call) -> None:
+        """Writes the outcome if this epoch holds a durable intent; otherwise answers at once."""
+        if call.pending_intents:
+            return  # continues once it is known whether the intent is durable
         if not call.durable:
-            self._tell(call)
-            self._pass_on(call)
-            self._forget(call)
+            self._deliver_answer(call)
+            self._answer_joined(call)
+            self._forget_if_done(call)
             return
         ran = call.may_have_run or bool(call.in_flight)
         answer = call.answer
         if answer is not None and answer.state is State.SERVED:
-            kept = answer.body if len(answer.body) <= self.terms.keep_answer else None
+            kept = answer.body if len(answer.body) <= self.settings.keep_answer else None
             settle = Settle(
                 call.opened.identity,
-                self.terms.epoch,
+                self.settings.epoch,
                 State.SERVED,
                 answer.at,
                 "",
@@ -500,47 +506,51 @@
                 answer.content_type,
             )
         else:
-            left = "its caller left" if call.gone_at else "not sent"
-            reason = answer.reason if answer is not None else left
-            at = answer.at if answer is not None else call.gone_at
+            default_reason = "its caller left" if call.caller_gone_at else "not sent"
+            reason = answer.reason if answer is not None else default_reason
+            at = answer.at if answer is not None else call.caller_gone_at
             settle = Settle(
-                call.opened.identity, self.terms.epoch, State.FAILED if ran else State.NEVER_RAN, at, reason
+                call.opened.identity,
+                self.settings.epoch,
+                State.FAILED if ran else State.NEVER_RAN,
+                at,
+                reason,
             )
-        self._put(now, settle, call.opened.number)
+        self._submit(now, settle, call.opened.number)
 
-    def _settled(self, write: Settle, result: Result, number: int) -> None:
-        if isinstance(result, Lost):
-            self._keep(write)
-        elif isinstance(result, Held):
+    def _on_outcome_result(self, write: Settle, result: Result, number: int) -> None:
+        if isinstance(result, NotWritten):
+            self._add_to_backlog(write)
+        elif isinstance(result, Existing):
             self.counts["conflicts"] += 1
         call = self.calls.get(number)
         if call is None:
             return
-        if not isinstance(result, Done) and not call.told:
+        if not isinstance(result, Done) and not call.delivered:
             self.counts["told before durable"] += 1
-        self._tell(call)
-        self._pass_on(call)
-        call.durable = False  # it is done with
-        self._forget(call)
+        self._deliver_answer(call)
+        self._answer_joined(call)
+        call.durable = False  # the outcome is written or in the backlog
+        self._forget_if_done(call)
 
-    def _keep(self, write: Settle) -> None:
-        if len(self.backlog) >= MOST_BACKLOG:  # the oldest stays an intent, and is in doubt after a crash
+    def _add_to_backlog(self, write: Settle) -> None:
+        if len(self.backlog) >= MAX_BACKLOG:  # the oldest stays an intent, in doubt once its epoch is fenced
             self.backlog.popleft()
             self.counts["dropped outcomes"] += 1
         self.backlog.append(write)
 
-    def _back(self, now: int) -> None:
+    def _on_store_available(self, now: int) -> None:
         backlog, self.backlog = self.backlog, deque()
         for write in backlog:
-            self._put(now, write, 0)
+            self._submit(now, write, 0)
 
-    def _tell(self, call: _Call) -> None:
-        if call.answer is not None and not call.told:
-            call.told = True
-            self.actions.append(Tell(call.opened.number))
+    def _deliver_answer(self, call: _Call) -> None:
+        if call.answer is not None and not call.delivered:
+            call.delivered = True
+            self.actions.append(DeliverAnswer(call.opened.number))
 
-    def _pass_on(self, call: _Call) -> None:
-        """The joined requests get the same outcome."""
+    def _answer_joined(self, call: _Call) -> None:
+        """Answers the joined requests with the same outcome."""
         joined, call.joined = call.joined, []
         if not joined:
             return
@@ -554,22 +564,28 @@
                     opened.identity,
                     opened.cls,
                     opened.digest,
-                    self.terms.node,
-                    self.terms.epoch,
+                    self.settings.node,
+                    self.settings.epoch,
                     1,
                     State.SERVED,
                     answer_digest=answer.digest,
                     answer=answer.body,
                     content_type=answer.content_type,
                 )
-                self._conclude(other, State.SERVED, "as the first", record)
+                self._conclude(
+                    other, State.SERVED, "same outcome as the first request with this identity", record
+                )
             elif call.may_have_run or call.in_flight:
-                self._conclude(other, State.FAILED, "it may have run: as the first")
+                self._conclude(
+                    other,
+                    State.FAILED,
+                    "it may have run: same outcome as the first request with this identity",
+                )
             else:
-                self._refuse(other, "as the first")
+                self._refuse(other, "same outcome as the first request with this identity")
 
-    def _forget(self, call: _Call) -> None:
-        done = call.is_over and (call.told or call.concluded) and not call.pending
+    def _forget_if_done(self, call: _Call) -> None:
+        done = call.is_over and (call.delivered or call.concluded) and not call.pending_writes
         if done and not call.durable:
             number, identity = call.opened.number, call.opened.identity
             self.calls.pop(number, None)
@@ -578,30 +594,30 @@
 
     # Time ---------------------------------------------------------------------------------------
 
-    def _tick(self, now: int) -> None:
-        if now >= self.lease_until - self.terms.lease // 2:
-            self._renew(now)
+    def _on_tick(self, now: int) -> None:
+        if now >= self.lease_until - self.settings.lease // 2:
+            self._renew_lease(now)
         for call in list(self.calls.values()):
-            if call.answer is not None and not call.told and now >= call.tell_by:
+            if call.answer is not None and not call.delivered and now >= call.deliver_by:
                 self.counts["told before durable"] += 1
-                self._tell(call)
-                self._pass_on(call)
+                self._deliver_answer(call)
+                self._answer_joined(call)
             elif not call.is_over:
-                self._overdue(now, call)
+                self._check_overdue(now, call)
 
-    def _overdue(self, now: int, call: _Call) -> None:
+    def _check_overdue(self, now: int, call: _Call) -> None:
         if (
-            now >= call.opened.deadline - MARGIN
+            now >= call.opened.deadline - DEADLINE_MARGIN
             and not call.in_flight
             and not call.may_have_run
-            and (call.look_at or call.waiting)
+            and (call.lookup_at or call.waiting)
         ):
-            if call.look_at:
-                self._conclude(call, State.FAILED, "it is held elsewhere, and may run")
+            if call.lookup_at:
+                self._conclude(call, State.FAILED, "another node holds the call and may run it")
             else:
                 self._refuse(call, "the store of record did not answer")
-        elif call.look_at > 0 and now >= call.look_at and not call.claiming:
-            call.look_at = now + POLL
-            call.claiming.add(self._put(now, Look(call.opened.identity), call.opened.number))
-        elif call.waiting and not call.look_at and now >= call.wanted_at + self.terms.intent_within:
-            self._without_store(now, call, "it did not answer in time")
+        elif call.lookup_at > 0 and now >= call.lookup_at and not call.pending_intents:
+            call.lookup_at = now + POLL_INTERVAL
+            call.pending_intents.add(self._submit(now, Lookup(call.opened.identity), call.opened.number))
+        elif call.waiting and not call.lookup_at and now >= call.waiting_since + self.settings.intent_within:
+            self._on_store_failure(now, call, "it did not answer in time")
--- a/minthitch/record/model.py
+++ b/minthitch/record/model.py
@@ -1,4 +1,4 @@
-"""A record and what may be written of it, as values. No I/O."""
+"""The record of a call, the writes that change it and their results, as plain values. No I/O."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 
 class State(Enum):
-    """What is known of a call. Only `INTENT` is ever left, and once."""
+    """The known outcome of a call. Within one turn only `INTENT` is ever left, and only once."""
 
-    INTENT = "intent"  # it may be on its way to a server
+    INTENT = "intent"  # no outcome yet; it may have been sent to a server
     SERVED = "served"
     FAILED = "failed"  # it may have run
-    NEVER_RAN = "never-ran"  # nothing of it reached a server that took it
-    DOUBT = "doubt"  # its node ended, or was fenced off, while it was an intent
+    NEVER_RAN = "never-ran"  # no server accepted it
+    DOUBT = "doubt"  # its node's epoch was fenced while the call was an intent
 
 
 class Resolution(Enum):
-    """What an operator, or a later word of the servers, says of a call that may have run."""
+    """What was found out later about a call in doubt or failed."""
 
     RAN = "ran"
     NEVER_RAN = "never-ran"
@@ -25,38 +25,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """One call, by its identity. Times are Unix milliseconds, for people; nothing is decided by them."""
+    """One call, by its identity. Times are Unix ms, for display only: no decision depends on them."""
 
     identity: str
     cls: str
-    digest: bytes  # of the request, so that one identity with two requests is seen
+    digest: bytes  # of the request, to detect different requests with the same identity
     node: str
-    epoch: int  # of the start of the node that holds it
-    turn: int  # how often it was begun anew after it never ran, from 1
+    epoch: int  # identifies the start of the node that holds the call
+    turn: int  # from 1; incremented when a call that never ran is claimed again
     state: State
-    server: str = ""  # of the last attempt
+    server: str = ""  # that the last attempt was sent to
     attempts: int = 0
     made_at: int = 0
     ended_at: int = 0
     reason: str = ""
     answer_digest: bytes = b""
-    answer: bytes | None = None  # None: none, or longer than what is kept
+    answer: bytes | None = None  # None: no answer, or one above the size limit
     content_type: bytes = b""
-    word: Resolution | None = None
-    why: str = ""  # of the word
+    word: Resolution | None = None  # what was found out later; None = not resolved
+    why: str = ""  # how that is known
 
     @property
-    def may_begin(self) -> bool:
-        """Whether the call may be sent again: only where it is known that it never ran."""
+    def may_be_resent(self) -> bool:
+        """Whether the call may be sent again: only if it is known that it never ran."""
         return self.state is State.NEVER_RAN or self.word is Resolution.NEVER_RAN
 
 
-# What is written --------------------------------------------------------------------------------
+# Writes -----------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """The intent of a first send: inserted where the identity is not there or never ran."""
+    """Records the intent before the first send. Succeeds if the identity is new or never ran."""
 
     identity: str
     cls: str
@@ -68,8 +68,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Attempted:
-    """A further send of a call that this epoch holds, after earlier ones that never ran."""
+class AddAttempt:
+    """Records a further attempt of a call that this epoch holds, before it is sent."""
 
     identity: str
     epoch: int
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settle:
-    """The outcome of a call that this epoch holds."""
+    """Records the outcome of a call that this epoch holds."""
 
     identity: str
     epoch: int
@@ -92,53 +92,56 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
-    """The record as it is."""
+class Lookup:
+    """Reads the record."""
 
     identity: str
 
 
 @dataclass(frozen=True, slots=True)
 class Renew:
-    """The epoch's lease for so many milliseconds from now, by the store's clock."""
+    """Extends the epoch's lease to `lease` milliseconds from now, by the store's clock."""
 
     epoch: int
     lease: int
 
 
-Write = Claim | Attempted | Settle | Look | Renew
+Write = Claim | AddAttempt | Settle | Lookup | Renew
 
 
-# What comes of it -------------------------------------------------------------------------------
+# Results ----------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """It is durable."""
+    """The write is durable."""
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
-    """It was not written: the record stands so. For a `Settle` this is a conflict, noted as one."""
+class Existing:
+    """The record as it stands; a write was not applied. For a `Settle` a conflict is recorded too."""
 
     record: Record
 
 
 @dataclass(frozen=True, slots=True)
 class Missing:
-    """No such record."""
+    """There is no such record."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fenced:
-    """It was not written: the epoch was taken over."""
+    """Not written: the epoch is fenced."""
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
-    """It was not written, and is known not to have been: the store is away, full or read-only."""
+class NotWritten:
+    """Not written: the store is unavailable, full, read-only or overloaded.
+
+    At shutdown it may also stand for a commit whose outcome is unknown; the cause says so.
+    """
 
     cause: str
 
 
-Result = Done | Held | Missing | Fenced | Lost
+Result = Done | Existing | Missing | Fenced | NotWritten
--- a/minthitch/record/serialization.py
+++ b/minthitch/record/serialization.py
@@ -1,4 +1,4 @@
-"""A record as people and programs read it. No I/O."""
+"""JSON form of a record. No I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def as_json(record: Record, conflicts: list[str] | None = None) -> dict[str, Any]:
-    """A record for people and programs."""
+    """The record as JSON values: times in ISO 8601, digests in hex, the answer in base64."""
 
     def time(ms: int) -> str | None:
         return datetime.fromtimestamp(ms / 1000, UTC).isoformat(timespec="milliseconds") if ms else None
--- a/minthitch/record/sqlite.py
+++ b/minthitch/record/sqlite.py
@@ -1,4 +1,4 @@
-"""The store of record in a SQLite file: WAL, each commit synced. For one node on one machine."""
+"""The store of record in a SQLite file: WAL mode, each commit synced. For a single node."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from minthitch.record.sql import Dialect, SqlStore
 from minthitch.record.store import StoreError
 
-NOT_DONE = (sqlite3.SQLITE_BUSY, sqlite3.SQLITE_FULL, sqlite3.SQLITE_READONLY, sqlite3.SQLITE_CONSTRAINT)
-BUSY_FOR = 2_000  # ms that a lock of another process is waited for
+NOT_COMMITTED = (sqlite3.SQLITE_BUSY, sqlite3.SQLITE_FULL, sqlite3.SQLITE_READONLY, sqlite3.SQLITE_CONSTRAINT)
+BUSY_TIMEOUT_MS = 2_000  # how long to wait for a lock of another process
 DIALECT = Dialect(
-    mark="?",
+    placeholder="?",
     now="CAST((julianday('now') - 2440587.5) * 86400000 AS INTEGER)",
     blob="BLOB",
-    number="INTEGER",
-    serial="INTEGER PRIMARY KEY AUTOINCREMENT",
-    share="",
+    integer="INTEGER",
+    auto_key="INTEGER PRIMARY KEY AUTOINCREMENT",
+    row_lock="",
 )
 
 
@@ -27,18 +27,20 @@
 
     dialect = DIALECT
 
-    def __init__(self, path: str | os.PathLike[str], busy_for: int = BUSY_FOR) -> None:
+    def __init__(self, path: str | os.PathLike[str], busy_timeout_ms: int = BUSY_TIMEOUT_MS) -> None:
         super().__init__()
-        self.path, self.busy_for = os.fspath(path), busy_for
+        self.path, self.busy_timeout_ms = os.fspath(path), busy_timeout_ms
         self.connection: sqlite3.Connection | None = None
 
     def connect(self) -> None:
         self.close()
         try:
-            self.connection = sqlite3.connect(self.path, timeout=self.busy_for / 1000, isolation_level=None)
+            self.connection = sqlite3.connect(
+                self.path, timeout=self.busy_timeout_ms / 1000, isolation_level=None
+            )
             mode = self.run("PRAGMA journal_mode = WAL")
             if mode != [("wal",)]:
-                raise StoreError(f"{self.path}: no write-ahead log here ({mode[0][0]})")
+                raise StoreError(f"{self.path}: WAL mode is not available (journal mode is {mode[0][0]})")
             self.run("PRAGMA synchronous = FULL")
             if self.run("PRAGMA quick_check(1)") != [("ok",)]:
                 raise StoreError(f"{self.path}: the file is damaged")
@@ -49,34 +51,35 @@
             self.close()
             raise
 
-    def _live(self) -> sqlite3.Connection:
+    def _connected(self) -> sqlite3.Connection:
         if self.connection is None:
             raise StoreError(f"{self.path}: not open")
         return self.connection
 
     def run(self, statement: str, parameters: Sequence[Any] = ()) -> list[tuple[Any, ...]]:
         try:
-            return self._live().execute(statement, parameters).fetchall()
+            return self._connected().execute(statement, parameters).fetchall()
         except sqlite3.Error as err:
             raise StoreError(f"{self.path}: {err}") from None
 
-    def changed(self, statement: str, parameters: Sequence[Any]) -> int:
+    def count_changed(self, statement: str, parameters: Sequence[Any]) -> int:
         try:
-            return self._live().execute(statement, parameters).rowcount
+            return self._connected().execute(statement, parameters).rowcount
         except sqlite3.Error as err:
             raise StoreError(f"{self.path}: {err}") from None
 
-    def start(self) -> None:
-        # IMMEDIATE: the lock is taken before anything is read, so that what is read stays true.
+    def begin_transaction(self) -> None:
+        # IMMEDIATE takes the write lock before the first read, so that what was read stays true.
         self.run("BEGIN IMMEDIATE")
 
     def commit(self) -> bool:
-        """A lock or a full disk is a commit that was not done; after any other fault, reading back tells."""
+        """Raises StoreError for the codes in NOT_COMMITTED; after any other error the outcome is unknown."""
         try:
-            self._live().execute("COMMIT")
+            self._connected().execute("COMMIT")
         except sqlite3.Error as err:
             self.rollback()
-            if err.sqlite_errorcode & 0xFF not in NOT_DONE:  # a sync that failed may have reached the disk
+            # After a failed sync the commit may have reached the disk all the same.
+            if err.sqlite_errorcode & 0xFF not in NOT_COMMITTED:
                 return False
             raise StoreError(f"{self.path}: {err}") from None
         return True
@@ -85,13 +88,13 @@
         if self.connection is not None and self.connection.in_transaction:
             try:
                 self.connection.execute("ROLLBACK")
-            except sqlite3.Error:  # a full disk may have ended it already
+            except sqlite3.Error:  # a full disk may have rolled it back already
                 self.close()
 
-    def version(self) -> int:
+    def schema_version(self) -> int:
         return int(self.run("PRAGMA user_version")[0][0])
 
-    def set_version(self, version: int) -> None:
+    def set_schema_version(self, version: int) -> None:
         self.run(f"PRAGMA user_version = {int(version)}")
 
     def close(self) -> None:
--- a/minthitch/record/store.py
+++ b/minthitch/record/store.py
@@ -1,4 +1,4 @@
-"""What a store of record offers, whichever database is behind it."""
+"""The interface of a store of record, independent of the database."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class StoreError(Exception):
-    """The store can't be used, or could not do it; the text is one plain line. Nothing was written."""
+    """The store is unusable or rejected the operation: nothing was written. The text is one line."""
 
 
 class CommitUnknown(StoreError):
-    """The commit's answer never came: `Store.is_committed` tells whether the batch is there.
+    """The outcome of the commit is unknown; `Store.is_committed` tells it after a reconnect.
 
-    `results` are those of its writes, if it is.
+    `results` are those of the writes, if the batch was committed.
     """
 
     def __init__(self, text: str, results: list[Result]) -> None:
@@ -24,40 +24,46 @@
 
 
 class Store(Protocol):
-    """One connection, used by one thread. Every method raises StoreError."""
+    """One connection, used by one thread. Every method may raise StoreError."""
 
     def open(self) -> None:
-        """Connects, and brings the schema up to date. A schema newer than the program is an error."""
+        """Connects and migrates the schema. A schema newer than the program is an error."""
 
-    def start_epoch(self, node: str, lease: int) -> int:
-        """A new epoch of the node, with a lease of so many ms.
+    def start_epoch(self, node: str, lease_ms: int) -> int:
+        """Starts a new epoch of the node, with a lease of `lease_ms`.
 
-        In the same transaction the node's older epochs are fenced, and their open intents put in doubt.
+        The same transaction fences the older epochs of the node and puts their open intents in doubt.
         """
 
     def fence_expired(self) -> list[Record]:
-        """Fences every epoch whose lease has run out by the store's clock; gives what is in doubt by it."""
+        """Fences every epoch whose lease expired by the store's clock; returns the records put in doubt."""
 
     def apply(self, token: str, writes: Sequence[Write]) -> list[Result]:
-        """All writes in order in one transaction, durable when it returns. Raises CommitUnknown too."""
+        """Applies all writes in order in one durable transaction. May raise CommitUnknown.
+
+        `token` identifies the batch for `is_committed`.
+        """
 
     def is_committed(self, token: str) -> bool:
-        """Whether a batch whose commit's answer never came is there."""
+        """Whether the batch with this token was committed."""
 
     def get(self, identity: str) -> Record | None: ...
 
     def doubtful(self) -> list[Record]:
-        """What may have run and has no word yet, the oldest first."""
+        """Records in doubt or failed that are not resolved yet, oldest first."""
 
     def resolve(self, identity: str, word: Resolution, why: str) -> Record:
-        """Notes what is known now of a call in doubt or failed. StoreError for any other."""
+        """Resolves a call in doubt or failed. Raises StoreError for any other call."""
 
     def export(self) -> Iterator[Record]: ...
 
     def conflicts(self, identity: str) -> list[str]:
-        """Outcomes that came second, as lines."""
+        """Outcomes that came after the recorded one or from a fenced epoch, one line each."""
 
-    def prune(self, before: int, most: int) -> int:
-        """Deletes settled records that ended before (Unix ms), then the oldest beyond `most`."""
+    def prune(self, before: int, max_records: int) -> int:
+        """Deletes records that ended before `before` (Unix ms), then the oldest above `max_records`.
+
+        Open intents and unresolved records stay. Returns how many were deleted.
+        """
 
     def close(self) -> None: ...
--- a/rigs/faultystore.py
+++ b/rigs/faultystore.py
@@ -1,4 +1,4 @@
-"""A store of record with faults by a script, round a real one."""
+"""Wraps a store of record and injects scripted faults."""
 
 from __future__ import annotations
 
@@ -12,18 +12,20 @@
 
 
 class Faults:
-    """What the next operations do; shared by every connection to one store."""
+    """The faults of the next operations; shared by all connections to one store."""
 
     def __init__(self) -> None:
-        self.script: deque[str] = deque()  # of each apply: "" (good), fails, lost-before, lost-after, stalls
-        self.away = False  # nothing can be opened, read or written
-        self.go = threading.Event()  # lets a stalled apply go on
+        self.script: deque[str] = (
+            deque()
+        )  # one for each apply: "" (none), fails, lost-before, lost-after, stalls
+        self.unavailable = False  # open, apply and is_committed fail
+        self.resume = threading.Event()  # lets a stalled apply continue
         self.stalled = threading.Event()
-        self.opened = 0
+        self.open_count = 0
 
 
 class FaultyStore:
-    """Passes all on to the store inside, but for the faults."""
+    """Passes all calls on to `inner`, except for the faults."""
 
     def __init__(self, inner: Store, faults: Faults) -> None:
         self.inner, self.faults = inner, faults
@@ -31,27 +33,27 @@
     def __getattr__(self, name: str) -> Any:
         return getattr(self.inner, name)
 
-    def _reach(self) -> None:
-        if self.faults.away:
+    def _check_available(self) -> None:
+        if self.faults.unavailable:
             raise StoreError("connection refused")
 
     def open(self) -> None:
-        self._reach()
+        self._check_available()
         self.inner.open()
-        self.faults.opened += 1
+        self.faults.open_count += 1
 
     def is_committed(self, token: str) -> bool:
-        self._reach()
+        self._check_available()
         return self.inner.is_committed(token)
 
     def apply(self, token: str, writes: Sequence[Write]) -> list[Result]:
         fault = self.faults.script.popleft() if self.faults.script else ""
-        self._reach()
+        self._check_available()
         if fault == "fails":
             raise StoreError("no space left")
         if fault == "stalls":
             self.faults.stalled.set()
-            self.faults.go.wait(20)
+            self.faults.resume.wait(20)
         if fault == "lost-before":
             raise CommitUnknown("reset by peer", [])
         results = self.inner.apply(token, writes)
--- a/rigs/modelstore.py
+++ b/rigs/modelstore.py
@@ -1,4 +1,4 @@
-"""A store of record in plain dictionaries: what the databases are held against."""
+"""Reference model of a store of record in plain dictionaries."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from dataclasses import replace
 
 from minthitch.record.model import (
-    Attempted,
+    AddAttempt,
     Claim,
     Done,
+    Existing,
     Fenced,
-    Held,
-    Look,
+    Lookup,
     Missing,
     Record,
     Renew,
@@ -24,26 +24,26 @@
 
 
 class ModelStore:
-    """One store shared by several nodes; its clock is moved by hand (ms)."""
+    """One store shared by several nodes, with a manual clock in ms."""
 
     def __init__(self) -> None:
         self.records: dict[str, Record] = {}
-        self.epochs: dict[int, tuple[str, int]] = {}  # node, lease until; those that are not fenced
+        self.epochs: dict[int, tuple[str, int]] = {}  # unfenced epochs: node, end of the lease
         self.next_epoch = 1
         self.now = 1_000
         self.conflicts: list[tuple[str, int, State]] = []
 
-    def start_epoch(self, node: str, lease: int) -> int:
+    def start_epoch(self, node: str, lease_ms: int) -> int:
         for epoch, (name, _) in list(self.epochs.items()):
             if name == node:
                 self._fence(epoch, "its node started anew")
         epoch, self.next_epoch = self.next_epoch, self.next_epoch + 1
-        self.epochs[epoch] = (node, self.now + lease)
+        self.epochs[epoch] = (node, self.now + lease_ms)
         return epoch
 
     def fence_expired(self) -> list[Record]:
-        ended = [epoch for epoch, (_, until) in self.epochs.items() if until < self.now]
-        return [record for epoch in ended for record in self._fence(epoch, "its node fell silent")]
+        expired = [epoch for epoch, (_, until) in self.epochs.items() if until < self.now]
+        return [record for epoch in expired for record in self._fence(epoch, "its node fell silent")]
 
     def _fence(self, epoch: int, reason: str) -> list[Record]:
         if self.epochs.pop(epoch, None) is None:
@@ -57,11 +57,11 @@
         return found
 
     def apply(self, writes: Sequence[Write]) -> list[Result]:
-        return [self._write(write) for write in writes]
+        return [self._apply_write(write) for write in writes]
 
-    def _write(self, write: Write) -> Result:
-        if isinstance(write, Look):
-            return self._as_it_is(write.identity)
+    def _apply_write(self, write: Write) -> Result:
+        if isinstance(write, Lookup):
+            return self._current(write.identity)
         if write.epoch not in self.epochs:
             if isinstance(write, Settle):
                 self.conflicts.append((write.identity, write.epoch, write.state))
@@ -74,13 +74,13 @@
             return self._claim(write, found)
         if found is None:
             return Missing()
-        mine = found.epoch == write.epoch and found.state is State.INTENT
-        if isinstance(write, Attempted):
-            if not mine:
-                return Held(found)
+        is_open = found.epoch == write.epoch and found.state is State.INTENT
+        if isinstance(write, AddAttempt):
+            if not is_open:
+                return Existing(found)
             self.records[write.identity] = replace(found, server=write.server, attempts=found.attempts + 1)
             return Done()
-        if mine:
+        if is_open:
             self.records[write.identity] = replace(
                 found,
                 state=write.state,
@@ -95,15 +95,15 @@
         if (found.epoch, found.state, found.answer_digest) == outcome:
             return Done()
         self.conflicts.append((write.identity, write.epoch, write.state))
-        return Held(found)
+        return Existing(found)
 
-    def _as_it_is(self, identity: str) -> Result:
+    def _current(self, identity: str) -> Result:
         found = self.records.get(identity)
-        return Missing() if found is None else Held(found)
+        return Missing() if found is None else Existing(found)
 
     def _claim(self, write: Claim, found: Record | None) -> Result:
-        if found is not None and not found.may_begin:
-            return Held(found)
+        if found is not None and not found.may_be_resent:
+            return Existing(found)
         self.records[write.identity] = Record(
             write.identity,
             write.cls,
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -23,7 +23,7 @@
 from tests.test_cli import command
 from tests.test_node import run
 from tests.test_operatorfile import GOOD
-from tests.test_record_program import sale
+from tests.test_record_program import http_request
 
 
 async def ask(port: int, data: bytes) -> tuple[int, Any]:
@@ -124,7 +124,7 @@
             }
         )
         await node.start()
-        assert (await node.ask(sale("sale 1/ø", 1)))[0] == 200
+        assert (await node.ask(http_request("sale 1/ø", 1)))[0] == 200
         status, shown = await get(port, "/record/sale%201/%C3%83%C2%B8")
         assert status == 200 and (shown["state"], shown["attempts"]) == ("served", 1)
         assert (await get(port, "/record/none"))[0] == 404
--- a/tests/test_record_life.py
+++ b/tests/test_record_life.py
@@ -1,4 +1,4 @@
-"""The life of a record, decided: what is written when, what may be sent, what callers are told."""
+"""The state machine of recorded calls: what is written when, what is sent, what callers are answered."""
 
 from __future__ import annotations
 
@@ -8,36 +8,36 @@
 
 from minthitch.interface import MILLISECOND, SECOND
 from minthitch.record.lifecycle import (
-    MARGIN,
-    MOST_BACKLOG,
-    MOST_OPEN,
-    POLL,
+    DEADLINE_MARGIN,
+    MAX_BACKLOG,
+    MAX_OPEN_CALLS,
+    POLL_INTERVAL,
     Action,
     Answered,
-    AttemptOver,
+    AttemptFinished,
     CallerGone,
-    Came,
     Conclude,
+    DeliverAnswer,
     Lifecycle,
-    Need,
     Opened,
-    Put,
+    RecordingMode,
+    RecordSettings,
     Release,
     SendRequested,
-    StoreBack,
-    Tell,
-    Terms,
+    StoreAvailable,
+    SubmitWrite,
     Tick,
+    WriteFinished,
 )
 from minthitch.record.model import (
-    Attempted,
+    AddAttempt,
     Claim,
     Done,
+    Existing,
     Fenced,
-    Held,
-    Look,
-    Lost,
+    Lookup,
     Missing,
+    NotWritten,
     Record,
     Renew,
     Resolution,
@@ -47,113 +47,117 @@
 )
 
 MS = MILLISECOND
-TERMS = Terms("n1", 7)
+SETTINGS = RecordSettings("n1", 7)
 
 
 class Node:
-    """One life, its time, and the writes that wait for a result."""
+    """A Lifecycle with a manual clock, and its writes without a result."""
 
     def __init__(self, lease: int = 10 * SECOND) -> None:
         self.now = 100 * SECOND
-        self.life = Lifecycle(TERMS, self.now + lease)
-        self.puts: list[Put] = []
-        self.seen: list[Action] = []
+        self.lifecycle = Lifecycle(SETTINGS, self.now + lease)
+        self.pending_writes: list[SubmitWrite] = []
+        self.other_actions: list[Action] = []
 
     def feed(self, event: Any) -> list[Action]:
-        actions = self.life.handle(self.now, event)
-        self.puts += [action for action in actions if isinstance(action, Put)]
-        self.seen += [action for action in actions if not isinstance(action, Put)]
+        actions = self.lifecycle.handle(self.now, event)
+        self.pending_writes += [action for action in actions if isinstance(action, SubmitWrite)]
+        self.other_actions += [action for action in actions if not isinstance(action, SubmitWrite)]
         return actions
 
     def open(
-        self, number: int = 1, need: Need = Need.REQUIRED, identity: str = "sale", digest: bytes = b"d"
+        self,
+        number: int = 1,
+        mode: RecordingMode = RecordingMode.REQUIRED,
+        identity: str = "sale",
+        digest: bytes = b"d",
     ) -> None:
-        self.feed(Opened(number, identity, "buy", digest, need, self.now + 2 * SECOND))
+        self.feed(Opened(number, identity, "buy", digest, mode, self.now + 2 * SECOND))
 
-    def want(self, number: int = 1, attempt: int = 0, server: str = "s1") -> list[Action]:
+    def request_send(self, number: int = 1, attempt: int = 0, server: str = "s1") -> list[Action]:
         return self.feed(SendRequested(number, attempt, server, 1))
 
-    def come(self, result: Result) -> list[Action]:
-        """The result of the oldest write that waits."""
-        return self.feed(Came(self.puts.pop(0).ticket, result))
+    def finish_write(self, result: Result) -> list[Action]:
+        """Passes the result of the oldest unfinished write."""
+        return self.feed(WriteFinished(self.pending_writes.pop(0).ticket, result))
 
     def served(self, number: int = 1) -> list[Action]:
         return self.feed(Answered(number, State.SERVED, 2, "", b"h", b"ticket", b"a/b"))
 
-    def wait(self, by: int) -> list[Action]:
+    def advance(self, by: int) -> list[Action]:
         self.now += by
         return self.feed(Tick())
 
     @property
     def writes(self) -> list[Any]:
-        return [put.write for put in self.puts]
+        return [put.write for put in self.pending_writes]
 
 
 def record(state: State, **more: Any) -> Record:
     return Record("sale", "buy", more.pop("digest", b"d"), "n2", 3, 1, state, **more)
 
 
-def sent(need: Need = Need.REQUIRED) -> Node:
-    """A node whose sale is on record and out at a server."""
+def sent(mode: RecordingMode = RecordingMode.REQUIRED) -> Node:
+    """A node with one recorded call in flight."""
     n = Node()
-    n.open(need=need)
-    n.want()
-    n.come(Done())
+    n.open(mode=mode)
+    n.request_send()
+    n.finish_write(Done())
     return n
 
 
 def test_nothing_is_sent_before_the_intent_is_durable() -> None:
     n = Node()
     n.open()
-    assert [type(a) for a in n.want()] == [Put]
+    assert [type(a) for a in n.request_send()] == [SubmitWrite]
     assert n.writes == [Claim("sale", "buy", b"d", "n1", 7, "s1", 1)]
-    assert n.come(Done()) == [Release(1, 0)]
+    assert n.finish_write(Done()) == [Release(1, 0)]
 
 
 def test_a_served_answer_waits_for_its_outcome_to_be_durable() -> None:
     n = sent()
-    assert [type(a) for a in n.served()] == [Put]
+    assert [type(a) for a in n.served()] == [SubmitWrite]
     assert n.writes == [Settle("sale", 7, State.SERVED, 2, "", b"h", b"ticket", b"a/b")]
-    assert n.come(Done()) == [Tell(1)]
-    assert not n.life.calls and not n.life.holders and not n.life.tickets
+    assert n.finish_write(Done()) == [DeliverAnswer(1)]
+    assert not n.lifecycle.calls and not n.lifecycle.holders and not n.lifecycle.tickets
 
 
-def test_a_slow_store_does_not_hold_the_answer_of_a_sale_that_ran_beyond_its_time() -> None:
+def test_a_slow_store_holds_an_answer_at_most_for_answer_within() -> None:
     n = sent()
     n.served()
-    assert n.wait(TERMS.answer_within - 1) == []
-    assert n.wait(1) == [Tell(1)]
-    n.come(Done())
-    assert n.seen.count(Tell(1)) == 1 and not n.life.calls
+    assert n.advance(SETTINGS.answer_within - 1) == []
+    assert n.advance(1) == [DeliverAnswer(1)]
+    n.finish_write(Done())
+    assert n.other_actions.count(DeliverAnswer(1)) == 1 and not n.lifecycle.calls
 
 
-def test_an_answer_near_its_deadline_is_not_held_beyond_it() -> None:
+def test_an_answer_is_not_held_beyond_its_deadline() -> None:
     n = sent()
-    n.now += 2 * SECOND - MARGIN - 10 * MS
+    n.now += 2 * SECOND - DEADLINE_MARGIN - 10 * MS
     n.served()
-    assert n.wait(10 * MS) == [Tell(1)]
+    assert n.advance(10 * MS) == [DeliverAnswer(1)]
 
 
-def test_a_further_attempt_is_on_record_before_it_goes() -> None:
+def test_a_further_attempt_is_recorded_before_it_is_sent() -> None:
     n = sent()
-    n.feed(AttemptOver(1, 0, True))
-    assert [type(a) for a in n.want(attempt=1, server="s2")] == [Put]
-    assert n.writes == [Attempted("sale", 7, "s2", 1)]
-    assert n.come(Done()) == [Release(1, 1)]
+    n.feed(AttemptFinished(1, 0, True))
+    assert [type(a) for a in n.request_send(attempt=1, server="s2")] == [SubmitWrite]
+    assert n.writes == [AddAttempt("sale", 7, "s2", 1)]
+    assert n.finish_write(Done()) == [Release(1, 1)]
 
 
-def test_copies_of_a_race_go_with_one_claim() -> None:
+def test_parallel_attempts_are_released_by_one_claim() -> None:
     n = Node()
     n.open()
-    n.want(attempt=0)
-    assert n.want(attempt=1) == []
-    assert n.come(Done()) == [Release(1, 0), Release(1, 1)]
+    n.request_send(attempt=0)
+    assert n.request_send(attempt=1) == []
+    assert n.finish_write(Done()) == [Release(1, 0), Release(1, 1)]
 
 
 @pytest.mark.parametrize(
-    ("held", "state", "words"),
+    ("held", "state", "reason"),
     [
-        (record(State.SERVED, answer=b"x"), State.SERVED, "on record"),
+        (record(State.SERVED, answer=b"x"), State.SERVED, "answered from the record"),
         (record(State.FAILED), State.FAILED, "may have run: failed"),
         (
             record(State.DOUBT, reason="its node fell silent"),
@@ -163,244 +167,244 @@
         (
             record(State.DOUBT, word=Resolution.RAN, why="ledger"),
             State.FAILED,
-            "it ran, as was found later: ledger",
+            "it ran, as was found out later: ledger",
         ),
-        (record(State.SERVED, digest=b"other"), State.FAILED, "another request has this identity"),
+        (record(State.SERVED, digest=b"other"), State.FAILED, "the identity belongs to a different request"),
     ],
 )
-def test_an_identity_that_is_on_record_gets_its_outcome_and_is_never_sent(
-    held: Record, state: State, words: str
+def test_a_recorded_identity_gets_its_outcome_and_is_never_sent(
+    held: Record, state: State, reason: str
 ) -> None:
     n = Node()
     n.open()
-    n.want()
-    (concluded,) = n.come(Held(held))
-    assert isinstance(concluded, Conclude) and concluded.state is state and words in concluded.reason
-    assert concluded.record == held and not n.life.calls and not n.puts
+    n.request_send()
+    (concluded,) = n.finish_write(Existing(held))
+    assert isinstance(concluded, Conclude) and concluded.state is state and reason in concluded.reason
+    assert concluded.record == held and not n.lifecycle.calls and not n.pending_writes
 
 
-def test_what_never_ran_elsewhere_is_begun_again() -> None:
+def test_a_call_that_never_ran_elsewhere_is_claimed_again() -> None:
     n = Node()
     n.open()
-    n.want()
-    n.come(Held(record(State.NEVER_RAN)))
+    n.request_send()
+    n.finish_write(Existing(record(State.NEVER_RAN)))
     assert [type(w) for w in n.writes] == [Claim]
-    assert n.come(Done()) == [Release(1, 0)]
+    assert n.finish_write(Done()) == [Release(1, 0)]
 
 
-def test_a_retry_at_another_node_waits_for_the_firsts_outcome() -> None:
+def test_a_retry_at_another_node_waits_for_the_outcome_of_the_first_request() -> None:
     n = Node()
     n.open()
-    n.want()
-    assert n.come(Held(record(State.INTENT))) == []
-    assert n.wait(POLL - 1) == [] and n.writes == []
-    n.wait(1)
-    assert n.writes == [Look("sale")]
-    n.come(Held(record(State.INTENT)))
-    n.wait(POLL)
-    (concluded,) = n.come(Held(record(State.SERVED, answer=b"x")))
+    n.request_send()
+    assert n.finish_write(Existing(record(State.INTENT))) == []
+    assert n.advance(POLL_INTERVAL - 1) == [] and n.writes == []
+    n.advance(1)
+    assert n.writes == [Lookup("sale")]
+    n.finish_write(Existing(record(State.INTENT)))
+    n.advance(POLL_INTERVAL)
+    (concluded,) = n.finish_write(Existing(record(State.SERVED, answer=b"x")))
     assert isinstance(concluded, Conclude) and concluded.state is State.SERVED
 
 
 def test_a_retry_that_waits_for_another_node_fails_in_time() -> None:
     n = Node()
     n.open()
-    n.want()
-    n.come(Held(record(State.INTENT)))
-    (concluded,) = n.wait(2 * SECOND - MARGIN)
-    assert concluded == Conclude(1, State.FAILED, "it is held elsewhere, and may run")
+    n.request_send()
+    n.finish_write(Existing(record(State.INTENT)))
+    (concluded,) = n.advance(2 * SECOND - DEADLINE_MARGIN)
+    assert concluded == Conclude(1, State.FAILED, "another node holds the call and may run it")
 
 
-def test_a_repeat_at_the_same_node_gets_the_firsts_answer() -> None:
+def test_a_repeat_at_the_same_node_gets_the_answer_of_the_first_request() -> None:
     n = sent()
     n.open(2)
-    assert n.want(2) == []
+    assert n.request_send(2) == []
     n.served()
-    told = n.come(Done())
-    assert told[0] == Tell(1)
-    assert isinstance(told[1], Conclude) and told[1].number == 2 and told[1].state is State.SERVED
-    assert told[1].record is not None and told[1].record.answer == b"ticket"
-    assert not n.life.calls
+    actions = n.finish_write(Done())
+    assert actions[0] == DeliverAnswer(1)
+    assert isinstance(actions[1], Conclude) and actions[1].number == 2 and actions[1].state is State.SERVED
+    assert actions[1].record is not None and actions[1].record.answer == b"ticket"
+    assert not n.lifecycle.calls
 
 
 def test_one_identity_with_two_requests_fails_the_second() -> None:
     n = sent()
     n.open(2, digest=b"other")
-    (concluded,) = n.want(2)
+    (concluded,) = n.request_send(2)
     assert isinstance(concluded, Conclude) and concluded.state is State.FAILED
 
 
-def test_required_is_refused_at_once_when_the_store_is_away() -> None:
+def test_required_is_refused_at_once_when_the_store_is_unavailable() -> None:
     n = Node()
     n.open()
-    n.want()
-    (concluded,) = n.come(Lost("gone"))
+    n.request_send()
+    (concluded,) = n.finish_write(NotWritten("gone"))
     assert concluded == Conclude(
-        1, State.NEVER_RAN, "the store of record is away: gone", retry_after=TERMS.retry_after
+        1, State.NEVER_RAN, "the store of record is unavailable: gone", retry_after=SETTINGS.retry_after
     )
-    assert not n.life.calls
+    assert not n.lifecycle.calls
 
 
-def test_required_is_refused_when_the_store_is_slow_and_a_late_intent_is_taken_back() -> None:
+def test_required_is_refused_when_the_store_is_slow_and_a_late_intent_is_settled() -> None:
     n = Node()
     n.open()
-    n.want()
-    assert n.wait(TERMS.intent_within - 1) == []
-    (concluded,) = n.wait(1)
+    n.request_send()
+    assert n.advance(SETTINGS.intent_within - 1) == []
+    (concluded,) = n.advance(1)
     assert isinstance(concluded, Conclude) and concluded.state is State.NEVER_RAN
-    n.come(Done())  # it was written after all: nothing was sent, and it says so
+    n.finish_write(Done())  # the intent was written after all; nothing was sent, so it never ran
     (settle,) = n.writes
     assert isinstance(settle, Settle) and settle.state is State.NEVER_RAN
-    n.come(Done())
-    assert not n.life.calls and not any(isinstance(a, Release) for a in n.seen)
+    n.finish_write(Done())
+    assert not n.lifecycle.calls and not any(isinstance(a, Release) for a in n.other_actions)
 
 
-def test_best_effort_goes_on_and_is_counted() -> None:
+def test_best_effort_is_sent_unrecorded_and_counted() -> None:
     n = Node()
-    n.open(need=Need.BEST_EFFORT)
-    n.want()
-    assert n.come(Lost("gone")) == [Release(1, 0)]
-    assert n.life.counts["unrecorded"] == 1
-    assert n.served() == [Tell(1)] and not n.life.calls
+    n.open(mode=RecordingMode.BEST_EFFORT)
+    n.request_send()
+    assert n.finish_write(NotWritten("gone")) == [Release(1, 0)]
+    assert n.lifecycle.counts["unrecorded"] == 1
+    assert n.served() == [DeliverAnswer(1)] and not n.lifecycle.calls
 
 
-def test_best_effort_goes_after_the_stores_time_and_is_recorded_late() -> None:
+def test_best_effort_is_sent_after_intent_within_and_recorded_late() -> None:
     n = Node()
-    n.open(need=Need.BEST_EFFORT)
-    n.want()
-    assert n.wait(TERMS.intent_within) == [Release(1, 0)]
-    n.come(Done())
+    n.open(mode=RecordingMode.BEST_EFFORT)
+    n.request_send()
+    assert n.advance(SETTINGS.intent_within) == [Release(1, 0)]
+    n.finish_write(Done())
     n.served()
     assert [type(w) for w in n.writes] == [Settle]
 
 
-def test_an_outcome_that_could_not_be_written_is_kept_and_written_when_the_store_is_back() -> None:
+def test_an_unwritten_outcome_is_kept_and_written_when_the_store_is_available() -> None:
     n = sent()
     n.served()
-    assert n.come(Lost("gone")) == [Tell(1)]
-    assert len(n.life.backlog) == 1
-    n.feed(StoreBack())
-    assert [type(w) for w in n.writes] == [Settle] and not n.life.backlog
-    n.come(Lost("again"))
-    assert len(n.life.backlog) == 1
+    assert n.finish_write(NotWritten("gone")) == [DeliverAnswer(1)]
+    assert len(n.lifecycle.backlog) == 1
+    n.feed(StoreAvailable())
+    assert [type(w) for w in n.writes] == [Settle] and not n.lifecycle.backlog
+    n.finish_write(NotWritten("again"))
+    assert len(n.lifecycle.backlog) == 1
 
 
 def test_the_backlog_and_the_open_calls_are_bounded() -> None:
     n = Node()
-    for number in range(MOST_BACKLOG + 10):
-        n.life._keep(Settle(str(number), 7, State.SERVED, 1))
-    assert len(n.life.backlog) == MOST_BACKLOG and n.life.counts["dropped outcomes"] == 10
-    for number in range(MOST_OPEN + 10):
+    for number in range(MAX_BACKLOG + 10):
+        n.lifecycle._add_to_backlog(Settle(str(number), 7, State.SERVED, 1))
+    assert len(n.lifecycle.backlog) == MAX_BACKLOG and n.lifecycle.counts["dropped outcomes"] == 10
+    for number in range(MAX_OPEN_CALLS + 10):
         n.open(number, identity=str(number))
-    assert len(n.life.calls) == MOST_OPEN
-    assert sum(isinstance(a, Conclude) and a.state is State.NEVER_RAN for a in n.seen) == 10
+    assert len(n.lifecycle.calls) == MAX_OPEN_CALLS
+    assert sum(isinstance(a, Conclude) and a.state is State.NEVER_RAN for a in n.other_actions) == 10
 
 
-def test_a_refusal_and_a_failure_are_told_at_once() -> None:
+def test_refusals_and_failures_are_delivered_at_once() -> None:
     for state in (State.FAILED, State.NEVER_RAN):
         n = sent()
-        n.feed(AttemptOver(1, 0, state is State.NEVER_RAN))
-        assert n.feed(Answered(1, state, 2, "why"))[0] == Tell(1)
+        n.feed(AttemptFinished(1, 0, state is State.NEVER_RAN))
+        assert n.feed(Answered(1, state, 2, "why"))[0] == DeliverAnswer(1)
         assert n.writes[0] == Settle("sale", 7, state, 2, "why")
 
 
-def test_a_refusal_of_what_may_have_run_is_recorded_as_failed() -> None:
+def test_a_refused_call_that_may_have_run_is_recorded_as_failed() -> None:
     n = sent()
-    n.feed(AttemptOver(1, 0, False))  # of a class that may be repeated: the balancer may refuse it
+    n.feed(AttemptFinished(1, 0, False))  # in a repeatable class the balancer may still refuse it
     n.feed(Answered(1, State.NEVER_RAN, 2))
     assert n.writes[0].state is State.FAILED
 
 
-def test_a_caller_that_leaves_is_recorded_by_what_was_sent() -> None:
+def test_if_the_caller_leaves_the_outcome_depends_on_what_was_sent() -> None:
     n = sent()
     n.feed(CallerGone(1, 2))
     assert n.writes[0].state is State.FAILED
-    m = Node()
-    m.open()
-    m.want()
-    m.feed(CallerGone(1, 2))
-    m.come(Done())
-    assert m.writes[0].state is State.NEVER_RAN
-    m.come(Done())
-    assert not m.life.calls and not any(isinstance(a, Release) for a in m.seen)
+    other = Node()
+    other.open()
+    other.request_send()
+    other.feed(CallerGone(1, 2))
+    other.finish_write(Done())
+    assert other.writes[0].state is State.NEVER_RAN
+    other.finish_write(Done())
+    assert not other.lifecycle.calls and not any(isinstance(a, Release) for a in other.other_actions)
 
 
 def test_a_call_that_was_never_sent_leaves_no_record() -> None:
     n = Node()
     n.open()
-    assert n.feed(Answered(1, State.NEVER_RAN, 2)) == [Tell(1)]
-    assert not n.life.calls and not n.puts
+    assert n.feed(Answered(1, State.NEVER_RAN, 2)) == [DeliverAnswer(1)]
+    assert not n.lifecycle.calls and not n.pending_writes
 
 
-def test_a_fenced_node_sends_nothing_recorded_any_more() -> None:
+def test_a_fenced_node_sends_no_recorded_call() -> None:
     n = Node()
     n.open()
-    n.want()
-    assert [type(a) for a in n.come(Fenced())] == [Conclude]
+    n.request_send()
+    assert [type(a) for a in n.finish_write(Fenced())] == [Conclude]
     n.open(2, identity="other")
-    (concluded,) = n.want(2)
-    assert isinstance(concluded, Conclude) and concluded.state is State.NEVER_RAN and not n.puts
-    n.open(3, Need.BEST_EFFORT, identity="third")
-    assert [type(a) for a in n.want(3)] == [Conclude]
+    (concluded,) = n.request_send(2)
+    assert isinstance(concluded, Conclude) and concluded.state is State.NEVER_RAN and not n.pending_writes
+    n.open(3, RecordingMode.BEST_EFFORT, identity="third")
+    assert [type(a) for a in n.request_send(3)] == [Conclude]
 
 
-def test_a_process_that_wakes_behind_its_lease_sends_only_after_it_was_renewed() -> None:
+def test_a_process_that_resumes_after_its_lease_expired_renews_it_before_it_sends() -> None:
     n = Node(lease=SECOND)
     n.open()
-    n.want()
-    n.now += 2 * SECOND - 100 * MS  # it was stopped between its claim and the answer
-    assert not any(isinstance(a, Release) for a in n.come(Done()))
+    n.request_send()
+    n.now += 2 * SECOND - 100 * MS  # the process was suspended between the claim and its result
+    assert not any(isinstance(a, Release) for a in n.finish_write(Done()))
     assert n.writes == [Renew(7, 10_000)]
-    m = n
-    assert [type(a) for a in m.come(Fenced())] == [Conclude] or m.life.fenced
-    assert not any(isinstance(a, Release) for a in m.seen)
+    other = n
+    assert [type(a) for a in other.finish_write(Fenced())] == [Conclude] or other.lifecycle.fenced
+    assert not any(isinstance(a, Release) for a in other.other_actions)
 
 
-def test_a_renewed_lease_lets_what_waits_go_and_counts_from_when_it_was_asked() -> None:
+def test_a_renewed_lease_releases_waiting_attempts_and_counts_from_the_submission() -> None:
     n = Node(lease=SECOND)
     n.open()
-    n.want()
+    n.request_send()
     n.now += 1500 * MS
-    n.come(Done())
+    n.finish_write(Done())
     asked = n.now
     n.now += 100 * MS
-    assert n.come(Done()) == [Release(1, 0)]
-    assert n.life.lease_until == asked + TERMS.lease
+    assert n.finish_write(Done()) == [Release(1, 0)]
+    assert n.lifecycle.lease_until == asked + SETTINGS.lease
 
 
 def test_the_lease_is_renewed_in_its_second_half_once_at_a_time() -> None:
     n = Node()
-    assert n.wait(4 * SECOND) == []
-    assert [type(a) for a in n.wait(SECOND)] == [Put]
-    assert n.wait(SECOND) == []
-    n.come(Lost("gone"))
-    assert [type(a) for a in n.wait(SECOND)] == [Put]
+    assert n.advance(4 * SECOND) == []
+    assert [type(a) for a in n.advance(SECOND)] == [SubmitWrite]
+    assert n.advance(SECOND) == []
+    n.finish_write(NotWritten("gone"))
+    assert [type(a) for a in n.advance(SECOND)] == [SubmitWrite]
 
 
 def test_a_second_outcome_is_counted_as_a_conflict() -> None:
     n = sent()
     n.served()
-    assert n.come(Held(record(State.FAILED))) == [Tell(1)]
-    assert n.life.counts["conflicts"] == 1
+    assert n.finish_write(Existing(record(State.FAILED))) == [DeliverAnswer(1)]
+    assert n.lifecycle.counts["conflicts"] == 1
 
 
-def test_a_record_that_vanished_while_it_was_waited_for_is_claimed_anew() -> None:
+def test_a_record_deleted_while_it_is_polled_is_claimed_again() -> None:
     n = Node()
     n.open()
-    n.want()
-    n.come(Held(record(State.INTENT)))
-    n.wait(POLL)
-    n.come(Missing())
+    n.request_send()
+    n.finish_write(Existing(record(State.INTENT)))
+    n.advance(POLL_INTERVAL)
+    n.finish_write(Missing())
     assert [type(w) for w in n.writes] == [Claim]
 
 
-def test_long_answers_are_kept_by_their_digest_alone() -> None:
+def test_long_answers_are_recorded_by_digest_only() -> None:
     n = sent()
-    n.feed(Answered(1, State.SERVED, 2, "", b"h", b"x" * (TERMS.keep_answer + 1), b""))
+    n.feed(Answered(1, State.SERVED, 2, "", b"h", b"x" * (SETTINGS.keep_answer + 1), b""))
     assert n.writes[0].answer is None and n.writes[0].answer_digest == b"h"
 
 
 @pytest.mark.parametrize("name", ["epoch", "lease", "intent_within", "answer_within", "keep_answer"])
-def test_terms_that_cannot_be_are_one_clear_error(name: str) -> None:
+def test_invalid_settings_are_rejected_with_one_clear_error(name: str) -> None:
     with pytest.raises(ValueError, match=f"record: {name} 0 is not above 0"):
-        Terms(**{"node": "n", "epoch": 1, **{name: 0}})  # type: ignore[arg-type]
+        RecordSettings(**{"node": "n", "epoch": 1, **{name: 0}})  # type: ignore[arg-type]
--- a/tests/test_record_program.py
+++ b/tests/test_record_program.py
@@ -1,4 +1,4 @@
-"""Nodes with a record as processes: killed mid-sale, started again, asked about, resolved."""
+"""Nodes with a store of record, as processes: killed during a call, restarted, queried and resolved."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 RECORD = {"store": "r.db", "identity": "X-Sale-Id", "required": ["search"]}
 
 
-def sale(identity: str, number: int, body: bytes = b"one") -> bytes:
+def http_request(identity: str, number: int, body: bytes = b"one") -> bytes:
     return (
         f"POST /api HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: c{number}\r\nX-Service-Class: unsafe\r\n"
         f"X-Sale-Id: {identity}\r\nContent-Length: {len(body)}\r\n\r\n"
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "words"),
+    ("change", "message"),
     [
         ({"store": ""}, "record.store = ''"),
         ({"store": "redis://x"}, "record.store = 'redis://x'"),
@@ -59,13 +59,15 @@
         ({"other": 1}, "record.other = 1 is unknown"),
     ],
 )
-def test_a_record_that_cannot_be_is_one_line_with_key_and_value(change: dict[str, Any], words: str) -> None:
+def test_an_invalid_record_section_is_one_line_with_key_and_value(
+    change: dict[str, Any], message: str
+) -> None:
     with pytest.raises(ConfigError) as caught:
         operatorfile.from_table({**GOOD, "record": {**RECORD, **change}})
-    assert words in str(caught.value)
+    assert message in str(caught.value)
 
 
-def test_a_store_that_cannot_be_opened_ends_the_start_with_2(tmp_path: Path) -> None:
+def test_a_store_that_cannot_be_opened_ends_the_start_with_exit_code_2(tmp_path: Path) -> None:
     path = tmp_path / "node.json"
     path.write_text(
         json.dumps(
@@ -83,15 +85,15 @@
     assert "record.store = " in done.stderr and "unable to open" in done.stderr
 
 
-def test_the_plain_start_and_a_file_without_a_record_load_none_of_it() -> None:
+def test_a_node_without_a_record_does_not_import_the_package() -> None:
     from tests.test_layout import _modules
 
     loaded = _modules("import minthitch.__main__, minthitch.net.node, minthitch.embedded.worker")
     assert not {name for name in loaded if name.startswith("minthitch.record") or name == "sqlite3"}
 
 
-class Shop:
-    """A node with a record before a tier, its sales and its operator."""
+class RecordingNode:
+    """A node process with a store of record in front of a tier, and the operator's commands."""
 
     def __init__(self, addresses: list[str], store: Path) -> None:
         self.store = store
@@ -105,8 +107,8 @@
             }
         )
 
-    async def operator(self, *words: str) -> Any:
-        return await asyncio.to_thread(command, "record", "--store", str(self.store), *words)
+    async def operator(self, *arguments: str) -> Any:
+        return await asyncio.to_thread(command, "record", "--store", str(self.store), *arguments)
 
     async def shown(self, identity: str) -> Any:
         return json.loads((await self.operator("show", identity)).stdout)
@@ -117,45 +119,45 @@
         self.node.idle.clear()
 
 
-async def _killed(path: Path) -> None:
+async def _killed_in_call(path: Path) -> None:
     silent = True
 
     async def script(_seen: Seen) -> bytes | None:
         return None if silent else OK
 
     async with tier(script) as servers:
-        shop = Shop(servers.addresses, path)
-        await shop.node.start()
-        caller = await shop.node.connect()
-        caller.writer.write(sale("sale-1", 1))
+        recording = RecordingNode(servers.addresses, path)
+        await recording.node.start()
+        caller = await recording.node.connect()
+        caller.writer.write(http_request("sale-1", 1))
         await servers.servers[0].until(lambda: len(servers.sends) == 1)
-        assert (await shop.shown("sale-1"))["state"] == "intent"
-        await shop.kill()
+        assert (await recording.shown("sale-1"))["state"] == "intent"
+        await recording.kill()
         silent = False
-        await shop.node.start()
-        status, _, _ = await shop.node.ask(sale("sale-1", 2))  # the commuter tries again
+        await recording.node.start()
+        status, _, _ = await recording.node.ask(http_request("sale-1", 2))  # the caller retries
         assert status == 502 and len(servers.sends) == 1  # it may have run, and is never sent again
-        lines = (await shop.operator("doubtful")).stdout.splitlines()
+        lines = (await recording.operator("doubtful")).stdout.splitlines()
         assert len(lines) == 1 and lines[0].startswith("sale-1  doubt  ")
         assert "its node started anew" in lines[0]
-        done = await shop.operator("resolve", "sale-1", "never-ran", "--why", "the till has none")
+        done = await recording.operator("resolve", "sale-1", "never-ran", "--why", "the till has none")
         assert (done.returncode, done.stdout) == (0, "sale-1 is noted as never-ran\n")
-        again = await shop.operator("resolve", "sale-1", "ran", "--why", "no")
+        again = await recording.operator("resolve", "sale-1", "ran", "--why", "no")
         assert again.returncode == 2 and "'sale-1' is never-ran" in again.stderr
-        status, _, body = await shop.node.ask(sale("sale-1", 3))
+        status, _, body = await recording.node.ask(http_request("sale-1", 3))
         assert (status, body) == (200, b"done") and len(servers.sends) == 2
-        status, _, body = await shop.node.ask(sale("sale-1", 4))
+        status, _, body = await recording.node.ask(http_request("sale-1", 4))
         assert (status, body) == (200, b"done") and len(servers.sends) == 2  # from the record
-        assert (await shop.operator("doubtful")).stdout == ""
-        assert await shop.node.stop() == 0
-        shown = await shop.shown("sale-1")
+        assert (await recording.operator("doubtful")).stdout == ""
+        assert await recording.node.stop() == 0
+        shown = await recording.shown("sale-1")
         assert (shown["state"], shown["turn"], shown["answer"]) == ("served", 2, "ZG9uZQ==")
-        exported = (await shop.operator("export")).stdout.splitlines()
+        exported = (await recording.operator("export")).stdout.splitlines()
         assert [json.loads(line)["identity"] for line in exported] == ["sale-1"]
 
 
-def test_a_node_killed_mid_sale_sends_nothing_again_and_the_operator_resolves_it(tmp_path: Path) -> None:
-    run(_killed, tmp_path / "r.db")
+def test_a_node_killed_during_a_call_does_not_resend_it_and_the_operator_resolves_it(tmp_path: Path) -> None:
+    run(_killed_in_call, tmp_path / "r.db")
 
 
 async def _library(path: Path) -> None:
@@ -165,7 +167,7 @@
             "classes": [{"name": "buy", "effect": "unsafe", "aim": "1s", "deadline": "4s"}],
             "record": {"store": str(path), "identity": "X-Sale-Id", "required": ["buy"]},
         }
-        for _ in range(2):  # the second start finds what the first wrote
+        for _ in range(2):  # the second client finds the record of the first
             async with Client(operatorfile.from_table(table)) as client:
                 answer = await client.call("buy", "/tickets", body=b"x", headers={"X-Sale-Id": "s1"})
                 assert isinstance(answer, Served) and answer.body == b"done"
@@ -175,27 +177,27 @@
             assert isinstance(other, Failed) and len(servers.sends) == 1
 
 
-def test_the_library_keeps_a_record_too(tmp_path: Path) -> None:
+def test_the_embedded_client_keeps_a_record(tmp_path: Path) -> None:
     run(_library, tmp_path / "r.db")
 
 
-async def _last_words(path: Path) -> None:
+async def _planned_shutdown(path: Path) -> None:
     async with tier(serve_ok) as servers:
-        shop = Shop(servers.addresses, path)
-        await shop.node.start()
-        asks = [asyncio.ensure_future(shop.node.ask(sale(f"s{i}", i))) for i in range(20)]
-        answers = await asyncio.gather(*asks)
+        recording = RecordingNode(servers.addresses, path)
+        await recording.node.start()
+        requests = [asyncio.ensure_future(recording.node.ask(http_request(f"s{i}", i))) for i in range(20)]
+        answers = await asyncio.gather(*requests)
         assert [status for status, _, _ in answers] == [200] * 20
-        assert await shop.node.stop() == 0
-        done = await shop.operator("export")
+        assert await recording.node.stop() == 0
+        done = await recording.operator("export")
         assert [json.loads(line)["state"] for line in done.stdout.splitlines()] == ["served"] * 20
 
 
-def test_a_planned_end_leaves_every_outcome_on_record(tmp_path: Path) -> None:
-    run(_last_words, tmp_path / "r.db")
+def test_a_planned_shutdown_records_every_outcome(tmp_path: Path) -> None:
+    run(_planned_shutdown, tmp_path / "r.db")
 
 
-def test_the_operator_hears_clearly_of_what_is_not_there(tmp_path: Path) -> None:
+def test_a_missing_or_invalid_store_is_one_clear_error_for_the_operator(tmp_path: Path) -> None:
     done = command("record", "--store", str(tmp_path / "none.db"), "doubtful")
     assert done.returncode == 2 and "none.db': no such file" in done.stderr
     assert not (tmp_path / "none.db").exists()
--- a/tests/test_record_store.py
+++ b/tests/test_record_store.py
@@ -1,4 +1,4 @@
-"""The store of record in SQLite, against the model and against what files, locks and disks do."""
+"""Both stores of record against a reference model; SQLite with damaged files, locks and full disks."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 import pytest
 
 from minthitch.record.model import (
-    Attempted,
+    AddAttempt,
     Claim,
     Done,
+    Existing,
     Fenced,
-    Held,
-    Look,
+    Lookup,
     Missing,
     Record,
     Renew,
@@ -44,34 +44,34 @@
 
 @pytest.fixture
 def sqlite(tmp_path: Path) -> Iterator[SqliteStore]:
-    made = SqliteStore(tmp_path / "record.db", busy_for=100)
-    made.open()
-    yield made
-    made.close()
+    created = SqliteStore(tmp_path / "record.db", busy_timeout_ms=100)
+    created.open()
+    yield created
+    created.close()
 
 
 @pytest.fixture(params=["sqlite", "postgres"])
-def again(request: pytest.FixtureRequest, tmp_path: Path) -> Iterator[Callable[[], SqlStore]]:
-    """Opens the one store once more."""
+def reopen(request: pytest.FixtureRequest, tmp_path: Path) -> Iterator[Callable[[], SqlStore]]:
+    """Opens a further connection to the same store."""
     opened: list[SqlStore] = []
     server = Postgres(tmp_path / "pg.db") if request.param == "postgres" else None
 
     def connect() -> SqlStore:
-        made = PostgresStore(server.url) if server is not None else SqliteStore(tmp_path / "record.db")
-        made.open()
-        opened.append(made)
-        return made
+        created = PostgresStore(server.url) if server is not None else SqliteStore(tmp_path / "record.db")
+        created.open()
+        opened.append(created)
+        return created
 
     yield connect
-    for made in opened:
-        made.close()
+    for created in opened:
+        created.close()
     if server is not None:
         server.close()
 
 
 @pytest.fixture
-def store(again: Callable[[], SqlStore]) -> SqlStore:
-    return again()
+def store(reopen: Callable[[], SqlStore]) -> SqlStore:
+    return reopen()
 
 
 def claim(identity: str, epoch: int, digest: bytes = b"d", node: str = "n1") -> Claim:
@@ -82,46 +82,51 @@
     return Settle(identity, epoch, state, 2, "", digest, b"ticket" if state is State.SERVED else None, b"a/b")
 
 
-def put(store: SqlStore, *writes: Write) -> list[object]:
+def apply(store: SqlStore, *writes: Write) -> list[object]:
     tokens = iter(range(1 << 30))
     return list(store.apply(f"t{random.random()}{next(tokens)}", writes))
 
 
-def test_the_life_of_a_record(store: SqlStore) -> None:
+def test_a_record_from_claim_to_outcome(store: SqlStore) -> None:
     epoch = store.start_epoch("n1", LEASE)
-    assert put(store, Look("a")) == [Missing()]
-    assert put(store, claim("a", epoch), Attempted("a", epoch, "s2", 5), settle("a", epoch)) == [Done()] * 3
+    assert apply(store, Lookup("a")) == [Missing()]
+    assert (
+        apply(store, claim("a", epoch), AddAttempt("a", epoch, "s2", 5), settle("a", epoch)) == [Done()] * 3
+    )
     record = store.get("a")
     assert record == Record(
         "a", "buy", b"d", "n1", epoch, 1, State.SERVED, "s2", 2, 1, 2, "", b"", b"ticket", b"a/b"
     )
-    assert put(store, claim("a", epoch)) == [Held(record)]  # it has an outcome, and is never begun again
+    # It has an outcome and is never claimed again.
+    assert apply(store, claim("a", epoch)) == [Existing(record)]
 
 
 def test_an_outcome_is_written_once_and_a_second_is_a_conflict(store: SqlStore) -> None:
     epoch = store.start_epoch("n1", LEASE)
-    put(store, claim("a", epoch), settle("a", epoch, digest=b"1"))
-    assert put(store, settle("a", epoch, digest=b"1")) == [Done()]  # the same again: its answer was lost
-    (held,) = put(store, settle("a", epoch, State.FAILED))
-    assert isinstance(held, Held) and held.record.state is State.SERVED
+    apply(store, claim("a", epoch), settle("a", epoch, digest=b"1"))
+    assert apply(store, settle("a", epoch, digest=b"1")) == [
+        Done()
+    ]  # a repeat after an unknown commit outcome
+    (held,) = apply(store, settle("a", epoch, State.FAILED))
+    assert isinstance(held, Existing) and held.record.state is State.SERVED
     assert [line.split(" at ")[0] for line in store.conflicts("a")] == [
         f"second outcome: failed by epoch {epoch}"
     ]
 
 
-def test_two_nodes_that_claim_one_sale_get_one_holder(again: Callable[[], SqlStore]) -> None:
+def test_of_nodes_that_claim_one_call_one_holds_it(reopen: Callable[[], SqlStore]) -> None:
     winners: list[str] = []
     barrier = threading.Barrier(4)
-    again()
+    reopen()
 
     def node(name: str) -> None:
-        own = again()
+        own = reopen()
         epoch = own.start_epoch(name, LEASE)
         for i in range(20):
             barrier.wait()
-            if isinstance(put(own, claim(f"sale{i}", epoch, node=name))[0], Done):
+            if isinstance(apply(own, claim(f"sale{i}", epoch, node=name))[0], Done):
                 winners.append(f"sale{i}")
-        own.close()  # by the thread that opened it
+        own.close()  # on the thread that opened it
 
     threads = [threading.Thread(target=node, args=(f"n{i}",)) for i in range(4)]
     for thread in threads:
@@ -133,53 +138,57 @@
 
 def test_a_restart_puts_open_intents_in_doubt_once_and_fences_the_old_process(store: SqlStore) -> None:
     old = store.start_epoch("n1", LEASE)
-    put(store, claim("open", old), claim("done", old), settle("done", old))
+    apply(store, claim("open", old), claim("done", old), settle("done", old))
     new = store.start_epoch("n1", LEASE)
     assert new > old
     assert [r.identity for r in store.doubtful()] == ["open"]
     assert (
-        put(store, settle("open", old), claim("late", old), Attempted("open", old, "s", 1), Renew(old, LEASE))
+        apply(
+            store, settle("open", old), claim("late", old), AddAttempt("open", old, "s", 1), Renew(old, LEASE)
+        )
         == [Fenced()] * 4
-    )  # the stalled one that wakes
+    )  # the suspended process that resumes
     assert store.get("late") is None
     record = store.get("open")
     assert record is not None and record.state is State.DOUBT and record.epoch == old
-    assert store.conflicts("open")[0].startswith("from a node that was taken over: served")  # its late word
-    (held,) = put(store, claim("open", new))
-    assert isinstance(held, Held) and held.record.state is State.DOUBT  # never sent again
+    assert store.conflicts("open")[0].startswith(
+        "from a node that was taken over: served"
+    )  # its late outcome
+    (held,) = apply(store, claim("open", new))
+    assert isinstance(held, Existing) and held.record.state is State.DOUBT  # never sent again
 
 
-def test_only_leases_that_ran_out_are_taken_over_and_each_once(
-    again: Callable[[], SqlStore], store: SqlStore
+def test_only_expired_epochs_are_fenced_and_each_once(
+    reopen: Callable[[], SqlStore], store: SqlStore
 ) -> None:
     silent, live = store.start_epoch("n1", 0), store.start_epoch("n2", LEASE)
-    put(store, claim("a", silent), claim("b", live, node="n2"))
-    while not (found := store.fence_expired()):  # the store's clock is in ms
+    apply(store, claim("a", silent), claim("b", live, node="n2"))
+    while not (found := store.fence_expired()):  # until the store's clock, in ms, has advanced
         pass
     assert [r.identity for r in found] == ["a"] and found[0].state is State.DOUBT
-    other = again()
+    other = reopen()
     assert other.fence_expired() == store.fence_expired() == []
     other.close()
-    assert put(store, settle("b", live)) == [Done()]
+    assert apply(store, settle("b", live)) == [Done()]
 
 
 def test_a_renewed_lease_is_kept(store: SqlStore) -> None:
     epoch = store.start_epoch("n1", 0)
-    assert put(store, Renew(epoch, LEASE), claim("a", epoch)) == [Done(), Done()]
+    assert apply(store, Renew(epoch, LEASE), claim("a", epoch)) == [Done(), Done()]
     assert store.fence_expired() == []
 
 
-def test_what_never_ran_may_be_begun_again_with_a_new_turn(store: SqlStore) -> None:
+def test_a_call_that_never_ran_may_be_claimed_again_with_a_new_turn(store: SqlStore) -> None:
     epoch = store.start_epoch("n1", LEASE)
-    put(store, claim("a", epoch), settle("a", epoch, State.NEVER_RAN))
-    assert put(store, claim("a", epoch)) == [Done()]
+    apply(store, claim("a", epoch), settle("a", epoch, State.NEVER_RAN))
+    assert apply(store, claim("a", epoch)) == [Done()]
     record = store.get("a")
     assert record is not None and (record.turn, record.state, record.attempts) == (2, State.INTENT, 1)
 
 
-def test_an_operators_word_resolves_what_may_have_run_and_only_once(store: SqlStore) -> None:
+def test_a_call_that_may_have_run_is_resolved_only_once(store: SqlStore) -> None:
     old = store.start_epoch("n1", LEASE)
-    put(store, claim("a", old), claim("b", old), claim("c", old), settle("c", old))
+    apply(store, claim("a", old), claim("b", old), claim("c", old), settle("c", old))
     new = store.start_epoch("n1", LEASE)
     assert store.resolve("a", Resolution.RAN, "the ledger has it").word is Resolution.RAN
     assert store.resolve("b", Resolution.NEVER_RAN, "the ledger has none").why == "the ledger has none"
@@ -187,16 +196,16 @@
         with pytest.raises(StoreError, match=text):
             store.resolve(identity, Resolution.NEVER_RAN, "")
     assert store.doubtful() == []
-    (held,) = put(store, claim("a", new))
-    assert isinstance(held, Held) and held.record.word is Resolution.RAN
-    assert put(store, claim("b", new)) == [Done()]
+    (held,) = apply(store, claim("a", new))
+    assert isinstance(held, Existing) and held.record.word is Resolution.RAN
+    assert apply(store, claim("b", new)) == [Done()]
     record = store.get("a")
-    assert record is not None and record.state is State.DOUBT  # the outcome itself stays as it was
+    assert record is not None and record.state is State.DOUBT  # the outcome itself does not change
 
 
-def test_a_batch_is_written_whole_or_not_at_all(store: SqlStore) -> None:
+def test_a_batch_is_atomic(store: SqlStore) -> None:
     epoch = store.start_epoch("n1", LEASE)
-    put(store, claim("a", epoch))
+    apply(store, claim("a", epoch))
     with pytest.raises(StoreError):
         store.apply("t1", [claim("b", epoch), settle("a", epoch), claim(None, epoch)])  # type: ignore[arg-type]
     assert store.get("b") is None and not store.is_committed("t1")
@@ -206,13 +215,13 @@
     assert store.is_committed("t2")
 
 
-def test_pruning_leaves_what_is_open_or_in_doubt(store: SqlStore) -> None:
+def test_pruning_keeps_open_and_unresolved_records(store: SqlStore) -> None:
     old = store.start_epoch("n1", LEASE)
-    put(store, claim("doubt", old))
+    apply(store, claim("doubt", old))
     epoch = store.start_epoch("n1", LEASE)
     for i in range(10):
-        put(store, claim(f"s{i}", epoch), Settle(f"s{i}", epoch, State.SERVED, 100 + i))
-    put(store, claim("open", epoch), claim("failed", epoch), settle("failed", epoch, State.FAILED))
+        apply(store, claim(f"s{i}", epoch), Settle(f"s{i}", epoch, State.SERVED, 100 + i))
+    apply(store, claim("open", epoch), claim("failed", epoch), settle("failed", epoch, State.FAILED))
     assert store.prune(103, 1_000) == 3
     assert store.prune(0, 6) == 4
     assert {r.identity for r in store.export()} == {"doubt", "open", "failed", "s7", "s8", "s9"}
@@ -220,26 +229,26 @@
     assert {r.identity for r in store.export()} == {"doubt", "open", "failed"}
 
 
-def test_an_export_goes_through_all_pages(store: SqlStore) -> None:
+def test_an_export_reads_all_pages(store: SqlStore) -> None:
     epoch = store.start_epoch("n1", LEASE)
-    put(store, *(claim(f"i{i:05}", epoch) for i in range(1_201)))
+    apply(store, *(claim(f"i{i:05}", epoch) for i in range(1_201)))
     assert [r.identity for r in store.export()] == [f"i{i:05}" for i in range(1_201)]
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_sqlite_and_the_model_agree_on_random_writes(store: SqlStore, seed: int) -> None:
+def test_store_and_model_agree_on_random_writes(store: SqlStore, seed: int) -> None:
     rng, model = random.Random(seed), ModelStore()
     epochs = {
         "n1": (store.start_epoch("n1", LEASE), model.start_epoch("n1", LEASE)),
         "n2": (store.start_epoch("n2", LEASE), model.start_epoch("n2", LEASE)),
     }
-    pairs = list(epochs.values())  # old ones too: stalled processes go on writing
+    pairs = list(epochs.values())  # fenced epochs too: suspended processes resume writing
     for step in range(150):
         if rng.random() < 0.05:
             name = rng.choice(["n1", "n2"])
             epochs[name] = (store.start_epoch(name, LEASE), model.start_epoch(name, LEASE))
             pairs.append(epochs[name])
-        mine, theirs = rng.choice(pairs)
+        store_epoch, model_epoch = rng.choice(pairs)
         identity, state = (
             f"i{rng.randrange(12)}",
             rng.choice([State.SERVED, State.FAILED, State.NEVER_RAN, State.NEVER_RAN]),
@@ -255,19 +264,19 @@
             except StoreError:
                 assert not resolved
         writes: list[Write] = []
-        for epoch in (mine, theirs):
+        for epoch in (store_epoch, model_epoch):
             writes.append(
                 claim(identity, epoch)
                 if roll < 0.4
-                else Attempted(identity, epoch, "s2", step)
+                else AddAttempt(identity, epoch, "s2", step)
                 if roll < 0.5
-                else Look(identity)
+                else Lookup(identity)
                 if roll < 0.6
                 else settle(identity, epoch, state, digest)
             )
-        (one,), (two,) = put(store, writes[0]), model.apply(writes[1:])
+        (one,), (two,) = apply(store, writes[0]), model.apply(writes[1:])
         assert type(one) is type(two), f"seed {seed}, step {step}"
-    assert mine == theirs
+    assert store_epoch == model_epoch
     facts = [
         {(r.identity, r.state, r.turn, r.attempts, r.word, r.epoch, r.answer_digest) for r in records}
         for records in (store.export(), model.records.values())
@@ -287,7 +296,7 @@
     good = SqliteStore(tmp_path / "good.db")
     good.open()
     epoch = good.start_epoch("n1", LEASE)
-    put(good, *(claim(f"i{i}", epoch) for i in range(2_000)))
+    apply(good, *(claim(f"i{i}", epoch) for i in range(2_000)))
     good.close()
     data = bytearray((tmp_path / "good.db").read_bytes())
     data[4096 * 3 : 4096 * 6] = b"\xff" * 4096 * 3
@@ -303,27 +312,27 @@
 
 
 def test_a_schema_newer_than_the_program_is_one_clear_error(
-    again: Callable[[], SqlStore], store: SqlStore
+    reopen: Callable[[], SqlStore], store: SqlStore
 ) -> None:
-    store.set_version(99)
+    store.set_schema_version(99)
     with pytest.raises(StoreError, match="version 99 of the store is newer"):
-        again()
+        reopen()
 
 
-def test_a_lock_of_another_process_is_an_error_in_time_and_passes(sqlite: SqliteStore) -> None:
+def test_a_lock_of_another_process_is_an_error_after_the_timeout(sqlite: SqliteStore) -> None:
     epoch = sqlite.start_epoch("n1", LEASE)
     other = sqlite3.connect(sqlite.path, isolation_level=None)
     other.execute("BEGIN IMMEDIATE")
     with pytest.raises(StoreError, match="locked"):
-        put(sqlite, claim("a", epoch))
+        apply(sqlite, claim("a", epoch))
     other.execute("ROLLBACK")
     other.close()
-    assert put(sqlite, claim("a", epoch)) == [Done()]
+    assert apply(sqlite, claim("a", epoch)) == [Done()]
 
 
-def _turned_read_only(folder: str) -> None:
-    """In a process of its own: whoever owns the files may no longer write them."""
-    if os.getuid() == 0:  # to root nothing is read-only
+def _open_read_only_in_child(folder: str) -> None:
+    """Runs in a child process that may no longer write the files."""
+    if os.getuid() == 0:  # root may write read-only files
         os.setgid(65534)
         os.setuid(65534)
     try:
@@ -333,55 +342,56 @@
     os._exit(2)
 
 
-def test_a_file_turned_read_only_is_one_clear_error_and_keeps_what_it_has() -> None:
+def test_a_file_turned_read_only_is_one_clear_error_and_keeps_its_records() -> None:
     folder = Path(tempfile.mkdtemp(prefix="minthitch-"))
     try:
         store = SqliteStore(folder / "record.db")
         store.open()
         epoch = store.start_epoch("n1", LEASE)
-        assert put(store, claim("a", epoch)) == [Done()]
-        store.run("PRAGMA query_only = ON")  # under the open connection: what SQLite itself then says
+        assert apply(store, claim("a", epoch)) == [Done()]
+        store.run("PRAGMA query_only = ON")  # on the open connection, for SQLite's own error
         with pytest.raises(StoreError, match="readonly database") as caught:
-            put(store, claim("b", epoch))
+            apply(store, claim("b", epoch))
         assert not isinstance(caught.value, CommitUnknown)
         store.close()
         (folder / "record.db").chmod(0o444)
         folder.chmod(0o555)
         child = os.fork()
         if not child:
-            _turned_read_only(str(folder))
+            _open_read_only_in_child(str(folder))
         assert os.waitstatus_to_exitcode(os.waitpid(child, 0)[1]) == 0
         folder.chmod(0o755)
         (folder / "record.db").chmod(0o644)
-        again = SqliteStore(folder / "record.db")
-        again.open()
-        assert [record.identity for record in again.export()] == ["a"]
-        assert put(again, claim("b", epoch)) == [Done()]
-        again.close()
+        reopened = SqliteStore(folder / "record.db")
+        reopened.open()
+        assert [record.identity for record in reopened.export()] == ["a"]
+        assert apply(reopened, claim("b", epoch)) == [Done()]
+        reopened.close()
     finally:
         folder.chmod(0o755)
         shutil.rmtree(folder)
 
 
 @pytest.mark.parametrize("by", [-86_400_000, 86_400_000])
-def test_a_stores_clock_that_jumps_costs_leases_and_no_sale(sqlite: SqliteStore, by: int) -> None:
-    """Forward, every lease has run out: its node is fenced, its open sale in doubt. Backward, none has."""
-    ours, theirs = sqlite.start_epoch("n1", LEASE), sqlite.start_epoch("n2", LEASE)
-    put(sqlite, claim("a", ours), claim("b", theirs, node="n2"), settle("b", theirs))
+def test_clock_jumps_of_the_store_expire_leases_but_change_no_outcome(sqlite: SqliteStore, by: int) -> None:
+    """Forward, every lease expires: its epoch is fenced, its open call in doubt. Backward, none does."""
+    first_epoch, second_epoch = sqlite.start_epoch("n1", LEASE), sqlite.start_epoch("n2", LEASE)
+    apply(sqlite, claim("a", first_epoch), claim("b", second_epoch, node="n2"), settle("b", second_epoch))
     sqlite.dialect = replace(sqlite.dialect, now=f"({sqlite.dialect.now} + {by})")
     sqlite._translated.clear()
     assert [record.identity for record in sqlite.fence_expired()] == (["a"] if by > 0 else [])
-    late = put(sqlite, settle("a", ours), claim("c", theirs, node="n2"))
+    late = apply(sqlite, settle("a", first_epoch), claim("c", second_epoch, node="n2"))
     assert late == ([Fenced(), Fenced()] if by > 0 else [Done(), Done()])
     shown = sqlite.get("b")
     assert shown is not None and shown.state is State.SERVED
-    anew = sqlite.start_epoch("n1", LEASE)  # a restart after the jump
-    assert put(sqlite, claim("d", anew), settle("d", anew)) == [Done(), Done()]
-    assert isinstance(put(sqlite, claim("a", anew))[0], Held)  # never sent again, whatever the clock says
+    restarted = sqlite.start_epoch("n1", LEASE)  # a restart after the jump
+    assert apply(sqlite, claim("d", restarted), settle("d", restarted)) == [Done(), Done()]
+    # Never sent again, whatever the clock is.
+    assert isinstance(apply(sqlite, claim("a", restarted))[0], Existing)
 
 
-def test_a_full_disk_fails_the_batch_and_harms_nothing_before_it(tmp_path: Path) -> None:
-    """A limit on the size of files stands in for the disk, in a process of its own."""
+def test_a_full_disk_fails_the_batch_and_keeps_earlier_records(tmp_path: Path) -> None:
+    """Simulates the full disk by a file size limit, in a process of its own."""
     code = f"""
 import resource, signal, sys
 sys.path.insert(0, {str(Path(__file__).parent.parent)!r})
@@ -390,21 +400,21 @@
 store = SqliteStore({str(tmp_path / "record.db")!r})
 store.open()
 epoch = store.start_epoch("n1", LEASE)
-assert put(store, claim("before", epoch)) == [Done()]
+assert apply(store, claim("before", epoch)) == [Done()]
 resource.setrlimit(resource.RLIMIT_FSIZE, (200_000, resource.RLIM_INFINITY))
 failed = 0
 for i in range(20):
     try:
-        put(store, *(claim("x" * 500 + str(i) + "-" + str(j), epoch) for j in range(50)))
+        apply(store, *(claim("x" * 500 + str(i) + "-" + str(j), epoch) for j in range(50)))
     except StoreError as err:
         failed += 1
 assert failed, "the limit was never reached"
 resource.setrlimit(resource.RLIMIT_FSIZE, (resource.RLIM_INFINITY, resource.RLIM_INFINITY))
-again = SqliteStore({str(tmp_path / "record.db")!r})
-again.open()
-count = sum(1 for _ in again.export())
+reopened = SqliteStore({str(tmp_path / "record.db")!r})
+reopened.open()
+count = sum(1 for _ in reopened.export())
 assert count % 50 == 1, count
-assert put(again, settle("before", epoch), claim("after", epoch)) == [Done(), Done()]
+assert apply(reopened, settle("before", epoch), claim("after", epoch)) == [Done(), Done()]
 print("whole")
 """
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60)
@@ -412,9 +422,9 @@
     assert resource.getrlimit(resource.RLIMIT_FSIZE)
 
 
-def test_a_second_process_on_the_file_shares_it(sqlite: SqliteStore) -> None:
+def test_a_second_process_shares_the_file(sqlite: SqliteStore) -> None:
     epoch = sqlite.start_epoch("n1", LEASE)
-    put(sqlite, claim("a", epoch))
+    apply(sqlite, claim("a", epoch))
     code = f"""
 import sys
 sys.path.insert(0, {str(Path(__file__).parent.parent)!r})
@@ -422,8 +432,8 @@
 other = SqliteStore({sqlite.path!r})
 other.open()
 epoch = other.start_epoch("n2", LEASE)
-print([type(result).__name__ for result in put(other, claim("a", epoch), claim("b", epoch))])
+print([type(result).__name__ for result in apply(other, claim("a", epoch), claim("b", epoch))])
 """
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60)
-    assert done.stdout == "['Held', 'Done']\n", done.stderr
-    assert put(sqlite, settle("a", epoch)) == [Done()]
+    assert done.stdout == "['Existing', 'Done']\n", done.stderr
+    assert apply(sqlite, settle("a", epoch)) == [Done()]
--- a/tests/test_record_writer.py
+++ b/tests/test_record_writer.py
@@ -1,4 +1,4 @@
-"""Group commit: batches, lost answers read back, a store that is away, and the end."""
+"""Group commit: batches, commits with an unknown outcome, an unavailable store, and close."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import pytest
 
 from minthitch.record import writer as writer_module
-from minthitch.record.model import Claim, Done, Lost, Result, Settle, State
+from minthitch.record.model import Claim, Done, NotWritten, Result, Settle, State
 from minthitch.record.sqlite import SqliteStore
 from minthitch.record.store import StoreError
 from minthitch.record.writer import Writer
@@ -19,42 +19,42 @@
 from rigs.servers import PATIENCE
 
 
-class Desk:
-    """A writer over a faulty SQLite store, and what it delivered."""
+class WriterHarness:
+    """A writer over a faulty SQLite store, and the results it delivered."""
 
     def __init__(self, path: Path) -> None:
         self.path, self.faults = path, Faults()
         self.results: dict[int, Result] = {}
         self.batches: list[int] = []
-        self.backs = 0
+        self.recoveries = 0
         self.changed = threading.Condition()
-        self.writer = Writer(self._make, self._deliver, self._back)
+        self.writer = Writer(self._make_store, self._deliver, self._on_available)
         self.epoch = self.writer.start("n1", 60_000)
 
-    def _make(self) -> Any:
+    def _make_store(self) -> Any:
         return FaultyStore(SqliteStore(self.path), self.faults)
 
     def _deliver(self, results: list[tuple[int, Result]]) -> None:
         with self.changed:
             self.batches.append(len(results))
             for ticket, result in results:
-                assert ticket not in self.results  # each ticket comes back once
+                assert ticket not in self.results  # one result for each ticket
                 self.results[ticket] = result
             self.changed.notify_all()
 
-    def _back(self) -> None:
+    def _on_available(self) -> None:
         with self.changed:
-            self.backs += 1
+            self.recoveries += 1
             self.changed.notify_all()
 
     def claim(self, ticket: int) -> None:
         self.writer.put(ticket, Claim(f"sale{ticket}", "buy", b"d", "n1", self.epoch, "s", 1))
 
-    def until(self, ready: Callable[[], bool]) -> None:
+    def wait_until(self, ready: Callable[[], bool]) -> None:
         with self.changed:
             assert self.changed.wait_for(ready, PATIENCE)
 
-    def look(self, identity: str) -> Any:
+    def read_record(self, identity: str) -> Any:
         store = SqliteStore(self.path)
         store.open()
         try:
@@ -64,126 +64,132 @@
 
 
 @pytest.fixture
-def desk(tmp_path: Path) -> Iterator[Desk]:
-    made = Desk(tmp_path / "record.db")
-    yield made
-    made.faults.go.set()
-    made.faults.away = False
-    made.writer.close()
-
-
-def test_what_gathers_behind_a_commit_goes_in_one_batch(desk: Desk) -> None:
-    desk.faults.script.append("stalls")
-    desk.claim(0)
-    assert desk.faults.stalled.wait(PATIENCE)
+def harness(tmp_path: Path) -> Iterator[WriterHarness]:
+    created = WriterHarness(tmp_path / "record.db")
+    yield created
+    created.faults.resume.set()
+    created.faults.unavailable = False
+    created.writer.close()
+
+
+def test_writes_that_gather_during_a_commit_form_one_batch(harness: WriterHarness) -> None:
+    harness.faults.script.append("stalls")
+    harness.claim(0)
+    assert harness.faults.stalled.wait(PATIENCE)
     for ticket in range(1, 101):
-        desk.claim(ticket)
-    desk.faults.go.set()
-    desk.until(lambda: len(desk.results) == 101)
-    assert desk.batches == [1, 100]  # 101 sales, two syncs
-    assert set(desk.results.values()) == {Done()}
+        harness.claim(ticket)
+    harness.faults.resume.set()
+    harness.wait_until(lambda: len(harness.results) == 101)
+    assert harness.batches == [1, 100]  # 101 writes, two syncs
+    assert set(harness.results.values()) == {Done()}
 
 
-def test_a_batch_is_bounded(desk: Desk, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_batch_and_the_queue_are_bounded(harness: WriterHarness, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(writer_module, "MAX_BATCH", 10)
-    monkeypatch.setattr(writer_module, "MOST_WAITING", 25)
-    desk.faults.script.append("stalls")
-    desk.claim(0)
-    assert desk.faults.stalled.wait(PATIENCE)
+    monkeypatch.setattr(writer_module, "MAX_WAITING", 25)
+    harness.faults.script.append("stalls")
+    harness.claim(0)
+    assert harness.faults.stalled.wait(PATIENCE)
     for ticket in range(1, 31):
-        desk.claim(ticket)
-    assert [desk.results[t] for t in range(26, 31)] == [Lost("it is too slow")] * 5  # at once
-    desk.faults.go.set()
-    desk.until(lambda: len(desk.results) == 31)
-    assert max(desk.batches) == 10
+        harness.claim(ticket)
+    assert [harness.results[t] for t in range(26, 31)] == [
+        NotWritten("too many writes are waiting")
+    ] * 5  # rejected at once
+    harness.faults.resume.set()
+    harness.wait_until(lambda: len(harness.results) == 31)
+    assert max(harness.batches) == 10
 
 
 @pytest.mark.parametrize(("fault", "written"), [("lost-after", True), ("lost-before", False)])
-def test_a_commit_whose_answer_never_came_is_read_back(desk: Desk, fault: str, written: bool) -> None:
-    desk.faults.script.append(fault)
-    desk.claim(1)
-    desk.until(lambda: 1 in desk.results and desk.backs == 1)
-    assert isinstance(desk.results[1], Done if written else Lost)
-    assert (desk.look("sale1") is not None) == written
-    desk.claim(2)
-    desk.until(lambda: 2 in desk.results)
-    assert desk.results[2] == Done()
-
-
-def test_a_lost_answer_while_the_store_is_away_waits_for_its_truth(desk: Desk) -> None:
-    desk.faults.script.append("stalls")
-    desk.claim(0)
-    assert desk.faults.stalled.wait(PATIENCE)
-    desk.faults.script.append("lost-after")
-    desk.claim(1)
-    desk.faults.go.set()
-    desk.until(lambda: 0 in desk.results)
-    desk.until(lambda: bool(desk.writer.away) or 1 in desk.results)
-    desk.until(lambda: 1 in desk.results)
-    assert desk.results[1] == Done()
-
-
-def test_while_the_store_is_away_what_comes_is_told_at_once(desk: Desk) -> None:
-    desk.faults.away = True
-    desk.claim(1)
-    desk.until(lambda: 1 in desk.results)
+def test_a_commit_with_an_unknown_outcome_is_read_back(
+    harness: WriterHarness, fault: str, written: bool
+) -> None:
+    harness.faults.script.append(fault)
+    harness.claim(1)
+    harness.wait_until(lambda: 1 in harness.results and harness.recoveries == 1)
+    assert isinstance(harness.results[1], Done if written else NotWritten)
+    assert (harness.read_record("sale1") is not None) == written
+    harness.claim(2)
+    harness.wait_until(lambda: 2 in harness.results)
+    assert harness.results[2] == Done()
+
+
+def test_an_unknown_outcome_is_resolved_after_a_reconnect(harness: WriterHarness) -> None:
+    harness.faults.script.append("stalls")
+    harness.claim(0)
+    assert harness.faults.stalled.wait(PATIENCE)
+    harness.faults.script.append("lost-after")
+    harness.claim(1)
+    harness.faults.resume.set()
+    harness.wait_until(lambda: 0 in harness.results)
+    harness.wait_until(lambda: bool(harness.writer.unavailable_reason) or 1 in harness.results)
+    harness.wait_until(lambda: 1 in harness.results)
+    assert harness.results[1] == Done()
+
+
+def test_writes_fail_at_once_while_the_store_is_unavailable(harness: WriterHarness) -> None:
+    harness.faults.unavailable = True
+    harness.claim(1)
+    harness.wait_until(lambda: 1 in harness.results)
     began = time.monotonic()
     for ticket in range(2, 12):
-        desk.claim(ticket)
-    desk.until(lambda: len(desk.results) == 11)
+        harness.claim(ticket)
+    harness.wait_until(lambda: len(harness.results) == 11)
     assert time.monotonic() - began < PATIENCE / 2
-    assert {type(result) for result in desk.results.values()} == {Lost}
-    desk.faults.away = False
-    desk.until(lambda: desk.backs == 1)
-    desk.claim(20)
-    desk.until(lambda: 20 in desk.results)
-    assert desk.results[20] == Done() and desk.look("sale1") is None
+    assert {type(result) for result in harness.results.values()} == {NotWritten}
+    harness.faults.unavailable = False
+    harness.wait_until(lambda: harness.recoveries == 1)
+    harness.claim(20)
+    harness.wait_until(lambda: 20 in harness.results)
+    assert harness.results[20] == Done() and harness.read_record("sale1") is None
 
 
-def test_a_full_store_loses_the_batch_and_goes_on(desk: Desk) -> None:
-    desk.faults.script.append("fails")
-    desk.claim(1)
-    desk.until(lambda: desk.backs == 1)
-    assert desk.results[1] == Lost("no space left")
-    desk.claim(2)
-    desk.until(lambda: 2 in desk.results)
-    assert desk.results[2] == Done()
+def test_a_full_store_fails_the_batch_and_the_writer_continues(harness: WriterHarness) -> None:
+    harness.faults.script.append("fails")
+    harness.claim(1)
+    harness.wait_until(lambda: harness.recoveries == 1)
+    assert harness.results[1] == NotWritten("no space left")
+    harness.claim(2)
+    harness.wait_until(lambda: 2 in harness.results)
+    assert harness.results[2] == Done()
 
 
-def test_a_close_writes_what_waits(desk: Desk) -> None:
+def test_close_writes_the_waiting_writes(harness: WriterHarness) -> None:
     for ticket in range(50):
-        desk.claim(ticket)
-    desk.writer.close(PATIENCE)
-    assert len(desk.results) == 50 and set(desk.results.values()) == {Done()}
-    desk.claim(60)
-    assert desk.results[60] == Lost("it is closed")
-    assert desk.look("sale49") is not None
-
-
-def test_a_close_while_the_store_is_away_ends_in_time_and_tells_all(desk: Desk) -> None:
-    desk.faults.away = True
-    desk.claim(1)
-    desk.until(lambda: 1 in desk.results)
-    desk.claim(2)
-    desk.writer.close(PATIENCE)
-    assert not desk.writer.thread.is_alive() and isinstance(desk.results[2], Lost)
-
-
-def test_a_store_that_cannot_be_opened_is_an_error_at_the_start(tmp_path: Path) -> None:
+        harness.claim(ticket)
+    harness.writer.close(PATIENCE)
+    assert len(harness.results) == 50 and set(harness.results.values()) == {Done()}
+    harness.claim(60)
+    assert harness.results[60] == NotWritten("the writer is closed")
+    assert harness.read_record("sale49") is not None
+
+
+def test_close_while_the_store_is_unavailable_ends_in_time_and_delivers_all_results(
+    harness: WriterHarness,
+) -> None:
+    harness.faults.unavailable = True
+    harness.claim(1)
+    harness.wait_until(lambda: 1 in harness.results)
+    harness.claim(2)
+    harness.writer.close(PATIENCE)
+    assert not harness.writer.thread.is_alive() and isinstance(harness.results[2], NotWritten)
+
+
+def test_a_store_that_cannot_be_opened_is_an_error_at_start(tmp_path: Path) -> None:
     writer = Writer(lambda: SqliteStore(tmp_path), lambda results: None, lambda: None)
     with pytest.raises(StoreError, match="unable to open"):
         writer.start("n1", 1_000)
     writer.close()
 
 
-def test_outcomes_are_written_in_the_order_in_which_they_came(desk: Desk) -> None:
-    desk.faults.script.append("stalls")
-    desk.claim(0)
-    assert desk.faults.stalled.wait(PATIENCE)
-    desk.claim(1)
-    desk.writer.put(2, Settle("sale1", desk.epoch, State.SERVED, 1))
-    desk.writer.put(3, Settle("sale1", desk.epoch, State.FAILED, 1))
-    desk.faults.go.set()
-    desk.until(lambda: 3 in desk.results)
-    assert desk.results[2] == Done() and type(desk.results[3]).__name__ == "Held"
-    assert desk.look("sale1").state is State.SERVED
+def test_writes_are_applied_in_order(harness: WriterHarness) -> None:
+    harness.faults.script.append("stalls")
+    harness.claim(0)
+    assert harness.faults.stalled.wait(PATIENCE)
+    harness.claim(1)
+    harness.writer.put(2, Settle("sale1", harness.epoch, State.SERVED, 1))
+    harness.writer.put(3, Settle("sale1", harness.epoch, State.FAILED, 1))
+    harness.faults.resume.set()
+    harness.wait_until(lambda: 3 in harness.results)
+    assert harness.results[2] == Done() and type(harness.results[3]).__name__ == "Existing"
+    assert harness.read_record("sale1").state is State.SERVED
