--- a/rigs/faultystore.py
+++ b/rigs/faultystore.py
@@ -15,9 +15,8 @@
     """The faults of the next operations; shared by all connections to one store."""
 
     def __init__(self) -> None:
-        self.script: deque[str] = (
-            deque()
-        )  # one for each apply: "" (none), fails, lost-before, lost-after, stalls
+        # The fault of each coming apply: "" (none), fails, lost-before, lost-after, stalls.
+        self.script: deque[str] = deque()
         self.unavailable = False  # open, apply and is_committed fail
         self.resume = threading.Event()  # lets a stalled apply continue
         self.stalled = threading.Event()
