--- a/bench/embedded.py
+++ b/bench/embedded.py
@@ -224,16 +224,16 @@
     late: list[int] = []
     settled = 0
     async with Client(config) as client:
-        worker, whole = client._worker, client._worker.settled
+        worker, whole = client._worker, client._worker.discard
 
-        def noting(ticket: Any) -> None:
+        def noting(pending: Any) -> None:
             nonlocal settled
             settled += 1
-            if time.monotonic_ns() > ticket.call.heard + ticket.call.left + LATE:
+            if time.monotonic_ns() > pending.call.heard + pending.call.left + LATE:
                 late.append(1)
-            whole(ticket)
+            whole(pending)
 
-        worker.settled = noting  # type: ignore[method-assign]
+        worker.discard = noting  # type: ignore[method-assign]
         tasks: list[asyncio.Task[Answer]] = []
         other = OnHostLoop(config)
         number = 0
--- a/minthitch/asgi.py
+++ b/minthitch/asgi.py
@@ -13,7 +13,7 @@
 
 from minthitch.embedded.client import Client
 from minthitch.embedded.errors import BadCall, ClientClosed
-from minthitch.embedded.requests import of_class, whole_seconds
+from minthitch.embedded.requests import retry_after_seconds, with_service_class
 from minthitch.engine.calls import Answer, Refused, Served
 from minthitch.engine.fields import MOST_BODY
 from minthitch.interface import Effect
@@ -110,7 +110,7 @@
                 client.send(
                     b"GET" if effect is Effect.SAFE else b"POST",
                     _target(scope, route),
-                    of_class(scope["headers"], route.service_class),
+                    with_service_class(scope["headers"], route.service_class),
                     body,
                 ),
                 receive,
@@ -195,7 +195,7 @@
     if isinstance(answer, Served):
         await _respond(send, 200, *answer.fields, body=answer.body, bare=bare)
     elif isinstance(answer, Refused):
-        wait = ((b"retry-after", whole_seconds(answer)),) if answer.retry_after_ns else ()
+        wait = ((b"retry-after", retry_after_seconds(answer)),) if answer.retry_after_ns else ()
         await _respond(send, 503, *wait)
     else:
         await _respond(send, 502)
--- a/minthitch/embedded/client.py
+++ b/minthitch/embedded/client.py
@@ -12,17 +12,17 @@
 
 from minthitch import operatorfile
 from minthitch.config import NO_SERVERS, Config, ConfigError
-from minthitch.embedded import exits
-from minthitch.embedded.handover import Handover
-from minthitch.embedded.requests import Headers, Maker
-from minthitch.embedded.tickets import LoopTicket, ThreadTicket
+from minthitch.embedded import process_exit
+from minthitch.embedded.loop_queue import LoopQueue
+from minthitch.embedded.pending import LoopPendingCall, ThreadPendingCall
+from minthitch.embedded.requests import CallBuilder, Headers
 from minthitch.embedded.worker import Worker
 from minthitch.engine import Answer, Call, Refused
 from minthitch.interface import Settings
 from minthitch.listing import ListError, static_listing
 
-CLOSE_WITHIN = 3.4  # seconds in which a close settles all that is held, if nothing else is said
-Fields = Iterable[tuple[bytes, bytes]]
+DEFAULT_CLOSE_WITHIN = 3.4  # seconds in which a close settles all that is held, if nothing else is said
+RawHeaders = Iterable[tuple[bytes, bytes]]
 
 
 def configure(
@@ -52,14 +52,14 @@
     return source if isinstance(source, Config) else operatorfile.read(source)
 
 
-class _Base:
+class _BaseClient:
     """What both clients share: the worker's life, and calls made from arguments."""
 
     def __init__(
         self,
         config: Config | str | os.PathLike[str],
         *,
-        close_within: float = CLOSE_WITHIN,
+        close_within: float = DEFAULT_CLOSE_WITHIN,
         settle_on_sigterm: bool = False,
     ) -> None:
         """`config`: a Config (`configure`) or the path of an operator file (TOML).
@@ -72,7 +72,7 @@
             raise ConfigError(f"close_within = {close_within!r} is not a number of seconds above 0")
         config = _config(config)
         self.settings = config.settings
-        self._maker = Maker(config.settings, config.name)
+        self._call_builder = CallBuilder(config.settings, config.name)
         self._worker = Worker(config, close_within)
         self._settle_on_sigterm = settle_on_sigterm
 
@@ -94,9 +94,9 @@
 
     def _start(self) -> None:
         self._worker.start()
-        exits.register(self._worker)
+        process_exit.register(self._worker)
         if self._settle_on_sigterm:
-            exits.settle_on_sigterm(self._worker)
+            process_exit.settle_on_sigterm(self._worker)
 
     def _call(
         self,
@@ -112,7 +112,7 @@
         repeat: bool,
         identity: str | None,
     ) -> Call:
-        return self._maker.direct(
+        return self._call_builder.from_arguments(
             service_class,
             target,
             body,
@@ -128,7 +128,7 @@
         )
 
 
-class Client(_Base):
+class Client(_BaseClient):
     """Balanced calls from asyncio, from any number of loops.
 
         async with Client("minthitch.toml") as client:
@@ -144,12 +144,12 @@
         self,
         config: Config | str | os.PathLike[str],
         *,
-        close_within: float = CLOSE_WITHIN,
+        close_within: float = DEFAULT_CLOSE_WITHIN,
         settle_on_sigterm: bool = False,
     ) -> None:
         super().__init__(config, close_within=close_within, settle_on_sigterm=settle_on_sigterm)
-        self._mailboxes: dict[asyncio.AbstractEventLoop, Handover[LoopTicket]] = {}
-        self._mailbox_lock = threading.Lock()
+        self._result_queues: dict[asyncio.AbstractEventLoop, LoopQueue[LoopPendingCall]] = {}
+        self._result_queues_lock = threading.Lock()
 
     async def start(self) -> None:
         """Starts the engine. Raises ClientClosed if it was started before."""
@@ -167,25 +167,25 @@
     async def aclose(self) -> None:
         """Settles all that is held within `close_within`, then ends the engine. May be called again."""
         self._worker.begin_close()
-        loop, down = asyncio.get_running_loop(), asyncio.Event()
+        loop, stopped = asyncio.get_running_loop(), asyncio.Event()
 
-        def tell() -> None:
+        def notify() -> None:
             # Danger: the loop may have ended meanwhile, and the engine's thread must not fail over it.
             if not loop.is_closed():
-                loop.call_soon_threadsafe(down.set)
+                loop.call_soon_threadsafe(stopped.set)
 
-        self._worker.call_when_down(tell)
-        await down.wait()
+        self._worker.call_when_stopped(notify)
+        await stopped.wait()
 
-    def _mailbox(self) -> Handover[LoopTicket]:
+    def _result_queue(self) -> LoopQueue[LoopPendingCall]:
         loop = asyncio.get_running_loop()
-        with self._mailbox_lock:
-            box = self._mailboxes.get(loop)
-            if box is None:
-                for ended in [known for known in self._mailboxes if known.is_closed()]:
-                    del self._mailboxes[ended]  # danger: a host that makes loops would fill the memory
-                box = self._mailboxes[loop] = Handover(loop, LoopTicket.resolve)
-        return box
+        with self._result_queues_lock:
+            queue = self._result_queues.get(loop)
+            if queue is None:
+                for ended in [known for known in self._result_queues if known.is_closed()]:
+                    del self._result_queues[ended]  # danger: a host that makes loops would fill the memory
+                queue = self._result_queues[loop] = LoopQueue(loop, LoopPendingCall.resolve)
+        return queue
 
     async def call(
         self,
@@ -215,23 +215,30 @@
         )
 
     async def send(
-        self, method: bytes, target: bytes, fields: Fields, body: bytes = b"", timeout: float | None = None
+        self,
+        method: bytes,
+        target: bytes,
+        fields: RawHeaders,
+        body: bytes = b"",
+        timeout: float | None = None,
     ) -> Answer:
         """The same from a request's raw parts; its fields name it as at the daemon."""
-        return await self._wait(self._maker.call(method, target, fields, body, timeout, time.monotonic_ns()))
+        return await self._wait(
+            self._call_builder.from_raw(method, target, fields, body, timeout, time.monotonic_ns())
+        )
 
     async def _wait(self, call: Call) -> Answer:
-        ticket = LoopTicket(call, self._worker, self._mailbox())
-        if (full := self._worker.submit(ticket)) is not None:
-            return full
+        pending = LoopPendingCall(call, self._worker, self._result_queue())
+        if (refused := self._worker.submit(pending)) is not None:
+            return refused
         try:
-            return await ticket.future
+            return await pending.future
         except asyncio.CancelledError:
-            self._worker.abandon(ticket)
+            self._worker.abandon(pending)
             raise
 
 
-class BlockingClient(_Base):
+class BlockingClient(_BaseClient):
     """The same for hosts without a loop, from any number of threads."""
 
     def start(self) -> None:
@@ -270,16 +277,16 @@
         call = self._call(
             service_class, target, body, headers, timeout, key, tenant, session, cost, repeat, identity
         )
-        ticket = ThreadTicket(call, self._worker)
-        full: Refused | None = self._worker.submit(ticket)
-        if full is not None:
-            return full
+        pending = ThreadPendingCall(call, self._worker)
+        refused: Refused | None = self._worker.submit(pending)
+        if refused is not None:
+            return refused
         try:
-            ticket.done.wait()
+            pending.done.wait()
         except BaseException:  # KeyboardInterrupt, or what a signal handler raised: nobody waits any more
-            self._worker.abandon(ticket)
+            self._worker.abandon(pending)
             raise
-        if isinstance(ticket.result, BaseException):
-            raise ticket.result
-        assert ticket.result is not None
-        return ticket.result
+        if isinstance(pending.result, BaseException):
+            raise pending.result
+        assert pending.result is not None
+        return pending.result
--- a/minthitch/embedded/handover.py
+++ b/minthitch/embedded/loop_queue.py
@@ -12,24 +12,25 @@
 from typing import Generic, TypeVar
 
 T = TypeVar("T")
-MOST_AT_ONCE = 1_000  # items taken in one turn of the loop: a flood must not hold up its timers
+MAX_BATCH = 1_000  # items taken in one turn of the loop: a flood must not hold up its timers
 
 
-class Handover(Generic[T]):
-    """Gives items to `take`, on the loop."""
+class LoopQueue(Generic[T]):
+    """Gives items to `handle`, on the loop."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, take: Callable[[T], None]) -> None:
-        self.loop, self.take = loop, take
+    def __init__(self, loop: asyncio.AbstractEventLoop, handle: Callable[[T], None]) -> None:
+        self.loop, self.handle = loop, handle
         self.items: deque[T] = deque()
-        self.raised = False
-        self.wakes = 0  # wake-ups so far
+        # Danger: if this were cleared after the queue is read, an item put in between would never be handled.
+        self.wake_pending = False
+        self.wake_ups = 0  # wake-ups so far
 
     def put(self, item: T) -> bool:
-        """From any thread. False when the loop is closed: nobody will take it."""
+        """From any thread. False when the loop is closed: nobody will handle it."""
         self.items.append(item)
-        if self.raised:
+        if self.wake_pending:
             return True
-        self.raised = True
+        self.wake_pending = True
         return self._wake()
 
     def _wake(self) -> bool:
@@ -38,13 +39,15 @@
         except RuntimeError:  # the loop is closed
             self.items.clear()
             return False
-        self.wakes += 1
+        self.wake_ups += 1
         return True
 
     def _run(self) -> None:
-        self.raised = False  # danger: lowered behind the reading, an item in between would never be taken
-        for _ in range(min(len(self.items), MOST_AT_ONCE)):
-            self.take(self.items.popleft())
-        if self.items and not self.raised:
-            self.raised = True
+        self.wake_pending = (
+            False  # danger: lowered behind the reading, an item in between would never be taken
+        )
+        for _ in range(min(len(self.items), MAX_BATCH)):
+            self.handle(self.items.popleft())
+        if self.items and not self.wake_pending:
+            self.wake_pending = True
             self.loop.call_soon(self._run)
--- a/minthitch/embedded/tickets.py
+++ b/minthitch/embedded/pending.py
@@ -6,59 +6,59 @@
 import threading
 from typing import Protocol
 
-from minthitch.embedded.handover import Handover
+from minthitch.embedded.loop_queue import LoopQueue
 from minthitch.engine import Answer, Call, Request
 
 Result = Answer | BaseException
 
 
-class Holder(Protocol):
+class Owner(Protocol):
     """Who holds the tickets that are not settled."""
 
-    def settled(self, ticket: Ticket) -> None: ...
+    def discard(self, pending: PendingCall) -> None: ...
 
 
-class Ticket:
-    """A held call. `answer` and `turn_away` are called on the engine's thread, once in all."""
+class PendingCall:
+    """A held call. `answer` and `fail` are called on the engine's thread, once in all."""
 
-    __slots__ = ("call", "holder", "request", "gone", "result")
+    __slots__ = ("call", "owner", "request", "abandoned", "result")
 
-    def __init__(self, call: Call, holder: Holder) -> None:
-        self.call, self.holder = call, holder
+    def __init__(self, call: Call, owner: Owner) -> None:
+        self.call, self.owner = call, owner
         self.request: Request | None = None  # once the engine has taken it
-        self.gone = False  # the host waits no more
+        self.abandoned = False  # the host waits no more
         self.result: Result | None = None
 
     def answer(self, call: Call, answer: Answer) -> None:
         self._settle(answer)
 
-    def turn_away(self, error: BaseException) -> None:
+    def fail(self, error: BaseException) -> None:
         self._settle(error)
 
     def _settle(self, result: Result) -> None:
         if self.result is not None:  # danger: the host must hear one answer only
             return
         self.result = result
-        self.holder.settled(self)
-        if not self.gone:
+        self.owner.discard(self)
+        if not self.abandoned:
             self.deliver()
 
     def deliver(self) -> None:
         raise NotImplementedError
 
 
-class LoopTicket(Ticket):
+class LoopPendingCall(PendingCall):
     """Waited for by a task of a host's loop."""
 
-    __slots__ = ("mailbox", "future")
+    __slots__ = ("result_queue", "future")
 
-    def __init__(self, call: Call, holder: Holder, mailbox: Handover[LoopTicket]) -> None:
-        super().__init__(call, holder)
-        self.mailbox = mailbox
-        self.future: asyncio.Future[Answer] = mailbox.loop.create_future()
+    def __init__(self, call: Call, owner: Owner, result_queue: LoopQueue[LoopPendingCall]) -> None:
+        super().__init__(call, owner)
+        self.result_queue = result_queue
+        self.future: asyncio.Future[Answer] = result_queue.loop.create_future()
 
     def deliver(self) -> None:
-        self.mailbox.put(self)
+        self.result_queue.put(self)
 
     def resolve(self) -> None:
         """On the host's loop."""
@@ -70,13 +70,13 @@
             self.future.set_result(self.result)
 
 
-class ThreadTicket(Ticket):
+class ThreadPendingCall(PendingCall):
     """Waited for by a thread without a loop."""
 
     __slots__ = ("done",)
 
-    def __init__(self, call: Call, holder: Holder) -> None:
-        super().__init__(call, holder)
+    def __init__(self, call: Call, owner: Owner) -> None:
+        super().__init__(call, owner)
         self.done = threading.Event()
 
     def deliver(self) -> None:
--- a/minthitch/embedded/requests.py
+++ b/minthitch/embedded/requests.py
@@ -1,4 +1,4 @@
-"""A host's call to the engine's values. No I/O; the time is given in."""
+"""A host's call to the engine's values. No I/O; the current time is an argument."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from minthitch.engine.fields import MOST_BODY, NOT_FORWARDED, Reader
 from minthitch.engine.fields import key as session_key
 
-MOST_SECONDS = 1e6
-MOST_HEAD = 32 * 1024  # bytes of a request in front of its body, as at the daemon
+MAX_SECONDS = 1e6
+MAX_HEADER_BYTES = 32 * 1024  # bytes of a request in front of its body, as at the daemon
 TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
 VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]*")
 TARGET = re.compile(rb"/[\x21-\x7e]*")
-OWN_FIELDS = frozenset((b"x-service-class", b"content-length", b"transfer-encoding"))
-ONCE = frozenset(
+REPLACED_FIELDS = frozenset((b"x-service-class", b"content-length", b"transfer-encoding"))
+SINGLE_FIELDS = frozenset(
     (
         b"x-correlation-id",
         b"x-service-class",
@@ -62,30 +62,32 @@
     return f"{_PREFIX[0]}{next(_numbers):x}"
 
 
-def of_class(fields: Iterable[tuple[bytes, bytes]], service_class: str) -> list[tuple[bytes, bytes]]:
+def with_service_class(
+    fields: Iterable[tuple[bytes, bytes]], service_class: str
+) -> list[tuple[bytes, bytes]]:
     """A foreign request's fields as a call of this class; danger: it must not choose its class by itself."""
-    kept = [(name, value) for name, value in fields if name.lower() not in OWN_FIELDS]
+    kept = [(name, value) for name, value in fields if name.lower() not in REPLACED_FIELDS]
     kept.append((b"X-Service-Class", service_class.encode()))
     if not any(name.lower() == b"x-correlation-id" for name, _ in kept):
         kept.append((b"X-Correlation-Id", new_identity().encode()))
     return kept
 
 
-def whole_seconds(answer: Refused) -> bytes:
+def retry_after_seconds(answer: Refused) -> bytes:
     """Retry-After as HTTP has it."""
     return b"%d" % math.ceil(answer.retry_after)
 
 
-class Maker:
+class CallBuilder:
     """Makes calls by the settings of one client."""
 
     def __init__(self, settings: api.Settings, authority: str) -> None:
         self.settings, self.reader = settings, Reader(settings)
-        self.numbers = {spec.name: i for i, spec in enumerate(settings.classes)}
-        self.names = [spec.name.encode() for spec in settings.classes]
+        self.class_indexes = {spec.name: i for i, spec in enumerate(settings.classes)}
+        self.class_names = [spec.name.encode() for spec in settings.classes]
         self.authority = authority.encode()
 
-    def direct(
+    def from_arguments(
         self,
         service_class: str,
         target: str,
@@ -98,15 +100,15 @@
         cost: float,
         repeat: bool,
         identity: str | None,
-        heard: int,
+        now: int,
     ) -> Call:
         """A call from plain arguments, made at `heard` (monotonic ns). Raises BadCall."""
-        if (cls := self.numbers.get(service_class)) is None:
-            raise BadCall(f"unknown class {service_class!r}; known are {', '.join(self.numbers)}")
+        if (cls := self.class_indexes.get(service_class)) is None:
+            raise BadCall(f"unknown class {service_class!r}; known are {', '.join(self.class_indexes)}")
         effect = self.settings.classes[cls].effect
         if bool(key) != (effect is api.Effect.KEYED):
             raise BadCall(f"Idempotency-Key {key!r} does not fit the {effect.value} class {service_class!r}")
-        if cost and not 0 < cost < MOST_SECONDS:
+        if cost and not 0 < cost < MAX_SECONDS:
             raise BadCall(f"cost {cost!r} is not a number of seconds")
         raw = target.encode("latin-1", "replace")
         self._check(raw, body, timeout)
@@ -117,24 +119,24 @@
             ("X-Session-Key", session),
             ("Idempotency-Key", key),
         ]
-        given = raw_headers([(field, value) for field, value in named if value])
+        fields = raw_headers([(field, value) for field, value in named if value])
         if not identity:
-            given.insert(0, (b"X-Correlation-Id", name.encode()))
-        given.append((b"X-Service-Class", self.names[cls]))
+            fields.insert(0, (b"X-Correlation-Id", name.encode()))
+        fields.append((b"X-Service-Class", self.class_names[cls]))
         if repeat:
-            given.append((b"X-Repeat", b"1"))
+            fields.append((b"X-Repeat", b"1"))
         if cost:
-            given.append((b"X-Weight-Hint", b"%.3f" % (cost * 1e6)))
+            fields.append((b"X-Weight-Hint", b"%.3f" % (cost * 1e6)))
         if headers:
-            given += raw_headers(headers)
-        table, head = self._head(given)
+            fields += raw_headers(headers)
+        table, head = self._headers(fields)
         message = Message(b"GET" if effect is api.Effect.SAFE else b"POST", raw, head, body)
         return Call(
             name.encode(),
             cls,
             message,
             left=None if timeout is None else int(timeout * api.SECOND),
-            heard=heard,
+            heard=now,
             tenant=self.reader.tenants.get(tenant.encode(), len(self.reader.tenants)),
             key=session_key(table),
             cost=int(cost * api.SECOND),
@@ -143,36 +145,36 @@
 
     @staticmethod
     def _check(target: bytes, body: bytes, timeout: float | None) -> None:
-        if timeout is not None and not 0 < timeout < MOST_SECONDS:
+        if timeout is not None and not 0 < timeout < MAX_SECONDS:
             raise BadCall(f"timeout {timeout!r} is not a number of seconds above 0")
         if len(body) > MOST_BODY:
             raise BadCall(f"the body holds {len(body)} bytes, over {MOST_BODY}", 413)
         if not TARGET.fullmatch(target):  # danger: a space or line end would begin another request
             raise BadCall(f"bad target {target[:60]!r}")
 
-    def call(
+    def from_raw(
         self,
         method: bytes,
         target: bytes,
         fields: Iterable[tuple[bytes, bytes]],
         body: bytes,
         timeout: float | None,
-        heard: int,
+        now: int,
     ) -> Call:
         """A call that the engine can take, made at `heard` (monotonic ns). Raises BadCall."""
         self._check(target, body, timeout)
-        table, head = self._head(fields)
+        table, head = self._headers(fields)
         if timeout is not None:
             table[b"x-time-left"] = f"{timeout * 1e6:.0f}u".encode()
         try:
             self.reader.check(method, table)
             if method not in (b"GET", b"POST"):
                 raise Rejected(405, f"method {method[:20]!r}")
-            return self.reader.call(Message(method, target, head, body), table, heard)
+            return self.reader.call(Message(method, target, head, body), table, now)
         except Rejected as err:
             raise BadCall(str(err), err.status) from None
 
-    def _head(
+    def _headers(
         self, fields: Iterable[tuple[bytes, bytes]]
     ) -> tuple[dict[bytes, bytes], list[tuple[bytes, bytes]]]:
         table: dict[bytes, bytes] = {}
@@ -180,11 +182,11 @@
         size = 0
         for name, value in fields:
             size += len(name) + len(value) + 4
-            if not TOKEN.fullmatch(name) or not VALUE.fullmatch(value) or size > MOST_HEAD:
-                status = 431 if size > MOST_HEAD else 400
+            if not TOKEN.fullmatch(name) or not VALUE.fullmatch(value) or size > MAX_HEADER_BYTES:
+                status = 431 if size > MAX_HEADER_BYTES else 400
                 raise BadCall(f"bad or too long header field {name[:40]!r}", status)
             lower = name.lower()
-            if lower in table and lower in ONCE:
+            if lower in table and lower in SINGLE_FIELDS:
                 raise BadCall(f"header field {lower.decode()} is given twice")
             table[lower] = value
             if lower not in NOT_FORWARDED:
--- a/minthitch/embedded/worker.py
+++ b/minthitch/embedded/worker.py
@@ -17,18 +17,18 @@
 from minthitch import interface as api
 from minthitch.config import Config
 from minthitch.embedded.errors import BadCall, ClientClosed
-from minthitch.embedded.handover import Handover
-from minthitch.embedded.tickets import Ticket
+from minthitch.embedded.loop_queue import LoopQueue
+from minthitch.embedded.pending import PendingCall
 from minthitch.engine import Engine, Failed, LoopClock, Refused, Rejected, Source, StaticSource
 from minthitch.engine.core import pause_when_full
 from minthitch.log import LineLog
 from minthitch.net.discovery import Discovery
 from minthitch.net.servers import Pool
 
-START_WITHIN = 10.0  # seconds for the thread to be up
-JOIN_BEYOND = 2.0  # seconds beyond the bound after which the thread is not waited for any more
-MOST_HELD = 1_000  # calls held at once where the settings state no max_open
-RESERVE = 16  # descriptors for the loop and discovery
+START_TIMEOUT_S = 10.0  # seconds for the thread to be up
+JOIN_MARGIN_S = 2.0  # seconds beyond the bound after which the thread is not waited for any more
+DEFAULT_MAX_HELD = 1_000  # calls held at once where the settings state no max_open
+RESERVED_DESCRIPTORS = 16  # descriptors for the loop and discovery
 logger = logging.getLogger("minthitch")
 
 
@@ -38,19 +38,19 @@
     def __init__(self, config: Config, close_within: float) -> None:
         self.config, self.settings = config, config.settings
         self.close_within = close_within  # seconds in which a close settles all
-        self.most = config.settings.max_open or MOST_HELD
+        self.max_held = config.settings.max_open or DEFAULT_MAX_HELD
         self.random = random.Random(config.seed ^ 3)
         self.lock = threading.RLock()  # re-entered by a signal handler of the same thread
         self.state = "new"
         self.pid = os.getpid()
-        self.held: set[Ticket] = set()
-        self.error: BaseException | None = None  # what ended the thread, if it was not a close
-        self.up, self.down = threading.Event(), threading.Event()
-        self.when_down: list[Callable[[], None]] = []
+        self.held: set[PendingCall] = set()
+        self.failure: BaseException | None = None  # what ended the thread, if it was not a close
+        self.started, self.stopped = threading.Event(), threading.Event()
+        self.stop_callbacks: list[Callable[[], None]] = []
         self.thread = threading.Thread(target=self._run, name=f"minthitch-{config.name}", daemon=True)
-        self.inbox: Handover[Callable[[], None]] | None = None
+        self.inbox: LoopQueue[Callable[[], None]] | None = None
         self.engine: Engine | None = None
-        self.ended: asyncio.Event | None = None
+        self.engine_ended: asyncio.Event | None = None
 
     # On the host's threads ----------------------------------------------------------------------
 
@@ -61,57 +61,57 @@
                 raise ClientClosed(f"the client is {self.state}: a client is started once; make another")
             self.state = "open"
         self.thread.start()
-        if not self.up.wait(START_WITHIN):
+        if not self.started.wait(START_TIMEOUT_S):
             raise ClientClosed("the engine's thread did not come up")
-        if self.error is not None:
-            raise ClientClosed(f"the engine did not start: {self.error}")
+        if self.failure is not None:
+            raise ClientClosed(f"the engine did not start: {self.failure}")
 
-    def usable(self) -> None:
+    def check_open(self) -> None:
         """Raises ClientClosed where calls can't be taken."""
         if self.pid != os.getpid():  # danger: the thread is not in this process, and nothing would answer
             raise ClientClosed(
                 f"the client belongs to process {self.pid}, before the fork: make one after the fork"
             )
         if self.state != "open":
-            why = f": {self.error}" if self.error is not None else ""
+            why = f": {self.failure}" if self.failure is not None else ""
             raise ClientClosed(
                 "the client is not started" if self.state == "new" else f"the client is {self.state}{why}"
             )
 
-    def submit(self, ticket: Ticket) -> Refused | None:
+    def submit(self, pending: PendingCall) -> Refused | None:
         """Hands a call over; an answer at once where too many are held. Raises ClientClosed."""
         with self.lock:
-            self.usable()
+            self.check_open()
             assert self.inbox is not None
-            if len(self.held) >= self.most:
-                spec = self.settings.classes[ticket.call.cls]
+            if len(self.held) >= self.max_held:
+                spec = self.settings.classes[pending.call.cls]
                 return Refused(pause_when_full(self.settings, spec, self.random), "too many calls are held")
-            self.held.add(ticket)
-            self.inbox.put(lambda: self._take(ticket))
+            self.held.add(pending)
+            self.inbox.put(lambda: self._admit(pending))
         return None
 
-    def abandon(self, ticket: Ticket) -> None:
+    def abandon(self, pending: PendingCall) -> None:
         """The host waits for it no more."""
-        ticket.gone = True
+        pending.abandoned = True
         if self.inbox is not None and self.pid == os.getpid():
-            self.inbox.put(lambda: self._leave(ticket))
+            self.inbox.put(lambda: self._abandon(pending))
 
     def begin_close(self) -> None:
         """Turns away all that comes from now on; what is held is settled within `close_within`."""
         with self.lock:
             if self.state == "new":
                 self.state = "closed"
-                self.down.set()
+                self.stopped.set()
             if self.state == "open" and self.pid == os.getpid():
                 self.state = "closing"
                 assert self.inbox is not None
                 self.inbox.put(self._drain)
 
-    def call_when_down(self, call: Callable[[], None]) -> None:
+    def call_when_stopped(self, call: Callable[[], None]) -> None:
         """Calls, perhaps on the engine's thread, once all is settled."""
         with self.lock:
-            if not self.down.is_set():
-                self.when_down.append(call)
+            if not self.stopped.is_set():
+                self.stop_callbacks.append(call)
                 return
         call()
 
@@ -119,7 +119,7 @@
         """Closes and waits. Bounded by `close_within` and a little more."""
         self.begin_close()
         if self.pid == os.getpid() and threading.current_thread() is not self.thread:
-            self.down.wait(self.close_within + JOIN_BEYOND)
+            self.stopped.wait(self.close_within + JOIN_MARGIN_S)
 
     # On the engine's thread ---------------------------------------------------------------------
 
@@ -128,35 +128,35 @@
             with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
                 runner.run(self._main())
         except BaseException as err:  # danger: callers would wait for ever for a thread that is no more
-            self.error = err
+            self.failure = err
             logger.exception("%s: the engine ended", self.config.name)
         finally:
-            self._end()
+            self._finish()
 
-    def _end(self) -> None:
+    def _finish(self) -> None:
         with self.lock:
             self.state = "closed"
             left, self.held = list(self.held), set()
-        for ticket in left:
-            ticket.answer(ticket.call, Failed("the engine ended"))
+        for pending in left:
+            pending.answer(pending.call, Failed("the engine ended"))
         with self.lock:
-            self.down.set()
-            calls, self.when_down = self.when_down, []
-        self.up.set()
-        for call in calls:
-            call()
+            self.stopped.set()
+            callbacks, self.stop_callbacks = self.stop_callbacks, []
+        self.started.set()
+        for callback in callbacks:
+            callback()
 
     async def _main(self) -> None:
         loop = asyncio.get_running_loop()
         name, config = self.config.name, self.config
-        ended = self.ended = asyncio.Event()
+        ended = self.engine_ended = asyncio.Event()
         log = LineLog(lambda text: logger.warning("%s: %s", name, text))
         loop.set_exception_handler(
             lambda _loop, context: log(f"{context.get('message')}: {context.get('exception')!r}")
         )
         clock = LoopClock(loop)
         engine = self.engine = Engine(config.settings, config.seed, clock, log, ended.set)
-        pool = engine.carrier = Pool(config.settings, config.sockets - RESERVE)
+        pool = engine.carrier = Pool(config.settings, config.sockets - RESERVED_DESCRIPTORS)
         source = engine.source = self._source(engine)
         recording = None
         if config.record is not None:
@@ -172,8 +172,8 @@
         engine.listed(config.known, api.ListKind.CACHED)
         if isinstance(source, Discovery):
             source.start()
-        self.inbox = Handover(loop, lambda work: work())
-        self.up.set()
+        self.inbox = LoopQueue(loop, lambda work: work())
+        self.started.set()
         try:
             await ended.wait()
         finally:
@@ -190,34 +190,34 @@
             return Discovery(self.config.discovery, engine, self.config.seed ^ 1)
         return StaticSource(self.config.known, engine.listed)
 
-    def _take(self, ticket: Ticket) -> None:
+    def _admit(self, pending: PendingCall) -> None:
         assert self.engine is not None
-        if ticket.gone:
-            self.settled(ticket)
+        if pending.abandoned:
+            self.discard(pending)
             return
         try:
-            request = self.engine.admit(ticket, ticket.call)
+            request = self.engine.admit(pending, pending.call)
         except Rejected as err:
             if err.status == 503:
-                ticket.answer(ticket.call, Refused(err.retry_after, str(err)))
+                pending.answer(pending.call, Refused(err.retry_after, str(err)))
             else:
-                ticket.turn_away(BadCall(str(err), err.status))
+                pending.fail(BadCall(str(err), err.status))
             return
         except Exception as err:  # danger: a fault of ours must not leave the call unanswered
             self.engine.log_error("a call was not taken", err)
-            ticket.answer(ticket.call, Failed(f"{type(err).__name__}: {err}"))
+            pending.answer(pending.call, Failed(f"{type(err).__name__}: {err}"))
             return
-        ticket.request = request
+        pending.request = request
 
-    def _leave(self, ticket: Ticket) -> None:
+    def _abandon(self, pending: PendingCall) -> None:
         assert self.engine is not None
-        if ticket.request is not None:
-            self.engine.leave(ticket.request)
-        self.settled(ticket)
+        if pending.request is not None:
+            self.engine.leave(pending.request)
+        self.discard(pending)
 
-    def settled(self, ticket: Ticket) -> None:
+    def discard(self, pending: PendingCall) -> None:
         with self.lock:
-            self.held.discard(ticket)
+            self.held.discard(pending)
 
     def _drain(self) -> None:
         assert self.engine is not None
--- a/minthitch/httpx_transport.py
+++ b/minthitch/httpx_transport.py
@@ -13,7 +13,7 @@
 
 from minthitch.embedded.client import Client
 from minthitch.embedded.errors import BadCall, ClientClosed
-from minthitch.embedded.requests import of_class, whole_seconds
+from minthitch.embedded.requests import retry_after_seconds, with_service_class
 from minthitch.engine.calls import Refused, Served
 
 
@@ -68,7 +68,7 @@
     async def handle_async_request(self, request: httpx.Request) -> httpx.Response:
         """Raises httpx.LocalProtocolError for a call that no server could use, ConnectError when closed."""
         await self._start()
-        fields = of_class(request.headers.raw, self._class(request))
+        fields = with_service_class(request.headers.raw, self._class(request))
         timeout = request.extensions.get("timeout", {}).get("read")
         try:
             answer = await self.client.send(
@@ -81,6 +81,6 @@
         if isinstance(answer, Served):
             return httpx.Response(200, headers=list(answer.fields), content=answer.body, request=request)
         if isinstance(answer, Refused):
-            wait = {b"Retry-After": whole_seconds(answer)} if answer.retry_after_ns else {}
+            wait = {b"Retry-After": retry_after_seconds(answer)} if answer.retry_after_ns else {}
             return httpx.Response(503, headers=wait, request=request)
         return httpx.Response(502, request=request)
--- a/tests/test_embedded.py
+++ b/tests/test_embedded.py
@@ -30,8 +30,8 @@
     Settings,
     configure,
 )
-from minthitch.embedded import handover
-from minthitch.embedded.tickets import Ticket
+from minthitch.embedded import loop_queue
+from minthitch.embedded.pending import PendingCall
 from minthitch.interface import SECOND, Effect
 from rigs.discovery import entry
 from rigs.servers import OK, PATIENCE, Script, Seen, reply, serve_ok
@@ -251,13 +251,13 @@
     ):
         worker = client._worker
         settled: list[float] = []
-        whole = worker.settled
+        whole = worker.discard
 
-        def noting(ticket: Ticket) -> None:
+        def noting(pending: PendingCall) -> None:
             settled.append(time.monotonic())
-            whole(ticket)
+            whole(pending)
 
-        worker.settled = noting  # type: ignore[method-assign]
+        worker.discard = noting  # type: ignore[method-assign]
         began = time.monotonic()
         calls = [asyncio.ensure_future(client.call("unsafe", headers={"X-Silent": "1"})) for _ in range(3)]
         calls += [asyncio.ensure_future(client.call("safe")) for _ in range(3)]
@@ -334,16 +334,16 @@
 
         inbox.loop.call_soon_threadsafe(stand)
         holding.wait()
-        before = inbox.wakes
+        before = inbox.wake_ups
         calls = [asyncio.ensure_future(lib.client.call("safe")) for _ in range(50)]
         await asyncio.sleep(0)
         await asyncio.sleep(0)
-        assert inbox.wakes == before + 1  # 50 calls, one wake-up
-        mailbox = lib.client._mailbox()
+        assert inbox.wake_ups == before + 1  # 50 calls, one wake-up
+        mailbox = lib.client._result_queue()
         hold.set()
-        answered = mailbox.wakes
+        answered = mailbox.wake_ups
         await asyncio.gather(*calls)
-        assert 1 <= mailbox.wakes - answered <= 50
+        assert 1 <= mailbox.wake_ups - answered <= 50
 
 
 def test_handing_over_costs_one_wake_up_for_a_batch() -> None:
@@ -353,13 +353,13 @@
 async def _answers_in_one_wake() -> None:
     loop = asyncio.get_running_loop()
     taken: list[int] = []
-    mailbox = handover.Handover(loop, taken.append)
+    mailbox = loop_queue.LoopQueue(loop, taken.append)
     thread = threading.Thread(target=lambda: [mailbox.put(i) for i in range(3_000)])
     thread.start()
     thread.join()  # the loop stands still meanwhile
-    assert mailbox.wakes == 1 and not taken
+    assert mailbox.wake_ups == 1 and not taken
     await asyncio.sleep(0)
-    assert len(taken) == handover.MOST_AT_ONCE  # a flood leaves room for the loop's timers
+    assert len(taken) == loop_queue.MAX_BATCH  # a flood leaves room for the loop's timers
     await until(lambda: len(taken) == 3_000)
     assert taken == list(range(3_000))
 
@@ -684,7 +684,7 @@
         assert all(isinstance(a, Served) for answers in theirs for a in answers)  # type: ignore[attr-defined]
         await lib.client.call("safe")
         await asyncio.to_thread(other)
-        assert len(lib.client._mailboxes) <= 2  # those of loops that ended are dropped
+        assert len(lib.client._result_queues) <= 2  # those of loops that ended are dropped
 
 
 def test_one_client_serves_several_loops() -> None:
@@ -833,7 +833,7 @@
         engine, worker = lib.client._worker.engine, lib.client._worker
         assert engine is not None and worker.inbox is not None
         await until(lambda: not engine.requests and not engine.open and not engine.ids and not worker.held)
-        assert not worker.inbox.items and len(lib.client._mailboxes) == 1
+        assert not worker.inbox.items and len(lib.client._result_queues) == 1
 
 
 def test_answered_calls_leave_nothing_behind() -> None:
