--- a/minthitch/embedded/__init__.py
+++ b/minthitch/embedded/__init__.py
@@ -1,4 +1,4 @@
-"""The library: one engine on a loop and thread of its own, called from the host's threads and loops.
+"""The client library: an engine on its own event loop and thread, called from the host's threads and loops.
 
-`Client` and `BlockingClient` are public, by `minthitch`; all else here is private.
+`Client` and `BlockingClient` are public, exported by `minthitch`; everything else here is private.
 """
--- a/minthitch/embedded/client.py
+++ b/minthitch/embedded/client.py
@@ -1,4 +1,4 @@
-"""The public clients: one for hosts with a loop, one for hosts without."""
+"""The public clients: `Client` for asyncio, `BlockingClient` for threads."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from minthitch.interface import Settings
 from minthitch.listing import ListError, static_listing
 
-DEFAULT_CLOSE_WITHIN = 3.4  # seconds in which a close settles all that is held, if nothing else is said
+DEFAULT_CLOSE_WITHIN = 3.4  # seconds in which a close settles all held calls
 RawHeaders = Iterable[tuple[bytes, bytes]]
 
 
@@ -34,7 +34,7 @@
     seed: int | None = None,
     sockets: int = 1024,
 ) -> Config:
-    """A client's configuration from settings and either a static list (`address:port`) or discovery.
+    """A client configuration from settings and either a static server list (`address:port`) or discovery.
 
     Raises ConfigError.
     """
@@ -53,7 +53,7 @@
 
 
 class _BaseClient:
-    """What both clients share: the worker's life, and calls made from arguments."""
+    """What both clients share: the worker's lifecycle, and building calls from arguments."""
 
     def __init__(
         self,
@@ -65,8 +65,8 @@
         """`config`: a Config (`configure`) or the path of an operator file (TOML).
 
         `close_within`: seconds in which a close settles every held call. `settle_on_sigterm`: on SIGTERM
-        settle all first, then do what the process did before; set it from the main thread, and only where
-        nobody else handles the signal. Raises ConfigError.
+        settle held calls, then run the previous signal handler. It needs a start in the main thread, and
+        that nothing else replaces the handler. Raises ConfigError.
         """
         if not 0 < close_within < 3600:
             raise ConfigError(f"close_within = {close_within!r} is not a number of seconds above 0")
@@ -78,17 +78,17 @@
 
     @property
     def held(self) -> int:
-        """Calls that are not settled yet."""
+        """The number of calls that are not settled yet."""
         return len(self._worker.held)
 
     @property
     def started(self) -> bool:
-        """Whether it was started, and perhaps closed since."""
+        """Whether the client was ever started, even if it is closed now."""
         return self._worker.state != "new"
 
     @property
     def ready(self) -> bool:
-        """Whether calls are taken and a list of servers is there."""
+        """Whether the client accepts calls and has a server list."""
         worker = self._worker
         return worker.state == "open" and worker.engine is not None and worker.engine.have_list
 
@@ -129,7 +129,7 @@
 
 
 class Client(_BaseClient):
-    """Balanced calls from asyncio, from any number of loops.
+    """Load-balanced calls for asyncio, usable from any number of loops.
 
         async with Client("minthitch.toml") as client:
             match await client.call("search", "/search?q=lahore"):
@@ -137,7 +137,7 @@
                 case Refused(retry_after=seconds): ...
                 case Failed(): ...
 
-    Each call ends once. A task that is cancelled while it waits counts as a caller that left.
+    Each call has exactly one outcome. Cancelling a task that awaits a call abandons the call.
     """
 
     def __init__(
@@ -152,7 +152,7 @@
         self._result_queues_lock = threading.Lock()
 
     async def start(self) -> None:
-        """Starts the engine. Raises ClientClosed if it was started before."""
+        """Start the engine. Raises ClientClosed if it was started before."""
         self._start()
 
     async def __aenter__(self) -> Self:
@@ -165,12 +165,12 @@
         await self.aclose()
 
     async def aclose(self) -> None:
-        """Settles all that is held within `close_within`, then ends the engine. May be called again."""
+        """Settle all held calls within `close_within`, then stop the engine. May be called more than once."""
         self._worker.begin_close()
         loop, stopped = asyncio.get_running_loop(), asyncio.Event()
 
         def notify() -> None:
-            # Danger: the loop may have ended meanwhile, and the engine's thread must not fail over it.
+            # Danger: the loop may be closed by now, which must not raise in the engine's thread.
             if not loop.is_closed():
                 loop.call_soon_threadsafe(stopped.set)
 
@@ -183,7 +183,9 @@
             queue = self._result_queues.get(loop)
             if queue is None:
                 for ended in [known for known in self._result_queues if known.is_closed()]:
-                    del self._result_queues[ended]  # danger: a host that makes loops would fill the memory
+                    del self._result_queues[
+                        ended
+                    ]  # danger: a host that keeps creating loops would leak memory
                 queue = self._result_queues[loop] = LoopQueue(loop, LoopPendingCall.resolve)
         return queue
 
@@ -202,11 +204,12 @@
         repeat: bool = False,
         identity: str | None = None,
     ) -> Answer:
-        """Sends to the tier; `Served`, `Refused` or `Failed` by `timeout` s or the class's deadline.
+        """Send a request to the tier; the result comes within `timeout` s or the class's deadline.
 
-        `key`: the idempotency key of a keyed class. `tenant`, `session`: whose and about what it is. `cost`:
-        a guess at its work in s. `repeat`: the caller tried before. `identity`: its id, else a new one.
-        Raises BadCall where no server could use it, ClientClosed where the client takes no calls.
+        `key`: the idempotency key, for a keyed class. `tenant`, `session`: the account and the session that
+        the call belongs to. `cost`: its estimated work in s. `repeat`: this is a retry by the caller.
+        `identity`: its id (default: a new one). Raises BadCall for an invalid call, ClientClosed if the
+        client does not accept calls.
         """
         return await self._wait(
             self._call(
@@ -222,7 +225,7 @@
         body: bytes = b"",
         timeout: float | None = None,
     ) -> Answer:
-        """The same from a request's raw parts; its fields name it as at the daemon."""
+        """Like `call`, from a request's raw parts; class, id and key are header fields, as for the daemon."""
         return await self._wait(
             self._call_builder.from_raw(method, target, fields, body, timeout, time.monotonic_ns())
         )
@@ -239,10 +242,10 @@
 
 
 class BlockingClient(_BaseClient):
-    """The same for hosts without a loop, from any number of threads."""
+    """Load-balanced calls for hosts without a loop, usable from any number of threads."""
 
     def start(self) -> None:
-        """Starts the engine. Raises ClientClosed if it was started before."""
+        """Start the engine. Raises ClientClosed if it was started before."""
         self._start()
 
     def __enter__(self) -> Self:
@@ -255,7 +258,7 @@
         self.close()
 
     def close(self) -> None:
-        """Settles all that is held within `close_within`, then ends the engine. May be called again."""
+        """Settle all held calls within `close_within`, then stop the engine. May be called more than once."""
         self._worker.close()
 
     def call(
@@ -273,7 +276,7 @@
         repeat: bool = False,
         identity: str | None = None,
     ) -> Answer:
-        """As `Client.call`. Must not be called from a coroutine: it blocks."""
+        """Like `Client.call`, but blocks. Must not be called from a coroutine."""
         call = self._call(
             service_class, target, body, headers, timeout, key, tenant, session, cost, repeat, identity
         )
@@ -283,7 +286,7 @@
             return refused
         try:
             pending.done.wait()
-        except BaseException:  # KeyboardInterrupt, or what a signal handler raised: nobody waits any more
+        except BaseException:  # KeyboardInterrupt, or raised by a signal handler
             self._worker.abandon(pending)
             raise
         if isinstance(pending.result, BaseException):
--- a/minthitch/embedded/errors.py
+++ b/minthitch/embedded/errors.py
@@ -1,14 +1,14 @@
-"""Errors of the library's use. Outcomes of calls are values, not errors."""
+"""Errors for wrong use of the library. The outcome of a call is a value, not an error."""
 
 from __future__ import annotations
 
 
 class ClientError(Exception):
-    """Base of the library's errors."""
+    """Base class of the library's errors."""
 
 
 class BadCall(ClientError, ValueError):
-    """A call that no server could use; nothing of it was sent. `status` says why in HTTP's terms."""
+    """An invalid call, rejected before anything was sent. `status` is the matching HTTP status."""
 
     def __init__(self, text: str, status: int = 400) -> None:
         super().__init__(text)
@@ -16,4 +16,4 @@
 
 
 class ClientClosed(ClientError, RuntimeError):
-    """The client is not started, closing or closed, or belongs to the process before a fork."""
+    """The client is not started, closing or closed, or was created before a fork of the process."""
--- a/minthitch/embedded/loop_queue.py
+++ b/minthitch/embedded/loop_queue.py
@@ -1,7 +1,7 @@
-"""Between threads: items in batches, one wake-up for each batch, not for each item.
+"""A queue from any thread to an event loop, with one wake-up for each batch of items.
 
-Safe without locks: `deque.append` and `popleft` are atomic, and the flag is lowered before the queue is
-read, so that what comes behind the reading wakes anew. Two producers may both wake; that is harmless.
+Safe without locks: `deque.append` and `popleft` are atomic, and the flag is cleared before the queue is
+read, so an item added after the read wakes the loop again. Two producers may both wake it; that is harmless.
 """
 
 from __future__ import annotations
@@ -12,21 +12,20 @@
 from typing import Generic, TypeVar
 
 T = TypeVar("T")
-MAX_BATCH = 1_000  # items taken in one turn of the loop: a flood must not hold up its timers
+MAX_BATCH = 1_000  # items handled in one loop iteration, so that a flood does not delay the loop's timers
 
 
 class LoopQueue(Generic[T]):
-    """Gives items to `handle`, on the loop."""
+    """Passes items to `handle`, which runs on the loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, handle: Callable[[T], None]) -> None:
         self.loop, self.handle = loop, handle
         self.items: deque[T] = deque()
-        # Danger: if this were cleared after the queue is read, an item put in between would never be handled.
         self.wake_pending = False
         self.wake_ups = 0  # wake-ups so far
 
     def put(self, item: T) -> bool:
-        """From any thread. False when the loop is closed: nobody will handle it."""
+        """Add an item, from any thread. False when the loop is closed and the item will never be handled."""
         self.items.append(item)
         if self.wake_pending:
             return True
@@ -43,9 +42,8 @@
         return True
 
     def _run(self) -> None:
-        self.wake_pending = (
-            False  # danger: lowered behind the reading, an item in between would never be taken
-        )
+        # Danger: if this were cleared after the queue is read, an item added in between would be lost.
+        self.wake_pending = False
         for _ in range(min(len(self.items), MAX_BATCH)):
             self.handle(self.items.popleft())
         if self.items and not self.wake_pending:
--- a/minthitch/embedded/pending.py
+++ b/minthitch/embedded/pending.py
@@ -1,4 +1,4 @@
-"""One call of the host, as the engine's asker: it hears one answer, or the error that turned it away."""
+"""A call that the host waits for. It receives exactly one answer or one error."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 
 class Owner(Protocol):
-    """Who holds the tickets that are not settled."""
+    """Keeps the calls that are not settled yet."""
 
     def discard(self, pending: PendingCall) -> None: ...
 
 
 class PendingCall:
-    """A held call. `answer` and `fail` are called on the engine's thread, once in all."""
+    """A held call. The engine's thread calls either `answer` or `fail`; only the first result counts."""
 
     __slots__ = ("call", "owner", "request", "abandoned", "result")
 
     def __init__(self, call: Call, owner: Owner) -> None:
         self.call, self.owner = call, owner
-        self.request: Request | None = None  # once the engine has taken it
-        self.abandoned = False  # the host waits no more
+        self.request: Request | None = None  # set once the engine has admitted the call
+        self.abandoned = False  # the host no longer waits
         self.result: Result | None = None
 
     def answer(self, call: Call, answer: Answer) -> None:
@@ -36,7 +36,7 @@
         self._settle(error)
 
     def _settle(self, result: Result) -> None:
-        if self.result is not None:  # danger: the host must hear one answer only
+        if self.result is not None:  # danger: the host must get one result only
             return
         self.result = result
         self.owner.discard(self)
@@ -48,7 +48,7 @@
 
 
 class LoopPendingCall(PendingCall):
-    """Waited for by a task of a host's loop."""
+    """Awaited by a task on one of the host's loops."""
 
     __slots__ = ("result_queue", "future")
 
@@ -61,7 +61,7 @@
         self.result_queue.put(self)
 
     def resolve(self) -> None:
-        """On the host's loop."""
+        """Set the future's result. Runs on the host's loop."""
         if self.future.done():
             return
         if isinstance(self.result, BaseException):
@@ -71,7 +71,7 @@
 
 
 class ThreadPendingCall(PendingCall):
-    """Waited for by a thread without a loop."""
+    """Waited for by a blocked thread."""
 
     __slots__ = ("done",)
 
--- a/minthitch/embedded/process_exit.py
+++ b/minthitch/embedded/process_exit.py
@@ -1,4 +1,4 @@
-"""How a host process may end: without closing, by SIGTERM, or after a fork. Held calls are settled first."""
+"""Closes clients at interpreter exit and on SIGTERM, settling held calls; detaches them after a fork."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from minthitch.embedded.errors import ClientClosed
 from minthitch.embedded.worker import Worker
 
-DELIVERY_GRACE_S = 0.2  # seconds between the last answer and the end, in which the host's tasks run on
+DELIVERY_GRACE_S = 0.2  # after the last answer, for the host's tasks to receive it before the process ends
 _open_workers: weakref.WeakSet[Worker] = weakref.WeakSet()
-# Danger: ending a copied loop would undo the parent's epoll set, so that a child keeps what it copied.
+# Danger: destroying a loop copied by fork would change the parent's epoll set, so the child keeps references.
 _kept_after_fork: list[object] = []
 _sigterm_workers: list[Worker] = []
 _previous_handler: Any = None
-_sigterm_state = ""  # of SIGTERM: "" not handled, "armed", "settling", "settled"
+_sigterm_state = ""  # "" (no handler installed), "armed", "settling" or "settled"
 
 
 def register(worker: Worker) -> None:
-    """Closes it at the interpreter's end, if nobody did."""
+    """Close the worker at interpreter exit unless the host did so."""
     _open_workers.add(worker)
 
 
@@ -35,7 +35,7 @@
 
 
 def _close_concurrently(workers: list[Worker]) -> None:
-    """All at once, so that the bounds do not add up; then the host's tasks and threads hear."""
+    """Close all at once, so their time limits do not add up; then let the host's tasks get their answers."""
     held = sum(len(worker.held) for worker in workers)
     for worker in workers:
         worker.begin_close()
@@ -48,7 +48,7 @@
 def _after_fork() -> None:
     for worker in _open_workers:
         _kept_after_fork.append((worker, worker.engine, worker.inbox))
-        worker.lock = threading.RLock()  # the thread that held it may not be here
+        worker.lock = threading.RLock()  # the thread that held it may not exist in the child
     _open_workers.clear()
 
 
@@ -56,9 +56,10 @@
 
 
 def settle_on_sigterm(worker: Worker) -> None:
-    """On SIGTERM all such workers settle what they hold; then what was set before takes its course.
+    """On SIGTERM, settle the held calls of all such workers, then run the handler that was installed before.
 
-    Raises ClientClosed when not called from the main thread.
+    Raises:
+        ClientClosed: not called from the main thread.
     """
     global _previous_handler, _sigterm_state
     if threading.current_thread() is not threading.main_thread():
@@ -70,7 +71,7 @@
 
 
 def _on_sigterm(number: int, frame: FrameType | None) -> None:
-    """In the main thread. A second signal does not wait."""
+    """Runs in the main thread. A second signal does not wait for held calls."""
     global _sigterm_state
     workers = [
         worker for worker in _sigterm_workers if worker.pid == os.getpid() and worker.state != "closed"
@@ -86,7 +87,7 @@
 
 
 def _settle_and_resend(workers: list[Worker]) -> None:
-    """Danger: in the handler itself the host's loop would stand still, and its tasks would never hear."""
+    """Danger: in the handler itself this would block the host's loop, and its tasks would get no answer."""
     _close_concurrently(workers)
     os.kill(os.getpid(), signal.SIGTERM)
 
--- a/minthitch/embedded/requests.py
+++ b/minthitch/embedded/requests.py
@@ -1,4 +1,4 @@
-"""A host's call to the engine's values. No I/O; the current time is an argument."""
+"""Validates the host's calls and converts them to engine calls. No I/O; the current time is an argument."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from minthitch.engine.fields import key as session_key
 
 MAX_SECONDS = 1e6
-MAX_HEADER_BYTES = 32 * 1024  # bytes of a request in front of its body, as at the daemon
+MAX_HEADER_BYTES = 32 * 1024  # of all header fields of a request, as in the daemon
 TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
 VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]*")
 TARGET = re.compile(rb"/[\x21-\x7e]*")
@@ -37,7 +37,7 @@
 
 
 def raw_headers(headers: Headers) -> list[tuple[bytes, bytes]]:
-    """Headers as bytes. Raises BadCall."""
+    """Encode headers as bytes. Raises BadCall."""
     pairs = headers.items() if isinstance(headers, Mapping) else headers
     try:
         return [(name.encode("ascii"), value.encode("latin-1")) for name, value in pairs]
@@ -45,7 +45,7 @@
         raise BadCall(f"headers: {err}") from None
 
 
-_PREFIX = [""]  # of identities; new in each process, or a fork would give the same ones again
+_PREFIX = [""]  # of identities; renewed after a fork, which would otherwise repeat the parent's
 _numbers = itertools.count(1)
 
 
@@ -58,14 +58,17 @@
 
 
 def new_identity() -> str:
-    """An id that no other call has: 64 random bits of this process, and a number."""
+    """A unique call id: 64 random bits for this process, and a sequence number."""
     return f"{_PREFIX[0]}{next(_numbers):x}"
 
 
 def with_service_class(
     fields: Iterable[tuple[bytes, bytes]], service_class: str
 ) -> list[tuple[bytes, bytes]]:
-    """A foreign request's fields as a call of this class; danger: it must not choose its class by itself."""
+    """The header fields of an incoming request, with the given service class.
+
+    Danger: a caller's own X-Service-Class is dropped, as a caller must not choose its class.
+    """
     kept = [(name, value) for name, value in fields if name.lower() not in REPLACED_FIELDS]
     kept.append((b"X-Service-Class", service_class.encode()))
     if not any(name.lower() == b"x-correlation-id" for name, _ in kept):
@@ -74,12 +77,12 @@
 
 
 def retry_after_seconds(answer: Refused) -> bytes:
-    """Retry-After as HTTP has it."""
+    """The Retry-After value, rounded up to whole seconds as HTTP requires."""
     return b"%d" % math.ceil(answer.retry_after)
 
 
 class CallBuilder:
-    """Makes calls by the settings of one client."""
+    """Builds calls according to the settings of one client."""
 
     def __init__(self, settings: api.Settings, authority: str) -> None:
         self.settings, self.reader = settings, Reader(settings)
@@ -102,7 +105,7 @@
         identity: str | None,
         now: int,
     ) -> Call:
-        """A call from plain arguments, made at `heard` (monotonic ns). Raises BadCall."""
+        """A call from plain arguments, received at `now` (monotonic ns). Raises BadCall."""
         if (cls := self.class_indexes.get(service_class)) is None:
             raise BadCall(f"unknown class {service_class!r}; known are {', '.join(self.class_indexes)}")
         effect = self.settings.classes[cls].effect
@@ -149,7 +152,7 @@
             raise BadCall(f"timeout {timeout!r} is not a number of seconds above 0")
         if len(body) > MOST_BODY:
             raise BadCall(f"the body holds {len(body)} bytes, over {MOST_BODY}", 413)
-        if not TARGET.fullmatch(target):  # danger: a space or line end would begin another request
+        if not TARGET.fullmatch(target):  # danger: a space or line end would allow request smuggling
             raise BadCall(f"bad target {target[:60]!r}")
 
     def from_raw(
@@ -161,7 +164,7 @@
         timeout: float | None,
         now: int,
     ) -> Call:
-        """A call that the engine can take, made at `heard` (monotonic ns). Raises BadCall."""
+        """A call from the raw parts of a request, received at `now` (monotonic ns). Raises BadCall."""
         self._check(target, body, timeout)
         table, head = self._headers(fields)
         if timeout is not None:
--- a/minthitch/embedded/worker.py
+++ b/minthitch/embedded/worker.py
@@ -1,6 +1,6 @@
-"""The engine on a loop of its own in a thread of its own: whatever the host does, its timers run.
+"""Runs the engine on its own event loop and thread, so its timers run even while the host blocks.
 
-States: new, open, closing, closed; each is entered once. What a host's thread may touch is under the lock.
+States: new, open, closing, closed; each is entered once. The lock guards what the host's threads share.
 """
 
 from __future__ import annotations
@@ -25,26 +25,28 @@
 from minthitch.net.discovery import Discovery
 from minthitch.net.servers import Pool
 
-START_TIMEOUT_S = 10.0  # seconds for the thread to be up
-JOIN_MARGIN_S = 2.0  # seconds beyond the bound after which the thread is not waited for any more
-DEFAULT_MAX_HELD = 1_000  # calls held at once where the settings state no max_open
-RESERVED_DESCRIPTORS = 16  # descriptors for the loop and discovery
+START_TIMEOUT_S = 10.0  # for the thread to start
+JOIN_MARGIN_S = 2.0  # added to close_within; after that, close stops waiting for the thread
+DEFAULT_MAX_HELD = 1_000  # calls held at once where the settings have no max_open
+RESERVED_DESCRIPTORS = 16  # for the event loop and discovery
 logger = logging.getLogger("minthitch")
 
 
 class Worker:
-    """One engine in one thread, and the calls that are held by it."""
+    """An engine, its thread, and the calls that are not settled yet."""
 
     def __init__(self, config: Config, close_within: float) -> None:
         self.config, self.settings = config, config.settings
-        self.close_within = close_within  # seconds in which a close settles all
+        self.close_within = close_within  # seconds in which a close settles all held calls
         self.max_held = config.settings.max_open or DEFAULT_MAX_HELD
         self.random = random.Random(config.seed ^ 3)
         self.lock = threading.RLock()  # re-entered by a signal handler of the same thread
         self.state = "new"
         self.pid = os.getpid()
         self.held: set[PendingCall] = set()
-        self.failure: BaseException | None = None  # what ended the thread, if it was not a close
+        self.failure: BaseException | None = (
+            None  # the error that ended the thread; None after a normal close
+        )
         self.started, self.stopped = threading.Event(), threading.Event()
         self.stop_callbacks: list[Callable[[], None]] = []
         self.thread = threading.Thread(target=self._run, name=f"minthitch-{config.name}", daemon=True)
@@ -55,20 +57,22 @@
     # On the host's threads ----------------------------------------------------------------------
 
     def start(self) -> None:
-        """Raises ClientClosed if it was started before, or can't be."""
+        """Start the engine's thread. Raises ClientClosed if it was started before or fails to start."""
         with self.lock:
             if self.state != "new":
-                raise ClientClosed(f"the client is {self.state}: a client is started once; make another")
+                raise ClientClosed(f"the client is {self.state}: a client is started once; create a new one")
             self.state = "open"
         self.thread.start()
         if not self.started.wait(START_TIMEOUT_S):
-            raise ClientClosed("the engine's thread did not come up")
+            raise ClientClosed("the engine's thread did not start in time")
         if self.failure is not None:
             raise ClientClosed(f"the engine did not start: {self.failure}")
 
     def check_open(self) -> None:
-        """Raises ClientClosed where calls can't be taken."""
-        if self.pid != os.getpid():  # danger: the thread is not in this process, and nothing would answer
+        """Raises ClientClosed unless the client accepts calls."""
+        if (
+            self.pid != os.getpid()
+        ):  # danger: fork does not copy the engine's thread, so no call would be answered
             raise ClientClosed(
                 f"the client belongs to process {self.pid}, before the fork: make one after the fork"
             )
@@ -79,7 +83,7 @@
             )
 
     def submit(self, pending: PendingCall) -> Refused | None:
-        """Hands a call over; an answer at once where too many are held. Raises ClientClosed."""
+        """Pass a call to the engine; returns Refused at once if too many are held. Raises ClientClosed."""
         with self.lock:
             self.check_open()
             assert self.inbox is not None
@@ -91,13 +95,13 @@
         return None
 
     def abandon(self, pending: PendingCall) -> None:
-        """The host waits for it no more."""
+        """The host no longer waits for the call."""
         pending.abandoned = True
         if self.inbox is not None and self.pid == os.getpid():
             self.inbox.put(lambda: self._abandon(pending))
 
     def begin_close(self) -> None:
-        """Turns away all that comes from now on; what is held is settled within `close_within`."""
+        """Reject new calls from now on; held calls are settled within `close_within`."""
         with self.lock:
             if self.state == "new":
                 self.state = "closed"
@@ -108,7 +112,7 @@
                 self.inbox.put(self._drain)
 
     def call_when_stopped(self, call: Callable[[], None]) -> None:
-        """Calls, perhaps on the engine's thread, once all is settled."""
+        """Run `call` once all calls are settled; perhaps on the engine's thread."""
         with self.lock:
             if not self.stopped.is_set():
                 self.stop_callbacks.append(call)
@@ -116,7 +120,7 @@
         call()
 
     def close(self) -> None:
-        """Closes and waits. Bounded by `close_within` and a little more."""
+        """Close and wait, at most `close_within` plus JOIN_MARGIN_S seconds."""
         self.begin_close()
         if self.pid == os.getpid() and threading.current_thread() is not self.thread:
             self.stopped.wait(self.close_within + JOIN_MARGIN_S)
@@ -127,7 +131,7 @@
         try:
             with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
                 runner.run(self._main())
-        except BaseException as err:  # danger: callers would wait for ever for a thread that is no more
+        except BaseException as err:  # danger: callers would wait for ever for a thread that has ended
             self.failure = err
             logger.exception("%s: the engine ended", self.config.name)
         finally:
@@ -160,7 +164,7 @@
         source = engine.source = self._source(engine)
         recording = None
         if config.record is not None:
-            from minthitch.record.attach import Recording  # not loaded where it is off
+            from minthitch.record.attach import Recording  # loaded only if recording is on
 
             recording = Recording(engine, config.record, config.name, log)
         listener = None
@@ -203,8 +207,8 @@
             else:
                 pending.fail(BadCall(str(err), err.status))
             return
-        except Exception as err:  # danger: a fault of ours must not leave the call unanswered
-            self.engine.log_error("a call was not taken", err)
+        except Exception as err:  # danger: a bug in the engine must not leave the call unanswered
+            self.engine.log_error("admitting a call failed", err)
             pending.answer(pending.call, Failed(f"{type(err).__name__}: {err}"))
             return
         pending.request = request
--- a/minthitch/httpx_transport.py
+++ b/minthitch/httpx_transport.py
@@ -1,6 +1,7 @@
 """A transport for httpx: `httpx.AsyncClient(transport=BalancedTransport(client, "search"))`.
 
-Needs the extra `httpx`. Refused and failed are answers 503 and 502, as from the daemon; nothing is resent.
+Needs the extra `httpx`. Refused and failed calls become responses 503 and 502, as from the daemon; the
+transport resends nothing.
 """
 
 from __future__ import annotations
@@ -18,10 +19,10 @@
 
 
 class BalancedTransport(httpx.AsyncBaseTransport):
-    """Requests of an httpx client, balanced. The request's host says nothing: the client's servers take it.
+    """Sends the requests of an httpx client through `client`; the host in the URL does not choose the server.
 
-    `service_class`: of each request, or by method. A single request's class may be named by
-    `extensions={"service_class": NAME}`. httpx's read time-out is the call's. The client is started and
+    `service_class`: the class of all requests, or one for each method. `extensions={"service_class": NAME}`
+    sets it for one request. httpx's read timeout is the timeout of the call. The client is started and
     closed with the transport unless it was started before.
     """
 
@@ -66,7 +67,7 @@
         return self.service_class[request.method]
 
     async def handle_async_request(self, request: httpx.Request) -> httpx.Response:
-        """Raises httpx.LocalProtocolError for a call that no server could use, ConnectError when closed."""
+        """Raises httpx.LocalProtocolError for an invalid call, ConnectError when the client is closed."""
         await self._start()
         fields = with_service_class(request.headers.raw, self._class(request))
         timeout = request.extensions.get("timeout", {}).get("read")
