--- a/minthitch/asgi.py
+++ b/minthitch/asgi.py
@@ -210,7 +210,7 @@
 
 
 class _Lifespan:
-    """Runs the app's lifespan within the clients'; without lifespan support in the app, the clients' alone."""
+    """Runs the app's lifespan within the clients'; an app without lifespan support has the clients' alone."""
 
     def __init__(self, owner: BalancedRoutes, scope: Scope, receive: Receive, send: Send) -> None:
         self.owner, self.scope, self.receive, self.send = owner, scope, receive, send
--- a/minthitch/cli/__init__.py
+++ b/minthitch/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line beside the platform's plain start: `serve`, `check` and `demo`."""
+"""The commands of `python -m minthitch COMMAND`; without a command the platform's plain start runs."""
--- a/minthitch/cli/ask.py
+++ b/minthitch/cli/ask.py
@@ -1,4 +1,4 @@
-"""One call at the `Ctl` address of a running control node or sidecar, and the same call at several."""
+"""HTTP calls to the `Ctl` address of one or more running control nodes and sidecars."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 from minthitch.config import ConfigError
 from minthitch.mesh.configuration import settings
 
-TIMEOUT_S = 5.0  # for a running process to answer
-MAX_CONCURRENT = 16  # processes asked at the same time
+TIMEOUT_S = 5.0  # for an answer of a running process
+MAX_CONCURRENT = 16  # processes called at the same time
 
 
 class NoAnswerError(ConfigError):
-    """No answer, or none in HTTP: whether a call that changes something took effect is unknown."""
+    """No valid HTTP answer: it is unknown whether a call that changes something took effect."""
 
 
 class Answer(NamedTuple):
-    """An answer; `retry_after` is in seconds, 0 without one."""
+    """An answer; `retry_after` is in seconds, 0 if the answer has none."""
 
     status: int
     body: bytes
     retry_after: float
 
     def error(self) -> str:
-        """Its status and the error that its body states."""
+        """The status, and the error text in the body."""
         try:
             table = json.decode(self.body)
         except DecodeError:
@@ -42,7 +42,7 @@
     """Send one call.
 
     Raises:
-        ConfigError: the address is none.
+        ConfigError: the address is invalid.
         NoAnswerError: no answer came.
     """
     try:
@@ -62,10 +62,10 @@
 
 
 def table(address: str, path: str) -> dict[str, Any]:
-    """The JSON object at a path.
+    """Fetch the JSON object at a path.
 
     Raises:
-        ConfigError: there is none.
+        ConfigError: no answer, or one that is not a JSON object.
     """
     answer = ask(address, "GET", path)
     if answer.status != HTTPStatus.OK:
@@ -73,14 +73,14 @@
     try:
         found = json.decode(answer.body)
     except DecodeError as err:
-        raise ConfigError(f"{address}: no JSON: {err}") from None
+        raise ConfigError(f"{address}: not JSON: {err}") from None
     if not isinstance(found, dict):
-        raise ConfigError(f"{address}: no JSON object")
+        raise ConfigError(f"{address}: not a JSON object")
     return found
 
 
 def tables(addresses: Sequence[str], path: str) -> tuple[dict[str, dict[str, Any]], list[str]]:
-    """The objects by address, in the order given, and a line for each address without an answer."""
+    """Fetch the object from each address; returns them in the given order, and a line for each error."""
 
     def one(address: str) -> dict[str, Any] | ConfigError:
         try:
--- a/minthitch/cli/catalogue.py
+++ b/minthitch/cli/catalogue.py
@@ -6,11 +6,11 @@
 from typing import NamedTuple
 
 FILE = Path(__file__).parents[2] / "docs" / "events.md"
-CELLS = 5  # of a row
+CELLS = 5  # in a row
 
 
 class Entry(NamedTuple):
-    """One row; `says` is the line's text with its values' names in braces."""
+    """One event; `says` is the text of the log line, with the names of its values in braces."""
 
     number: int
     level: str
@@ -19,14 +19,14 @@
     what_to_do: str
 
     def shown(self) -> str:
-        """The entry as text for people."""
+        """The entry as readable text."""
         return (
             f"E{self.number} {self.level}: {self.says}\n  when: {self.when}\n  what to do: {self.what_to_do}"
         )
 
 
 def read(text: str) -> list[Entry]:
-    """The entries, in the page's order.
+    """Parse the page; the entries are in its order.
 
     Raises:
         ValueError: a row can't be read.
--- a/minthitch/cli/change.py
+++ b/minthitch/cli/change.py
@@ -1,4 +1,4 @@
-"""Configuration files for the control nodes: checked offline, compared, sent, fetched."""
+"""Checks, compares, sends and fetches configuration files for the control nodes."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from minthitch.mesh.configuration.items import Items, Verdict
 from minthitch.mesh.configuration.schema import ROUTES, SERVICES
 
-COMMITTED, REJECTED, UNCLEAR = 0, 1, 3  # exit codes of a change
-MIN_RETRY_DELAY_S = 0.25  # before a change is sent again, unless its answer names more
+COMMITTED, REJECTED, UNCLEAR = 0, 1, 3  # exit codes of `mesh patch`
+MIN_RETRY_DELAY_S = 0.25  # before a change is sent again, unless Retry-After is longer
 PATH_PATTERN = re.compile(r"(?P<why>.*) - at `\$\.?(?P<key>.*)`$")
 KEY_PATTERN = re.compile(r"(?P<key>[A-Z]\w*): (?P<why>.*)$")
 Item = dict[str, Any]
 
 
 class ItemChange(NamedTuple):
-    """One item of a file; `deletes`: the file deletes it."""
+    """An item that a configuration file changes, or deletes if `deletes` is set."""
 
     section: str
     name: str
@@ -35,11 +35,11 @@
 
     @property
     def label(self) -> str:
-        """How it is shown: section and name, with a minus where it is deleted."""
+        """Section and name, with a minus in front of a deleted item."""
         return f"{'-' if self.deletes else ''}{self.section} {self.name}".rstrip()
 
     def call(self) -> Item:
-        """A call with this item alone."""
+        """A Config.Patch body with this item alone."""
         return {
             "Del" if self.deletes else "Upsert": {
                 self.section: [self.item] if self.is_list_item else self.item
@@ -48,10 +48,10 @@
 
 
 def read(path: Path) -> bytes:
-    """A file's bytes.
+    """Read a configuration file.
 
     Raises:
-        ConfigError: it can't be read, or is no call.
+        ConfigError: it can't be read, or is not a body of Config.Patch.
     """
     try:
         body = path.read_bytes()
@@ -64,7 +64,7 @@
 
 
 def item_changes(body: bytes) -> list[ItemChange]:
-    """The items of a call; anything else is left to the checks."""
+    """The items of a call; malformed parts are skipped, as the checks report them."""
     call = json.decode(body)
     found = []
     for key, deletes in (("Upsert", False), ("Del", True)):
@@ -77,7 +77,7 @@
 
 
 def problems(body: bytes) -> list[str]:
-    """A line with key and value for each error that the control nodes would find in any state."""
+    """A line with key and value for each error that does not depend on the control nodes' state."""
     found = item_changes(body)
     lines = [line for change in found if (line := _problem(change))]
     if lines:
@@ -87,7 +87,7 @@
 
 
 def _judge(body: bytes, changes: list[ItemChange]) -> Verdict:
-    """The verdict if the services that its routes name, and it does not bring, existed."""
+    """The verdict, assuming that services which are named in routes but missing in the call exist."""
     own = {change.name for change in changes if change.section == SERVICES}
     named = {
         name
@@ -126,15 +126,15 @@
 
 
 def fetch_with_index(address: str) -> tuple[int, bytes]:
-    """The index and the configuration as the leader knows it, as a call.
+    """Fetch the leader's configuration: its index, and its items as a body of Config.Patch.
 
     Raises:
-        ConfigError: no control node gave them.
+        ConfigError: no valid answer.
     """
     answer = ask(address, "GET", "/Mesh.Config")
     if answer.status == HTTPStatus.SERVICE_UNAVAILABLE:
         raise ConfigError(
-            f"{address}: the control nodes can't agree now what stands: ask again, or another control node"
+            f"{address}: the control nodes can't confirm the configuration now: ask again, or another one"
         )
     if answer.status != HTTPStatus.OK:
         raise ConfigError(f"{address}: answered {answer.error()}; is it a control node?")
@@ -142,14 +142,14 @@
         index = json.decode(answer.body)["Index"]
         verdict = Items().validate(answer.body)
     except (DecodeError, KeyError, TypeError) as err:
-        raise ConfigError(f"{address}: no configuration: {err}") from None
+        raise ConfigError(f"{address}: invalid configuration: {err}") from None
     if not verdict.ok or not isinstance(index, int):
-        raise ConfigError(f"{address}: no configuration: {verdict.reason}")
+        raise ConfigError(f"{address}: invalid configuration: {verdict.reason}")
     return index, answer.body
 
 
 def write_atomically(path: Path, body: bytes) -> None:
-    """Write a file completely or not at all: the earlier one stays until the new one is on the disk."""
+    """Replace a file atomically: the old file stays until the new one is on disk."""
     try:
         handle, name = tempfile.mkstemp(dir=path.parent, prefix=f".{path.name}.")
         try:
@@ -163,7 +163,7 @@
             raise
         folder = os.open(path.parent, os.O_RDONLY)
         try:
-            os.fsync(folder)  # otherwise the new name may be lost with the power
+            os.fsync(folder)  # otherwise a power loss may undo the rename
         finally:
             os.close(folder)
     except OSError as err:
@@ -171,7 +171,7 @@
 
 
 def differences(body: bytes, present_call: bytes) -> list[str]:
-    """A line for each item with which the call would change the present state, or be rejected."""
+    """A line for each item that the call would change, and one if the call would be rejected."""
     items = Items()
     items.apply(present_call, 1)
     present = {(change.section, change.name): change.item for change in item_changes(present_call)}
@@ -216,7 +216,7 @@
 
 
 def verdict(answer: Answer | NoAnswerError) -> tuple[int, str]:
-    """Exit code and line for the outcome of a change."""
+    """The exit code and the message for the outcome of a change."""
     if isinstance(answer, NoAnswerError) or answer.status == HTTPStatus.SERVICE_UNAVAILABLE:
         why = str(answer) if isinstance(answer, NoAnswerError) else answer.error()
         return UNCLEAR, (
@@ -228,5 +228,5 @@
 
 
 def retry_delay(answer: Answer | NoAnswerError) -> float:
-    """Seconds to wait before it is sent again."""
+    """Seconds to wait before the change is sent again."""
     return max(answer.retry_after, MIN_RETRY_DELAY_S) if isinstance(answer, Answer) else MIN_RETRY_DELAY_S
--- a/minthitch/cli/commands.py
+++ b/minthitch/cli/commands.py
@@ -1,4 +1,4 @@
-"""`python -m minthitch COMMAND`. Arguments are read here; each command's work is elsewhere."""
+"""`python -m minthitch COMMAND`. Defines the arguments; other modules do the work."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from minthitch.listing import ListError, parse_address, static_listing
 from minthitch.program import complain, run
 
-MESH = "mesh"  # its arguments are read by another library, in `minthitch.cli.mesh`
+MESH = "mesh"  # `minthitch.cli.mesh` parses its arguments, with another library
 MIN_SOCKETS = 64
 MAX_DEMO_SECONDS = 600
 
@@ -25,28 +25,32 @@
     """The arguments of all commands but `mesh`."""
     top = argparse.ArgumentParser(
         prog="python -m minthitch",
-        description="A load-balancing node. Without a command it is told what it is by BALANCER_CONFIG.",
+        description="A load-balancing node. Without a command, BALANCER_CONFIG names its configuration.",
     )
     commands = top.add_subparsers(dest="command", required=True)
-    serve = commands.add_parser("serve", help="run a node by an operator file and flags")
-    serve.add_argument("config", nargs="?", help="operator file (.toml), or the platform's JSON")
-    serve.add_argument("--listen", metavar="ADDRESS:PORT", help="where callers connect")
+    serve = commands.add_parser("serve", help="run a node from an operator file and flags")
+    serve.add_argument("config", nargs="?", help="operator file (.toml) or platform configuration (.json)")
+    serve.add_argument("--listen", metavar="ADDRESS:PORT", help="address to accept clients at")
     serve.add_argument(
         "--server",
         metavar="ADDRESS:PORT",
         action="append",
         default=[],
-        help="a server; several make a static list that needs no discovery",
+        help="a server; repeat it for a static list, which needs no discovery",
     )
-    serve.add_argument("--discovery", metavar="ADDRESS:PORT", help="where the list of servers comes from")
-    serve.add_argument("--name", help="in front of each log line")
-    serve.add_argument("--sockets", type=int, metavar="N", help="descriptors, 64 to 1024")
-    check = commands.add_parser("check", help="judge a configuration: exit code 0, or 2 with key and value")
-    check.add_argument("config", help="operator file (.toml), or the platform's JSON")
-    demo = commands.add_parser("demo", help="stand-in servers, discovery, a node and traffic on loopback")
-    demo.add_argument("--seconds", type=float, default=20.0, help="how long (1 to 600; 20)")
-    demo.add_argument("--plain", action="store_true", help="lines instead of a live table")
-    commands.add_parser("traced", help="the platform's start, with each event and action in the log")
+    serve.add_argument(
+        "--discovery", metavar="ADDRESS:PORT", help="service that provides the list of servers"
+    )
+    serve.add_argument("--name", help="the node's name, printed before each log line")
+    serve.add_argument("--sockets", type=int, metavar="N", help="most file descriptors used, 64 to 1024")
+    check = commands.add_parser(
+        "check", help="check a configuration: exit code 0, or 2 with the invalid key and value"
+    )
+    check.add_argument("config", help="operator file (.toml) or platform configuration (.json)")
+    demo = commands.add_parser("demo", help="run test servers, discovery, a node and traffic on loopback")
+    demo.add_argument("--seconds", type=float, default=20.0, help="duration (1 to 600; default 20)")
+    demo.add_argument("--plain", action="store_true", help="print lines instead of a live table")
+    commands.add_parser("traced", help="start as the platform does, and log each event and action")
     record.add_to(commands)
     lab.add_to(commands)
     fleet.add_to(commands)
@@ -56,7 +60,7 @@
 
 
 def read(path: str) -> Config:
-    """A configuration by its file's ending. Raises ConfigError."""
+    """Read a configuration; the file suffix tells its format. Raises ConfigError."""
     if Path(path).suffix == ".json":
         table = platform.load_object(path)
         config = platform.from_table(table, os.environ)
@@ -70,10 +74,12 @@
     return operatorfile.read(path)
 
 
-def _flags(args: argparse.Namespace) -> Config:
-    """The file's configuration with the flags on top. Raises ConfigError."""
+def _config_from_flags(args: argparse.Namespace) -> Config:
+    """The file's configuration, overridden by the flags. Raises ConfigError."""
     if args.config is None:
-        raise ConfigError("serve needs a configuration: its classes say what may run again")
+        raise ConfigError(
+            "serve needs a configuration: its classes state which requests may run more than once"
+        )
     config = read(args.config)
     if args.server and args.discovery:
         raise ConfigError("--server and --discovery: either one or the other")
@@ -97,7 +103,7 @@
 
 
 def _describe(config: Config) -> str:
-    """What a configuration comes to, as JSON on one line."""
+    """Summarise a configuration as one line of JSON."""
     servers = [f"{host.address}:{host.port}" for host in config.known.hosts]
     return json.dumps(
         {
@@ -113,7 +119,7 @@
 
 def _mesh(argv: Sequence[str]) -> int:
     try:
-        from minthitch.cli import mesh  # its library must not be loaded by nodes and daemons
+        from minthitch.cli import mesh  # nodes and daemons must not load its library
 
         return mesh.main(argv)
     except ModuleNotFoundError as err:
@@ -126,7 +132,7 @@
     """Run one command.
 
     Returns:
-        Its exit code, 2 for a configuration that can't be used.
+        Its exit code; 2 for an invalid configuration.
     """
     if argv[:1] == [MESH]:
         return _mesh(argv[1:])
@@ -150,13 +156,13 @@
 
 
 def _serve(args: argparse.Namespace) -> int:
-    return run(_flags(args), lambda: _flags(args))
+    return run(_config_from_flags(args), lambda: _config_from_flags(args))
 
 
 def _demo(args: argparse.Namespace) -> int:
     if not 1 <= args.seconds <= MAX_DEMO_SECONDS:
         raise ConfigError(f"--seconds {args.seconds} is not from 1 to {MAX_DEMO_SECONDS}")
-    from minthitch.cli import demo  # needs the repository's stand-ins
+    from minthitch.cli import demo  # needs the repository's test servers
 
     return demo.main(args.seconds, args.plain)
 
--- a/minthitch/cli/folder.py
+++ b/minthitch/cli/data_folder.py
@@ -1,4 +1,4 @@
-"""A stopped control node's data folder, read without being changed: what is in it, and what its log does."""
+"""Reads the data folder of a stopped control node, without changing it: its condition, state and log."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
 from minthitch.mesh.storage.records import Header
 from minthitch.mesh.storage.store import FILE_NAME, Condition, Store
 
-MIN_MAP_BYTES = 16 * 1024 * 1024  # bytes
+MIN_MAP_BYTES = 16 * 1024 * 1024
 MEANINGS = {
-    Condition.EMPTY: "nothing was ever written: a start takes it for a new disk",
-    Condition.TORN: "something acknowledged may be missing: a start gives it up and rejoins under a new name",
-    Condition.FOREIGN: "no file of a control node: a start moves it aside",
-    Condition.NEWER: "written by a later version: this one leaves it alone and does not start",
+    Condition.EMPTY: "nothing was ever written: a start treats it as a new disk",
+    Condition.TORN: "acknowledged data may be missing: a start abandons it and rejoins under a new name",
+    Condition.FOREIGN: "not a control node's file: a start moves it aside",
+    Condition.NEWER: "written by a later version: this version leaves it unchanged and does not start",
 }
 
 
 class FolderContent:
-    """What is in a folder. `saved` is None unless it is whole and something was decided."""
+    """The content of a folder. `saved` is None unless the folder is intact and has persisted state."""
 
     def __init__(self, condition: Condition, header: Header, saved: PersistedState | None) -> None:
         self.condition, self.header, self.saved = condition, header, saved
@@ -47,12 +47,12 @@
 
     @property
     def members(self) -> tuple[str, ...]:
-        """The voters by the log's last word on them."""
+        """The voters in the log's last membership entry, else in the header."""
         tables = [entry for entry in self.entries if entry.kind == MEMBERS]
         return tuple(msgpack.unpackb(tables[-1].data)) if tables else self.header.voters
 
     def description(self) -> str:
-        """In one line."""
+        """Condition and content in one line."""
         if self.condition is not Condition.INTACT:
             return f"{self.condition.value}: {MEANINGS[self.condition]}"
         header = self.header
@@ -66,7 +66,7 @@
 
 @contextmanager
 def _copied(folder: Path) -> Iterator[str]:
-    """Danger: opening a store retires a torn meta page; a copy is opened, so the folder stays as it is."""
+    """Copy the folder. Danger: opening a store retires a torn meta page, which would change the original."""
     if not folder.is_dir():
         raise ConfigError(f"{folder}: not a folder")
     with tempfile.TemporaryDirectory(prefix="minthitch-") as copy:
@@ -76,7 +76,7 @@
 
 
 def inspect(folder: Path) -> FolderContent:
-    """Raises ConfigError where the folder can't be read."""
+    """Read a folder. Raises ConfigError if it can't be read."""
     try:
         with _copied(folder) as copy:
             file = Path(copy, FILE_NAME)
@@ -90,7 +90,7 @@
 
 
 def intact_folder(folder: Path) -> FolderContent:
-    """Raises ConfigError where the folder is not whole: what it holds must not be taken for the truth."""
+    """Read a folder. Raises ConfigError unless it is intact, as its content can't be trusted otherwise."""
     found = inspect(folder)
     if found.condition is not Condition.INTACT:
         raise ConfigError(f"{folder}: {found.description()}")
@@ -98,7 +98,7 @@
 
 
 def snapshot_state(found: FolderContent) -> StateMachine:
-    """What is agreed as of the image, before the entries."""
+    """The state at the snapshot, before the log entries."""
     state = StateMachine()
     if found.saved is not None:
         state.restore(found.saved.snapshot.data)
@@ -106,7 +106,7 @@
 
 
 def replayed_state(found: FolderContent) -> StateMachine:
-    """What the log comes to at its end; its last entries may not be agreed yet."""
+    """The state after the whole log; its last entries may not be committed yet."""
     state = snapshot_state(found)
     for entry in found.entries:
         if entry.kind == DATA:
@@ -115,7 +115,7 @@
 
 
 def log_lines(found: FolderContent, first: int) -> Iterator[str]:
-    """A line for each entry from `first` on: index, term, kind, what it does."""
+    """A line for each entry from index `first` on: index, term, kind, effect."""
     state = snapshot_state(found)
     if found.header.snapshot_index >= max(first, 1):
         claims = state.claims.count()
@@ -155,7 +155,7 @@
 
 
 def _items(body: bytes) -> str:
-    """The items a call brings, with their versions; one that is dropped has a minus in front."""
+    """The items that a call changes, with their versions; a deleted one has a minus in front."""
     try:
         call = json.decode(body)
     except DecodeError as err:
--- a/minthitch/cli/demo.py
+++ b/minthitch/cli/demo.py
@@ -1,6 +1,6 @@
-"""`demo`: a node on loopback between stand-in servers that misbehave and clients that ask.
+"""`demo`: a node on loopback between test servers that misbehave and clients that send requests.
 
-The stand-ins are the repository's `rigs`; the node is a process of its own, started as the platform does.
+The test servers are from the repository's `rigs`; the node is a separate process, started as on the platform.
 """
 
 from __future__ import annotations
@@ -17,21 +17,28 @@
 from typing import Any
 
 ROOT = Path(__file__).parent.parent.parent
-RATE = 120.0  # requests a second
-RECENT = 400  # latest times that the percentiles are of
-REFRESH = 0.25  # seconds between two looks at the table
+REQUESTS_PER_S = 120.0
+MAX_TIMES = 400  # latest response times kept for the percentiles
+REFRESH_S = 0.25  # between two updates of the table
 MS = 1_000_000
-CLASSES = (  # name, share of the traffic, effect, aim and deadline in ms, worth
+CLASSES = (  # name, share of the traffic, effect, latency target and deadline in ms, worth
     ("route-search", 0.45, "repeatable", 600, 2500, 5.0),
     ("departures", 0.25, "repeatable", 900, 3000, 3.0),
     ("save-trip", 0.2, "by_key", 900, 3000, 3.0),
     ("buy-ticket", 0.1, "once", 900, 3000, 8.0),
 )
-SPEEDS = (0.02, 0.03, 0.05, 0.05, 0.15, 0.02)  # seconds that each server takes; the last starts late, cold
-
-MIN_TIMES = 2  # for percentiles
+SPEEDS = (
+    0.02,
+    0.03,
+    0.05,
+    0.05,
+    0.15,
+    0.02,
+)  # mean service time of each server in s; the last one starts late, cold
+
+MIN_TIMES = 2  # needed for percentiles
 SECOND_RUN = 2
-STORY = (  # part of the demo's time, server, its state from then on, and what the table says
+TIMELINE = (  # fraction of the demo's time, server, its state from then on, message above the table
     (0.2, 1, "silent", "s1 takes requests and answers none; discovery says nothing"),
     (0.45, 1, "up", "s1 answers again"),
     (0.55, 0, "draining", "s0 drains: nothing new goes there"),
@@ -42,27 +49,27 @@
 
 @dataclass
 class ServerRow:
-    """One stand-in server as the table shows it."""
+    """State and counts of one test server, a row of the table."""
 
     name: str
     speed: float
     state: str = "up"
     seen: int = 0
-    times: deque[float] = field(default_factory=lambda: deque(maxlen=RECENT))
+    times: deque[float] = field(default_factory=lambda: deque(maxlen=MAX_TIMES))
 
 
 @dataclass
 class Board:
-    """What is counted."""
+    """The counts that the demo shows."""
 
     servers: list[ServerRow]
     outcomes: dict[str, Counter[str]]
     times: dict[str, deque[float]]
     message: str = "all is well"
-    twice: int = 0  # sales that ran twice: none
+    twice: int = 0  # sales that ran twice; must stay 0
 
     def rows(self) -> Iterator[tuple[str, ...]]:
-        """A row of text for each class: name, counts, percentiles."""
+        """One text row for each class: name, counts, percentiles."""
         for name, counts in self.outcomes.items():
             yield (
                 name,
@@ -82,7 +89,7 @@
 
 
 class Demo:
-    """The stand-ins, the node and the traffic."""
+    """Runs the test servers, the node and the traffic."""
 
     def __init__(self, seconds: float) -> None:
         from rigs.discovery import Discovery
@@ -92,7 +99,7 @@
         self.board = Board(
             [ServerRow(f"s{i}", speed) for i, speed in enumerate(SPEEDS)],
             {name: Counter() for name, *_ in CLASSES},
-            {name: deque(maxlen=RECENT) for name, *_ in CLASSES},
+            {name: deque(maxlen=MAX_TIMES) for name, *_ in CLASSES},
         )
         self.discovery = Discovery()
         self.ran: Counter[str] = Counter()
@@ -126,8 +133,8 @@
             await asyncio.start_server(Server(self._script(row)), "127.0.0.1", 0)
             for row in self.board.servers
         ]
-        self.lookup = await asyncio.start_server(self.discovery, "127.0.0.1", 0)
-        self.where = address_of(self.lookup)
+        self.discovery_listener = await asyncio.start_server(self.discovery, "127.0.0.1", 0)
+        self.discovery_address = address_of(self.discovery_listener)
         pairs = zip(self.board.servers, self.listeners, strict=True)
         self.hosts = [
             entry(row.name, address_of(listener), block=i % 2) for i, (row, listener) in enumerate(pairs)
@@ -135,10 +142,10 @@
         self.discovery.hosts = self.hosts[:-1]
         self.board.servers[-1].state = "off"
 
-    async def _story(self) -> None:
-        """What goes wrong, as parts of the demo's time."""
+    async def _play_timeline(self) -> None:
+        """Change the servers' states as TIMELINE says."""
         hosts, at = self.hosts, time.monotonic()
-        for moment, number, state, message in STORY:
+        for moment, number, state, message in TIMELINE:
             await asyncio.sleep(max(at + moment * self.seconds - time.monotonic(), 0))
             before, self.board.servers[number].state = self.board.servers[number].state, state
             self.board.message = message
@@ -192,7 +199,7 @@
 
     # Traffic ------------------------------------------------------------------------------------
 
-    async def _ask(self, number: int) -> None:
+    async def _send_request(self, number: int) -> None:
         name, _, effect, _, deadline, _ = self.random.choices(
             CLASSES, [traffic_weight for _, traffic_weight, *_ in CLASSES]
         )[0]
@@ -216,22 +223,22 @@
     async def _traffic(self) -> None:
         end, number = time.monotonic() + self.seconds, 0
         while time.monotonic() < end:
-            await asyncio.sleep(self.random.expovariate(RATE))
+            await asyncio.sleep(self.random.expovariate(REQUESTS_PER_S))
             number += 1
-            task = asyncio.ensure_future(self._ask(number))
+            task = asyncio.ensure_future(self._send_request(number))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
         await asyncio.gather(*self.tasks)
 
     async def run(self, show: Callable[[Board, float], None]) -> int:
-        """Gives the exit code: 0 if every request was answered and no sale ran twice."""
+        """Run the demo. Exit code 0 if the node ended well and no sale ran twice."""
         from rigs.process import NodeProcess
 
         await self._listen()
         self.node = NodeProcess(
             {
                 "name": "node",
-                "discovery": self.where,
+                "discovery": self.discovery_address,
                 "seed": "1",
                 "limits": {"sockets": 1024},
                 "settings": self._settings(),
@@ -239,15 +246,18 @@
         )
         await self.node.start()
         began = time.monotonic()
-        story, traffic = asyncio.ensure_future(self._story()), asyncio.ensure_future(self._traffic())
+        timeline, traffic = (
+            asyncio.ensure_future(self._play_timeline()),
+            asyncio.ensure_future(self._traffic()),
+        )
         while not traffic.done():
             show(self.board, time.monotonic() - began)
-            await asyncio.wait([traffic], timeout=REFRESH)
-        story.cancel()
+            await asyncio.wait([traffic], timeout=REFRESH_S)
+        timeline.cancel()
         traffic.result()
         show(self.board, time.monotonic() - began)
         code = await self.node.stop()
-        for listener in (*self.listeners, self.lookup):
+        for listener in (*self.listeners, self.discovery_listener):
             listener.close()
         return 1 if code or self.board.twice else 0
 
@@ -299,7 +309,7 @@
 
 
 def main(seconds: float, plain: bool) -> int:
-    """Runs the demo for so many seconds. Exit code 0, 1 if a rule broke, 2 without what it needs."""
+    """Run the demo. Exit code 0, 1 if a rule was broken, 2 if the repository is missing."""
     if not (ROOT / "rigs" / "servers.py").exists():
         print("minthitch: the demo needs a clone of the repository (its rigs/)", file=sys.stderr)
         return 2
--- a/minthitch/cli/fleet.py
+++ b/minthitch/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`fleet count`: what all nodes of a fleet did, from their traced logs."""
+"""`fleet count`: counts over all nodes of a fleet, from their trace logs."""
 
 from __future__ import annotations
 
@@ -10,26 +10,28 @@
 from minthitch.fleet.count import count
 from minthitch.fleet.shown import lines
 
-LEAST_WINDOW, MAX_WINDOW = 0.1, 3_600.0
+MIN_WINDOW, MAX_WINDOW = 0.1, 3_600.0
 
 
 def add_to(commands: Any) -> None:
-    """The command's arguments, beside the others'."""
-    subcommands = commands.add_parser("fleet", help="look at many nodes together").add_subparsers(
+    """Add the command's arguments."""
+    subcommands = commands.add_parser("fleet", help="analyse the logs of many nodes").add_subparsers(
         dest="subcommand", required=True
     )
     counted = subcommands.add_parser(
-        "count", help="sends, ends and refusals over all nodes that ran `traced`"
+        "count", help="count sends, ends and refusals over all nodes that ran `traced`"
     )
-    counted.add_argument("folder", help="with a log a node, NAME.log")
-    counted.add_argument("--window", type=float, default=1.0, metavar="S", help="seconds a line (1)")
-    counted.add_argument("--servers", action="store_true", help="each server's windows too")
+    counted.add_argument("folder", help="folder with one log for each node, NAME.log")
+    counted.add_argument(
+        "--window", type=float, default=1.0, metavar="S", help="seconds for each output line (1)"
+    )
+    counted.add_argument("--servers", action="store_true", help="also print the windows of each server")
 
 
 def main(args: argparse.Namespace) -> int:
-    """Carries it out. Raises ConfigError where there is nothing to count."""
-    if not LEAST_WINDOW <= args.window <= MAX_WINDOW:
-        raise ConfigError(f"--window {args.window} is not from {LEAST_WINDOW} to {MAX_WINDOW}")
+    """Run the command. Raises ConfigError where there is nothing to count."""
+    if not MIN_WINDOW <= args.window <= MAX_WINDOW:
+        raise ConfigError(f"--window {args.window} is not from {MIN_WINDOW} to {MAX_WINDOW}")
     try:
         logs = {
             path.stem: path.read_text(errors="replace").splitlines()
--- a/minthitch/cli/shown.py
+++ b/minthitch/cli/formatting.py
@@ -1,4 +1,4 @@
-"""Answers of running processes as short tables for people, and the steps of one request as lines."""
+"""Formats the status of running processes as tables, and the steps of one request as lines."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 def columns(head: Row, rows: Iterable[Row]) -> list[str]:
-    """Lines with their cells below each other; figures to the right."""
+    """Align cells in columns, numbers to the right."""
     cells = [[_cell(value) for value in row] for row in (head, *rows)]
     widths = [max(len(row[at]) for row in cells) for at in range(len(head))]
-    right = [all(_figure(row[at]) for row in cells[1:]) for at in range(len(head))]
+    right = [all(_is_number(row[at]) for row in cells[1:]) for at in range(len(head))]
     return [
         "  ".join(
             text.rjust(width) if to_right else text.ljust(width)
@@ -34,12 +34,12 @@
     return f"{value:.1f}" if isinstance(value, float) else str(value) or "-"
 
 
-def _figure(text: str) -> bool:
+def _is_number(text: str) -> bool:
     return text == "-" or text.replace(".", "", 1).removeprefix("-").isdigit()
 
 
 def status(found: Statuses) -> list[str]:
-    """All processes in one table."""
+    """A table of all processes."""
     head = ("address", "what", "state", "leader", "term", "config", "keys", "waits", "of it")
     return columns(head, ((address, *_process(answer)) for address, answer in found.items()))
 
@@ -74,7 +74,7 @@
 
 
 def keys(found: Statuses) -> list[str]:
-    """Claims at the control nodes; operations at the sidecars by state, the sidecar that holds most first."""
+    """Tables of claims at control nodes, and of operations by state at sidecars, most operations first."""
     controls = [
         (address, answer["role"], *(answer["keys"][key] for key in CLAIMS))
         for address, answer in found.items()
@@ -101,7 +101,7 @@
 
 
 def budget(found: Statuses) -> list[str]:
-    """Further arrivals by sidecar and service, the largest spender first, and each service's sum."""
+    """Tables of retry budgets by sidecar and service, largest spender first, and of their sums by service."""
     rows = [
         (address, name, figures)
         for address, answer in found.items()
@@ -138,7 +138,7 @@
 
 
 def request_lines(answer: dict[str, Any]) -> list[str]:
-    """One request, a line for each thing that happened to it."""
+    """The steps of one request, one on a line."""
     steps, copies = answer["steps"], {}
     lines = [
         f"request {answer['request']} at sidecar {answer['sidecar']}"
--- a/minthitch/cli/lab.py
+++ b/minthitch/cli/lab.py
@@ -1,4 +1,4 @@
-"""`lab`: scenarios in virtual time. Arguments and lines; the work is in `minthitch.lab` (extra `lab`)."""
+"""`lab`: runs scenarios in virtual time. Defines arguments and output; `minthitch.lab` does the work."""
 
 from __future__ import annotations
 
@@ -16,55 +16,68 @@
 
 
 def add_to(commands: Any) -> None:
-    """The command's arguments, beside the others'."""
-    lab = commands.add_parser("lab", help="play scenarios in virtual time, and load real nodes (extra `lab`)")
+    """Add the command's arguments."""
+    lab = commands.add_parser("lab", help="run scenarios in virtual time, and load real nodes (extra `lab`)")
     subcommands = lab.add_subparsers(dest="subcommand", required=True)
-    subcommands.add_parser("list", help="the library's scenarios and what each expects")
-    run = subcommands.add_parser("run", help="play a scenario over seeds")
-    _common(run)
-    run.add_argument("--chooser", default="minthitch", help="minthitch, or one of `lab rivals`")
-    run.add_argument("--html", type=Path, metavar="FILE", help="write a page of the runs")
-    subcommands.add_parser("rivals", help="what it can be played against, and where each is described")
-    sweep = subcommands.add_parser("sweep", help="play every combination of several values")
-    _common(sweep)
+    subcommands.add_parser("list", help="list the built-in scenarios and what each expects")
+    run = subcommands.add_parser("run", help="run a scenario with one or more seeds")
+    _add_run_arguments(run)
+    run.add_argument(
+        "--chooser", default="minthitch", help="the policy to run: minthitch, or one of `lab rivals`"
+    )
+    run.add_argument("--html", type=Path, metavar="FILE", help="write an HTML page of the runs")
+    subcommands.add_parser("rivals", help="list the policies to compare with, and where each is described")
+    sweep = subcommands.add_parser("sweep", help="run every combination of several values")
+    _add_run_arguments(sweep)
     sweep.add_argument("--over", action="append", default=[], metavar="KEY=A,B,C", required=True)
     sweep.add_argument("--chooser", default="minthitch")
     compare = subcommands.add_parser(
-        "compare", help="two choosers over the same seeds, paired, with intervals"
+        "compare", help="compare two choosers over the same seeds, paired, with confidence intervals"
     )
     compare.add_argument("a")
     compare.add_argument("b")
-    _common(compare, several=True)
-    compare.add_argument("--html", type=Path, metavar="FILE", help="write one page of both over each other")
-    bisect = subcommands.add_parser("bisect", help="the rate at which the share of worth falls below an aim")
-    _common(bisect)
+    _add_run_arguments(compare, several=True)
+    compare.add_argument(
+        "--html", type=Path, metavar="FILE", help="write an HTML page that shows both together"
+    )
+    bisect = subcommands.add_parser(
+        "bisect", help="find the rate at which the share of worth falls below a target"
+    )
+    _add_run_arguments(bisect)
     bisect.add_argument("--chooser", default="minthitch")
     bisect.add_argument("--low", type=float, required=True)
     bisect.add_argument("--high", type=float, required=True)
     bisect.add_argument("--aim", type=float, default=0.99)
     bisect.add_argument("--steps", type=int, default=6)
-    replay = subcommands.add_parser("replay", help="the story of one want, event by event")
+    replay = subcommands.add_parser(
+        "replay", help="print the events of one want (a caller's request, with its retries)"
+    )
     replay.add_argument("scenario")
     replay.add_argument("seed", type=int)
-    replay.add_argument("--want", type=int, default=1, help="the how manyth that was asked for")
+    replay.add_argument("--want", type=int, default=1, help="its number, in order of arrival (1)")
     replay.add_argument("--set", action="append", default=[], metavar="KEY=VALUE", dest="changes")
     replay.add_argument("--chooser", default="minthitch")
     hunt = subcommands.add_parser(
-        "hunt", help="search drawn days of the large fleet for one that fails its gate"
+        "hunt", help="search generated days of the large fleet for one that fails its check"
     )
     hunt.add_argument("family", help="calm, roll, herd, zone, split, join; or all")
-    hunt.add_argument("--seeds", type=int, default=20, metavar="N", help="days a family (20)")
+    hunt.add_argument("--seeds", type=int, default=20, metavar="N", help="days for each family (20)")
     hunt.add_argument(
-        "--from", type=int, default=1, metavar="SEED", dest="first", help="of the first day (1)"
+        "--from", type=int, default=1, metavar="SEED", dest="first", help="seed of the first day (1)"
     )
     hunt.add_argument("--jobs", type=int, default=1, metavar="N", help="processes")
-    hunt.add_argument("--keep", type=Path, metavar="DIR", help="write the worst failing day there, cut down")
+    hunt.add_argument(
+        "--keep",
+        type=Path,
+        metavar="DIR",
+        help="write the worst failing day there, reduced to what makes it fail",
+    )
     lab_mesh_days.add_to(subcommands)
     _add_load(subcommands)
 
 
 def _add_load(subcommands: Any) -> None:
-    load = subcommands.add_parser("load", help="load a real node: open loop, every answer checked")
+    load = subcommands.add_parser("load", help="load a real node (open loop) and check every answer")
     load.add_argument("url", help="http://ADDRESS:PORT of the node's listener")
     load.add_argument("scenario")
     load.add_argument("--set", action="append", default=[], metavar="KEY=VALUE", dest="changes")
@@ -74,13 +87,13 @@
         action="append",
         default=[],
         metavar="ADDRESS",
-        help="an address beside loopback that may be loaded",
+        help="an address other than loopback that may be loaded",
     )
 
 
-def _common(command: argparse.ArgumentParser, several: bool = False) -> None:
+def _add_run_arguments(command: argparse.ArgumentParser, several: bool = False) -> None:
     command.add_argument(
-        "scenario", nargs="+" if several else None, help="a .toml file, or a name of `lab list`"
+        "scenario", nargs="+" if several else None, help="a .toml file, or a name from `lab list`"
     )
     command.add_argument(
         "--set",
@@ -88,17 +101,17 @@
         default=[],
         metavar="KEY=VALUE",
         dest="changes",
-        help="change a key: load.rate=200, tiers.0.servers=40",
+        help="override a key: load.rate=200, tiers.0.servers=40",
     )
     command.add_argument("--seeds", type=int, default=1, metavar="N", help="seeds 1 to N")
     command.add_argument("--jobs", type=int, default=1, metavar="N", help="processes")
     command.add_argument(
-        "--out", type=Path, metavar="DIR", help="keep results there; what is there is not played again"
+        "--out", type=Path, metavar="DIR", help="keep results there; runs with a result there are skipped"
     )
 
 
 def _progress(rows: Iterable[Any], count: int) -> Iterable[Any]:
-    """A bar on a terminal, nothing elsewhere."""
+    """Show a progress bar if stderr is a terminal."""
     if count <= 1 or not sys.stderr.isatty():
         return rows
     from rich.console import Console
@@ -107,7 +120,7 @@
     return track(rows, description="runs", total=count, console=Console(stderr=True))
 
 
-def _line(row: dict[str, Any]) -> str:
+def _result_line(row: dict[str, Any]) -> str:
     broken = sum(row["broken"].values())
     changes = " ".join(row["changes"])
     name = f"{row['scenario']}  {row['chooser']}  seed {row['seed']}{'  ' + changes if changes else ''}"
@@ -124,7 +137,7 @@
         raise ConfigError(f"--seeds {args.seeds} is not from 1 to {MAX_SEEDS}")
 
 
-def _works(
+def _work_items(
     args: argparse.Namespace, changes: Sequence[tuple[str, ...]], chooser: str, scenario: str = ""
 ) -> list[Any]:
     from minthitch.lab.experiment import Work
@@ -161,9 +174,9 @@
     from minthitch.lab import scenario
     from minthitch.lab.experiment import perform
 
-    rows = perform(_works(args, [tuple(args.changes)], args.chooser), args.jobs, args.out, _progress)
+    rows = perform(_work_items(args, [tuple(args.changes)], args.chooser), args.jobs, args.out, _progress)
     for row in rows:
-        print(_line(row))
+        print(_result_line(row))
         for line in row["breaches"]:
             print(f"    {line}")
     if args.html is not None:
@@ -179,7 +192,7 @@
     from minthitch.lab.statistics import interval
 
     rows = [(*args.changes, *row) for row in grid(args.over)]
-    played = perform(_works(args, rows, args.chooser), args.jobs, args.out, _progress)
+    played = perform(_work_items(args, rows, args.chooser), args.jobs, args.out, _progress)
     for i, row in enumerate(rows):
         plays = played[i * args.seeds : (i + 1) * args.seeds]
         mean, low, high = interval([each["worth"] for each in plays])
@@ -195,7 +208,7 @@
     drawn: list[dict[str, Any]] = []
     for name in args.scenario:
         sides = [
-            perform(_works(args, [tuple(args.changes)], chooser, name), args.jobs, args.out, _progress)
+            perform(_work_items(args, [tuple(args.changes)], chooser, name), args.jobs, args.out, _progress)
             for chooser in (args.a, args.b)
         ]
         comparison = paired(*([row["worth"] for row in rows] for rows in sides))
@@ -219,8 +232,8 @@
     from minthitch.lab.experiment import bisect
 
     if not 0 < args.low < args.high:
-        raise ConfigError(f"--low {args.low} --high {args.high} are no range above 0")
-    seeds = [work.seed for work in _works(args, [()], args.chooser)]
+        raise ConfigError(f"--low {args.low} --high {args.high} are not a range above 0")
+    seeds = [work.seed for work in _work_items(args, [()], args.chooser)]
     seen = bisect(
         args.scenario,
         tuple(args.changes),
@@ -290,7 +303,7 @@
     return 1 if failed else 0
 
 
-DO: dict[str, Callable[[argparse.Namespace], int]] = {
+HANDLERS: dict[str, Callable[[argparse.Namespace], int]] = {
     "list": _list,
     "rivals": _rivals,
     "run": _run,
@@ -308,10 +321,10 @@
     """Run one of the subcommands.
 
     Raises:
-        ConfigError: it can't be done as asked.
+        ConfigError: the arguments are invalid, or the extra `lab` is missing.
     """
     try:
-        return DO[args.subcommand](args)
+        return HANDLERS[args.subcommand](args)
     except ModuleNotFoundError as err:
         raise ConfigError(
             f"`lab {args.subcommand}` needs the extra `lab`: {err.name} is not installed"
--- a/minthitch/cli/lab_mesh_days.py
+++ b/minthitch/cli/lab_mesh_days.py
@@ -1,4 +1,4 @@
-"""`lab mesh-days`: drawn days for a deployment of the mesh, on which all pairs of faults meet."""
+"""`lab mesh-days`: generates days of faults for a mesh deployment that together cover all pairs of faults."""
 
 from __future__ import annotations
 
@@ -10,26 +10,29 @@
 
 
 def add_to(subcommands: Any) -> None:
-    """The arguments of the subcommand."""
+    """Add the subcommand's arguments."""
     mesh = subcommands.add_parser(
-        "mesh-days", help="write days for the mesh: drawn troubles that meet in pairs"
+        "mesh-days", help="write generated days for the mesh, in which faults of different kinds overlap"
     )
-    mesh.add_argument("site", type=Path, help="the site's file")
+    mesh.add_argument("site", type=Path, help="the site's file (.toml)")
     mesh.add_argument(
         "--also",
         type=Path,
         nargs="+",
         default=[],
         metavar="SITE",
-        help="other sites' files: kinds of trouble that this site lacks",
+        help="other sites' files, for kinds of fault that this site lacks",
     )
     mesh.add_argument(
-        "--page", type=Path, metavar="FILE", help="the bench's page of kinds: only these, with their variants"
+        "--page",
+        type=Path,
+        metavar="FILE",
+        help="the benchmark's list of kinds: use only these, with their variants",
     )
     mesh.add_argument("--seed", type=int, default=1)
     mesh.add_argument("--count", type=int, default=20, metavar="K", help="days (20)")
     mesh.add_argument(
-        "--mix", type=int, default=4, metavar="M", help="kinds that meet on a day (4); 1: each kind alone"
+        "--mix", type=int, default=4, metavar="M", help="kinds of fault on one day (4); 1: each kind alone"
     )
     mesh.add_argument("--out", type=Path, metavar="DIR", required=True)
 
@@ -44,7 +47,7 @@
 
 
 def main(args: argparse.Namespace) -> int:
-    """Write the days.
+    """Generate and write the days.
 
     Raises:
         ConfigError: a file can't be read or written.
--- a/minthitch/cli/mesh.py
+++ b/minthitch/cli/mesh.py
@@ -1,4 +1,4 @@
-"""`mesh`: what operators ask of settings, folders and running processes, and send. Arguments by cappa."""
+"""`mesh`: commands for settings files, data folders and running processes. cappa parses the arguments."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from msgspec import json
 from rich.console import Console
 
-from minthitch.cli import ask, catalogue, change, folder, settings, shown
+from minthitch.cli import ask, catalogue, change, data_folder, formatting, settings
 from minthitch.config import ConfigError
 from minthitch.mesh.configuration.settings import SettingsError, parse_settings
 from minthitch.mesh.storage.store import Condition
@@ -23,17 +23,18 @@
 Folder = Annotated[Path, cappa.Arg(value_name="DIR", help="Self.Datadir of a control node that is stopped")]
 Address = Annotated[str, cappa.Arg(value_name="IP:PORT", help="Net.Bind.Ctl of any control node")]
 Addresses = Annotated[
-    list[str], cappa.Arg(value_name="IP:PORT", num_args=-1, required=True, help="their Net.Bind.Ctl")
+    list[str],
+    cappa.Arg(value_name="IP:PORT", num_args=-1, required=True, help="Net.Bind.Ctl of each process"),
 ]
 ConfigFile = Annotated[Path, cappa.Arg(value_name="FILE", help="a body of Config.Patch")]
-AsJson = Annotated[bool, cappa.Arg(long="--json", help="for programs")]
+AsJson = Annotated[bool, cappa.Arg(long="--json", help="print JSON")]
 
 
 @dataclass
 class Check:
-    """Judge a settings file by the program that will run it: exit code 0, with warnings, or 2."""
+    """Check a settings file: exit code 0, perhaps with warnings, or 2."""
 
-    file: Annotated[Path, cappa.Arg(help="as MINTHITCH_BOOT names it")]
+    file: Annotated[Path, cappa.Arg(help="the file that MINTHITCH_BOOT names")]
 
     def run(self) -> int:
         """Run it; returns the exit code."""
@@ -57,13 +58,13 @@
 
 @dataclass
 class Verify:
-    """Say what a data folder is: exit code 0 if it is intact, else 1."""
+    """Print the condition of a data folder: exit code 0 if it is intact, else 1."""
 
     folder: Folder
 
     def run(self) -> int:
         """Run it; returns the exit code."""
-        found = folder.inspect(self.folder)
+        found = data_folder.inspect(self.folder)
         print(f"{self.folder}: {found.description()}")
         return 0 if found.condition is Condition.INTACT else 1
 
@@ -72,7 +73,7 @@
 class Log:
     """Print a data folder's log, a line for each entry: index, term, kind, what it does.
 
-    The last entries may not be agreed: the next leader may put others in their place.
+    The last entries may not be committed: the next leader may replace them.
     """
 
     folder: Folder
@@ -80,7 +81,7 @@
 
     def run(self) -> int:
         """Run it; returns the exit code."""
-        for line in folder.log_lines(folder.intact_folder(self.folder), self.first):
+        for line in data_folder.log_lines(data_folder.intact_folder(self.folder), self.first):
             print(line)
         return 0
 
@@ -95,22 +96,22 @@
         """Run it; returns the exit code."""
         print(
             json.format(
-                folder.replayed_state(folder.intact_folder(self.folder)).items.fetch(), indent=2
+                data_folder.replayed_state(data_folder.intact_folder(self.folder)).items.fetch(), indent=2
             ).decode()
         )
         return 0
 
 
 @dataclass
-class _Calls:
-    """What is asked of running processes' status, shown as a table or, for programs, as JSON."""
+class _StatusCommand:
+    """Base of the commands that fetch the status of running processes and print a table, or JSON."""
 
     addresses: Addresses
     as_json: AsJson = False
-    table: ClassVar[Callable[[shown.Statuses], list[str]]]
+    table: ClassVar[Callable[[formatting.Statuses], list[str]]]
 
     def run(self) -> int:
-        """Run it. Exit code 2 where one of them did not answer, after what the others told."""
+        """Run it. Exit code 2 if a process did not answer; the others' status is printed first."""
         found, silent = ask.tables(self.addresses, "/Mesh.Status")
         if self.as_json and found:
             one = found[self.addresses[0]] if len(self.addresses) == 1 else found
@@ -123,32 +124,34 @@
 
 
 @dataclass
-class Status(_Calls):
-    """Ask running control nodes and sidecars what they know: one table; all there is with --json."""
+class Status(_StatusCommand):
+    """Print the status of running control nodes and sidecars in one table; every field with --json."""
 
-    table = shown.status
+    table = formatting.status
 
 
 @dataclass
-class Keys(_Calls):
-    """Claims at the control nodes, operations by state at the sidecars."""
+class Keys(_StatusCommand):
+    """Print the claims at control nodes, and the operations by state at sidecars."""
 
-    table = shown.keys
+    table = formatting.keys
 
 
 @dataclass
-class Budget(_Calls):
-    """Further arrivals: what each sidecar has spent and has left for each service, largest spender first."""
+class Budget(_StatusCommand):
+    """Print the retry budget spent and left at each sidecar for each service, largest spender first."""
 
-    table = shown.budget
+    table = formatting.budget
 
 
 @dataclass
 class Trace:
-    """Let sidecars keep the steps of each request for `mesh explain`, which costs time and memory."""
+    """Make sidecars record the steps of each request for `mesh explain`, which costs time and memory."""
 
     addresses: Addresses
-    seconds: Annotated[int, cappa.Arg(long=True, value_name="N", help="for so long; 0 ends it now")] = 60
+    seconds: Annotated[
+        int, cappa.Arg(long=True, value_name="N", help="duration in seconds; 0 stops it now")
+    ] = 60
 
     def run(self) -> int:
         """Run it; returns the exit code."""
@@ -162,14 +165,14 @@
 
 @dataclass
 class Explain:
-    """Tell the course of one request: why this set, this refusal, this claim. First `mesh trace`."""
+    """Print the steps of one request: its servers, refusal or claim, and why. Needs `mesh trace` before."""
 
-    ident: Annotated[str, cappa.Arg(value_name="ID", help="its X-Request-Id")]
+    ident: Annotated[str, cappa.Arg(value_name="ID", help="X-Request-Id of the request")]
     addresses: Addresses
     as_json: AsJson = False
 
     def run(self) -> int:
-        """Run it. Exit code 1 where none of the sidecars knows it."""
+        """Run it. Exit code 1 if none of the sidecars knows the request."""
         path, known = f"/Mesh.Explain/{quote(self.ident, safe='')}", 0
         for address in self.addresses:
             answer = ask.ask(address, "GET", path)
@@ -178,7 +181,7 @@
                 print(
                     json.format(answer.body, indent=2).decode()
                     if self.as_json
-                    else "\n".join(shown.request_lines(json.decode(answer.body)))
+                    else "\n".join(formatting.request_lines(json.decode(answer.body)))
                 )
             else:
                 print(f"minthitch: mesh: {address}: {answer.error()}", file=sys.stderr)
@@ -187,10 +190,10 @@
 
 @dataclass
 class Snapshot:
-    """Write the whole configuration as the leader knows it, with its index: `mesh patch` takes the file."""
+    """Write the leader's whole configuration, with its index, to a file that `mesh patch` accepts."""
 
     address: Address
-    file: Annotated[Path, cappa.Arg(value_name="FILE", help="is replaced whole, or left as it was")]
+    file: Annotated[Path, cappa.Arg(value_name="FILE", help="file to write; it is replaced atomically")]
 
     def run(self) -> int:
         """Run it; returns the exit code."""
@@ -202,37 +205,37 @@
 
 @dataclass
 class Diff:
-    """Say what a configuration file would change: + new, ~ changed, - taken away, = too old, ! refused."""
+    """Print what a configuration file would change: + new, ~ changed, - deleted, = too old, ! refused."""
 
     file: ConfigFile
     address: Address
 
     def run(self) -> int:
-        """Run it. Exit code 0 where it would change nothing, 1 where it would, 2 where it is invalid."""
+        """Run it. Exit code 0 if the file would change nothing, 1 if it would, 2 if it is invalid."""
         body = change.read(self.file)
-        if _complain_of(self.file, body):
+        if _print_problems(self.file, body):
             return 2
-        index, standing = change.fetch_with_index(self.address)
-        lines = change.differences(body, standing)
+        index, present = change.fetch_with_index(self.address)
+        lines = change.differences(body, present)
         print("\n".join([f"against configuration {index}: {len(lines) or 'no'} differences", *lines]))
         return 1 if lines else 0
 
 
 @dataclass
 class Patch:
-    """Send a configuration file, judged here first by the control nodes' own checks, and tell the verdict."""
+    """Check a configuration file as the control nodes do, send it, and print the outcome."""
 
     address: Address
     file: ConfigFile
     retry: Annotated[
         int,
-        cappa.Arg(long=True, value_name="N", help="send it so many times more while its answer is unclear"),
+        cappa.Arg(long=True, value_name="N", help="send it up to N times more while the outcome is unclear"),
     ] = 0
 
     def run(self) -> int:
-        """Run it. Exit code 0 for agreed, 1 refused, 2 invalid and not sent, 3 unclear."""
+        """Run it. Exit code 0 for committed, 1 refused, 2 invalid and not sent, 3 unclear."""
         body = change.read(self.file)
-        if _complain_of(self.file, body):
+        if _print_problems(self.file, body):
             return 2
         for left in range(max(self.retry, 0), -1, -1):
             answer = change.send(self.address, body)
@@ -244,8 +247,8 @@
         return code
 
 
-def _complain_of(file: Path, body: bytes) -> bool:
-    """Whether there is something to complain of: one line each."""
+def _print_problems(file: Path, body: bytes) -> bool:
+    """Print each problem of the file on a line; returns whether there are any."""
     lines = change.problems(body)
     for line in lines:
         print(f"minthitch: {file}: {line}", file=sys.stderr)
@@ -254,9 +257,9 @@
 
 @dataclass
 class Events:
-    """Print an event's entry in the catalogue, or all of them in a line each."""
+    """Print an event's entry in the catalogue, or all events, one on a line."""
 
-    number: Annotated[str, cappa.Arg(help="as in the log: E303, or 303")] = ""
+    number: Annotated[str, cappa.Arg(help="number as in the log: E303 or 303")] = ""
 
     def run(self) -> int:
         """Run it; returns the exit code."""
@@ -277,7 +280,7 @@
 @cappa.command(name="python -m minthitch mesh")
 @dataclass
 class Mesh:
-    """The mesh's settings files, running processes, configuration and data folders; its events."""
+    """Commands for the mesh's settings files, running processes, configuration, data folders and events."""
 
     subcommand: cappa.Subcommands[
         Check
@@ -297,8 +300,8 @@
 
 
 def main(argv: Sequence[str]) -> int:
-    """Exit code 2 for words that can't be understood. Raises ConfigError."""
-    one_line = Console(file=sys.stderr, soft_wrap=True)  # whatever the terminal's width
+    """Run one command; exit code 2 for invalid arguments. Raises ConfigError."""
+    one_line = Console(file=sys.stderr, soft_wrap=True)  # no wrapping at the terminal's width
     output = cappa.Output(error_format="minthitch: {message}", error_console=one_line)
     try:
         mesh = cappa.parse(Mesh, argv=list(argv), output=output, completion=False)
--- a/minthitch/cli/record.py
+++ b/minthitch/cli/record.py
@@ -1,4 +1,4 @@
-"""`record`: what an operator asks of the store of record, and tells it."""
+"""`record`: inspects the store of record, and notes outcomes that an operator found out."""
 
 from __future__ import annotations
 
@@ -17,20 +17,26 @@
 
 
 def add_to(commands: Any) -> None:
-    """The command's arguments, beside the others'."""
-    record = commands.add_parser("record", help="look into the store of record, and resolve what is in doubt")
-    record.add_argument("--store", required=True, metavar="PATH|URL", help="as record.store")
+    """Add the command's arguments."""
+    record = commands.add_parser(
+        "record", help="inspect the store of record, and note outcomes that were in doubt"
+    )
+    record.add_argument(
+        "--store", required=True, metavar="PATH|URL", help="the store, as in the setting record.store"
+    )
     subcommands = record.add_subparsers(dest="subcommand", required=True)
     show = subcommands.add_parser(
-        "show", help="what is known of one sale, as JSON; exit code 1 if nothing is"
+        "show", help="print the record of one request as JSON; exit code 1 if there is none"
     )
     show.add_argument("identity")
-    subcommands.add_parser("doubtful", help="what may have run and has no word yet, a line each")
-    resolve = subcommands.add_parser("resolve", help="note what was found out of a sale in doubt or failed")
+    subcommands.add_parser(
+        "doubtful", help="list the requests that may have run and whose outcome is unknown"
+    )
+    resolve = subcommands.add_parser("resolve", help="note the outcome of a doubtful or failed request")
     resolve.add_argument("identity")
     resolve.add_argument("found", choices=[outcome.value for outcome in Word])
-    resolve.add_argument("--why", required=True, help="how it is known")
-    subcommands.add_parser("export", help="every record, as JSON lines")
+    resolve.add_argument("--why", required=True, help="how the outcome was found out")
+    subcommands.add_parser("export", help="print every record, as JSON lines")
 
 
 def _show(store: Store, args: argparse.Namespace) -> int:
@@ -64,7 +70,7 @@
     return 0
 
 
-DO: dict[str, Callable[[Store, argparse.Namespace], int]] = {
+HANDLERS: dict[str, Callable[[Store, argparse.Namespace], int]] = {
     "show": _show,
     "doubtful": _doubtful,
     "resolve": _resolve,
@@ -79,16 +85,16 @@
         The exit code: 1 where there is no such record.
 
     Raises:
-        ConfigError: the store can't be used.
+        ConfigError: the store can't be opened or read.
     """
-    # Danger: opening would make an empty store, and say that nothing is known.
+    # Danger: opening a missing file would create an empty store, which reports no records.
     if not args.store.startswith(POSTGRES) and not os.path.exists(args.store):
         raise ConfigError(f"--store {args.store!r}: no such file")
     store: Store | None = None
     try:
         store = open_store(args.store)
         store.open()
-        return DO[args.subcommand](store, args)
+        return HANDLERS[args.subcommand](store, args)
     except StoreError as err:
         raise ConfigError(str(err)) from None
     except BrokenPipeError:
--- a/minthitch/cli/recovery.py
+++ b/minthitch/cli/recovery.py
@@ -1,4 +1,4 @@
-"""`recovery`: what a node trusted after its start, and what lies in its snapshots. Arguments and lines."""
+"""`recovery`: shows what a node restored from its snapshot at its start, and inspects snapshot files."""
 
 from __future__ import annotations
 
@@ -15,43 +15,49 @@
 from minthitch.config import ConfigError
 from minthitch.listing import ListError, parse_address
 
-ASK_WITHIN = 5.0  # seconds for a node's answer
-MAX_ANSWER_BYTES = 1024 * 1024  # bytes
+REQUEST_TIMEOUT_S = 5.0
+MAX_ANSWER_BYTES = 1024 * 1024
 
 
 def add_to(commands: Any) -> None:
-    """The command's arguments, beside the others'."""
-    recovery = commands.add_parser("recovery", help="what nodes keep for after a crash (extra `recovery`)")
+    """Add the command's arguments."""
+    recovery = commands.add_parser(
+        "recovery", help="inspect the snapshots that nodes restore from after a crash (extra `recovery`)"
+    )
     subcommands = recovery.add_subparsers(dest="subcommand", required=True)
     for command, what in (
-        ("status", "a node's snapshots in one line"),
-        ("explain", "what a node trusted at its start, what not, and why"),
+        ("status", "print the state of a node's snapshots in one line"),
+        ("explain", "print what a node restored at its start, what it discarded, and why"),
     ):
         asked = subcommands.add_parser(command, help=what)
-        asked.add_argument("address", metavar="ADDRESS:PORT", help="the node's operators' listener")
-    plot = subcommands.add_parser("plot", help="a page of a recovery, from the nodes' logs")
+        asked.add_argument("address", metavar="ADDRESS:PORT", help="the node's operator listener")
+    plot = subcommands.add_parser("plot", help="write an HTML page of a recovery from the nodes' logs")
     plot.add_argument("logs", type=Path, nargs="+", metavar="LOG")
     plot.add_argument("--out", type=Path, required=True, metavar="PAGE")
-    plot.add_argument("--by-start", action="store_true", help="the nodes' starts together, not their clocks")
+    plot.add_argument(
+        "--by-start", action="store_true", help="align the nodes by their starts instead of their clocks"
+    )
     inspect = subcommands.add_parser(
-        "inspect", help="judge a snapshot's file: exit code 0, or 2 with the fault"
+        "inspect", help="check a snapshot file: exit code 0, or 2 with the fault"
     )
     inspect.add_argument("file", type=Path)
-    inspect.add_argument("--json", action="store_true", help="all that is in it")
-    forget = subcommands.add_parser("forget", help="remove a node's snapshots: its next start knows nothing")
+    inspect.add_argument("--json", action="store_true", help="print the whole content as JSON")
+    forget = subcommands.add_parser(
+        "forget", help="remove a node's snapshots, so that its next start is cold"
+    )
     forget.add_argument("folder", type=Path)
     forget.add_argument("--node", required=True, help="the node's name")
 
 
 def main(args: argparse.Namespace) -> int:
-    """Raises ConfigError."""
+    """Run one of the subcommands. Raises ConfigError."""
     if args.subcommand == "inspect":
         return _inspect(args.file, args.json)
     if args.subcommand == "forget":
         return _forget(args.folder, args.node)
     if args.subcommand == "plot":
         return _plot(args.logs, args.out, args.by_start)
-    page = _ask(args.address)
+    page = _fetch_page(args.address)
     if args.subcommand == "status":
         ago = page["written_s_ago"]
         last = "none written yet" if ago is None else f"{ago:.1f} s ago"
@@ -73,17 +79,17 @@
     return 0
 
 
-def _ask(address: str) -> dict[str, Any]:
+def _fetch_page(address: str) -> dict[str, Any]:
     try:
         host, port = parse_address(address)
-        connection = http.client.HTTPConnection(host, port, timeout=ASK_WITHIN)
+        connection = http.client.HTTPConnection(host, port, timeout=REQUEST_TIMEOUT_S)
         connection.request("GET", "/recovery")
         answer = connection.getresponse()
         page = json.loads(answer.read(MAX_ANSWER_BYTES))
     except ListError as err:
         raise ConfigError(f"recovery {address!r}: {err}") from None
     except (OSError, http.client.HTTPException, ValueError) as err:
-        raise ConfigError(f"recovery {address!r}: no answer that can be read ({err})") from None
+        raise ConfigError(f"recovery {address!r}: no readable answer ({err})") from None
     if answer.status != HTTPStatus.OK or not isinstance(page, dict):
         raise ConfigError(f"recovery {address!r}: {answer.status}: {page.get('error', page)}")
     return page
@@ -98,7 +104,7 @@
             itertools.chain.from_iterable(path.read_text(errors="replace").splitlines() for path in logs)
         )
         if not found:
-            raise ConfigError(f"recovery plot {os.fspath(logs[0])!r}: no node's log tells of a recovery")
+            raise ConfigError(f"recovery plot {os.fspath(logs[0])!r}: no node's log contains a recovery")
         out.write_text(page(found, by_start))
     except OSError as err:
         raise ConfigError(f"recovery plot: {err}") from None
--- a/minthitch/cli/settings.py
+++ b/minthitch/cli/settings.py
@@ -1,4 +1,4 @@
-"""A settings file judged by the program that will run it: what it can't do without, and what looks wrong."""
+"""Checks a settings file: errors that prevent a start, and warnings about likely mistakes."""
 
 from __future__ import annotations
 
@@ -13,24 +13,27 @@
 from minthitch.mesh.sidecar import program as sidecar
 from minthitch.mesh.sidecar.shutdown_schedule import ACCEPT_FRACTION, LINGER_S
 
-NEEDS = {"sidecar": sidecar.required_settings, "ctl": control.required_settings}  # by what a process serves
-LEAST_GRACE = LINGER_S / ACCEPT_FRACTION  # seconds that a sidecar needs to leave without a refused client
-SEEDS = 3  # machines that found a group
+NEEDS = {
+    "sidecar": sidecar.required_settings,
+    "ctl": control.required_settings,
+}  # required settings, by what a process serves
+MIN_GRACE_S = LINGER_S / ACCEPT_FRACTION  # for a sidecar to shut down without refusing a client
+SEEDS = 3  # control nodes that found a group
 
 
 def check(found: settings.NodeSettings) -> None:
-    """Raises BadSettings where a key is missing that one of its programs can't do without."""
+    """Raises SettingsError if a key is missing that one of the process's programs requires."""
     for service_kind in found.own.serves:
         if service_kind in NEEDS:
             for key, value in NEEDS[service_kind](found):
                 if not value:
                     raise settings.SettingsError(
-                        key, "", f"is missing, and what serves {service_kind} needs it"
+                        key, "", f"is missing, and a process that serves {service_kind} requires it"
                     )
 
 
 def warnings(found: settings.NodeSettings, text: str) -> Iterator[str]:
-    """One line each, with key and value: what a start would take, and its operator may not have meant."""
+    """A line with key and value for each setting that a start accepts but that is probably a mistake."""
     own, seeds, (first, last) = found.own, found.net.seeds, found.net.port_range
     if not set(own.serves) & set(NEEDS):
         yield f"Self.Serves={','.join(own.serves)}: neither sidecar nor ctl, which the mesh's programs serve"
@@ -39,15 +42,15 @@
     if own.init and "ctl" in own.serves:
         yield "Self.Init=true: right for the first start of the whole system only; set it to false after it"
     grace = found.terms.bounds.grace_s
-    if "sidecar" in own.serves and grace < LEAST_GRACE:
-        needs = f"a sidecar needs {LEAST_GRACE:.1f} to leave without a refused client"
+    if "sidecar" in own.serves and grace < MIN_GRACE_S:
+        needs = f"a sidecar needs {MIN_GRACE_S:.1f} to shut down without refusing a client"
         yield f"Terms.Bnd.GraceS={grace:g}: {needs}"
     if first == last:
-        yield f"Net.PortRange={first},{last}: one port: the lines need no more today, a later version may"
+        yield f"Net.PortRange={first},{last}: one port: connections need no more today, a later version may"
     known = set(_known(settings.NodeSettings, ""))
     for key, value in settings.parse_lines(text).items():
-        if key not in known and not key.startswith(settings.ZONE_PREFIX):
-            yield f"{key}={value}: no such key; a start leaves it aside"
+        if key not in known and not key.startswith(settings.ZONES):
+            yield f"{key}={value}: unknown key; a start ignores it"
 
 
 def _known(table: type[Struct], path: str) -> Iterator[str]:
--- a/tests/mesh/test_cli.py
+++ b/tests/mesh/test_cli.py
@@ -16,7 +16,7 @@
 import lmdb
 import msgpack
 
-from minthitch.cli import shown
+from minthitch.cli import formatting
 from minthitch.cli.commands import main
 from minthitch.mesh.control.state_machine import CLAIM, CONFIG, StateMachine, pack_command
 from minthitch.mesh.idempotency.claims import ClaimCommand
@@ -304,18 +304,18 @@
         }
         found = {"F:1": control, "V:1": sidecar}
         self.assertEqual(
-            [line.split()[:4] for line in shown.status(found)[1:]],
+            [line.split()[:4] for line in formatting.status(found)[1:]],
             [["F:1", "control", "leader", "10.1.0.14"], ["V:1", "sidecar", "ready", "10.1.0.14"]],
         )
         self.assertEqual(
-            [line.split() for line in shown.keys(found)[1::3]],
+            [line.split() for line in formatting.keys(found)[1::3]],
             [
                 ["F:1", "leader", "7", "99", "4", "3", "5", "60.0"],
                 ["V:1", "0", "5", "0", "0", "5", "100", "4", "132.0"],
             ],
         )
         self.assertEqual(
-            [line.split()[0:4] for line in shown.budget(found)[1:3]],
+            [line.split()[0:4] for line in formatting.budget(found)[1:3]],
             [["V:1", "much", "90", "8"], ["V:1", "little", "90", "1"]],
         )
 
--- a/tests/mesh/test_explain.py
+++ b/tests/mesh/test_explain.py
@@ -8,7 +8,7 @@
 from types import SimpleNamespace
 from typing import Any, cast
 
-from minthitch.cli import shown
+from minthitch.cli import formatting
 from minthitch.mesh.http.listener import ClientConnection
 from minthitch.mesh.sidecar.exchange import Exchange
 from minthitch.mesh.sidecar.handlers import AdminHandler
@@ -63,7 +63,7 @@
     def lines(self, number: int) -> str:
         told = self.told(number)
         assert told is not None
-        return "\n".join(shown.request_lines(told))
+        return "\n".join(formatting.request_lines(told))
 
 
 class TracedRequests(unittest.TestCase):
@@ -173,7 +173,7 @@
 
 class StepLines(unittest.TestCase):
     def test_each_step_that_a_sidecar_records_has_a_line(self) -> None:
-        self.assertEqual(set(STEP_FIELDS), set(shown._STEP_LINES))
+        self.assertEqual(set(STEP_FIELDS), set(formatting._STEP_LINES))
 
 
 if __name__ == "__main__":
