--- a/minthitch/cli/change.py
+++ b/minthitch/cli/change.py
@@ -189,13 +189,13 @@
         return "" if change.deletes else f"+ {change.label} {change.item['Ver']}"
     new, old = int(change.item["Ver"], 16), int(present["Ver"], 16)
     if new < old:
-        return f"= {change.label} {change.item['Ver']}: {present['Ver']} stands, which prevails"
+        return f"= {change.label} {change.item['Ver']}: {present['Ver']} is present, which is newer"
     if new == old:
         same = not change.deletes and json.encode(present, order="sorted") == json.encode(
             change.item, order="sorted"
         )
         return (
-            "" if same else f"! {change.label} {change.item['Ver']}: that version stands with other content"
+            "" if same else f"! {change.label} {change.item['Ver']}: that version exists with other content"
         )
     if change.deletes:
         return f"{change.label} {present['Ver']} -> {change.item['Ver']}"
--- a/minthitch/cli/demo.py
+++ b/minthitch/cli/demo.py
@@ -27,14 +27,8 @@
     ("save-trip", 0.2, "by_key", 900, 3000, 3.0),
     ("buy-ticket", 0.1, "once", 900, 3000, 8.0),
 )
-SPEEDS = (
-    0.02,
-    0.03,
-    0.05,
-    0.05,
-    0.15,
-    0.02,
-)  # mean service time of each server in s; the last one starts late, cold
+# Mean service time of each server in s; the last one starts late, cold.
+SPEEDS = (0.02, 0.03, 0.05, 0.05, 0.15, 0.02)
 
 MIN_TIMES = 2  # needed for percentiles
 SECOND_RUN = 2
--- a/minthitch/cli/formatting.py
+++ b/minthitch/cli/formatting.py
@@ -203,8 +203,8 @@
     "lost": lambda s, server_id, after: [
         f"{server_id} gave no answer after {after}: {s['why']}; it may have run; budget {s['budget']:.1f}"
     ],
-    "cancelled": lambda _s, server_id, after: [f"the copy at {server_id} is called off after {after}"],
-    "overdue": lambda _s, _server_id, _after: ["overdue: out for longer than such calls take"],
+    "cancelled": lambda _s, server_id, after: [f"the copy at {server_id} is cancelled after {after}"],
+    "overdue": lambda _s, _server_id, _after: ["overdue: unanswered for longer than such calls take"],
     "gone": lambda _s, _server_id, _after: ["its client has gone"],
     "refused": lambda s, _server_id, _after: [f"no answer of a server: {s['why']}"],
     "replied": lambda s, _server_id, _after: [f"answered {s['status']}"],
--- a/minthitch/cli/mesh.py
+++ b/minthitch/cli/mesh.py
@@ -159,7 +159,9 @@
             answer = ask.ask(address, "POST", f"/Mesh.Trace/{self.seconds}")
             if answer.status != HTTPStatus.OK:
                 raise ConfigError(f"mesh trace {address}: answered {answer.error()}")
-            print(f"{address}: traces for {self.seconds} s" if self.seconds else f"{address}: traces no more")
+            print(
+                f"{address}: tracing for {self.seconds} s" if self.seconds else f"{address}: tracing stopped"
+            )
         return 0
 
 
--- a/minthitch/cli/settings.py
+++ b/minthitch/cli/settings.py
@@ -13,10 +13,8 @@
 from minthitch.mesh.sidecar import program as sidecar
 from minthitch.mesh.sidecar.shutdown_schedule import ACCEPT_FRACTION, LINGER_S
 
-NEEDS = {
-    "sidecar": sidecar.required_settings,
-    "ctl": control.required_settings,
-}  # required settings, by what a process serves
+# Required settings, by what a process serves.
+NEEDS = {"sidecar": sidecar.required_settings, "ctl": control.required_settings}
 MIN_GRACE_S = LINGER_S / ACCEPT_FRACTION  # for a sidecar to shut down without refusing a client
 SEEDS = 3  # control nodes that found a group
 
@@ -38,7 +36,7 @@
     if not set(own.serves) & set(NEEDS):
         yield f"Self.Serves={','.join(own.serves)}: neither sidecar nor ctl, which the mesh's programs serve"
     if len(set(seeds)) != SEEDS:
-        yield f"Net.Seeds={','.join(seeds)}: {len(set(seeds))} machines, and a group is founded by {SEEDS}"
+        yield f"Net.Seeds={','.join(seeds)}: {len(set(seeds))} control nodes, a group is founded by {SEEDS}"
     if own.init and "ctl" in own.serves:
         yield "Self.Init=true: right for the first start of the whole system only; set it to false after it"
     grace = found.terms.bounds.grace_s
@@ -49,7 +47,7 @@
         yield f"Net.PortRange={first},{last}: one port: connections need no more today, a later version may"
     known = set(_known(settings.NodeSettings, ""))
     for key, value in settings.parse_lines(text).items():
-        if key not in known and not key.startswith(settings.ZONES):
+        if key not in known and not key.startswith(settings.ZONE_PREFIX):
             yield f"{key}={value}: unknown key; a start ignores it"
 
 
--- a/minthitch/embedded/client.py
+++ b/minthitch/embedded/client.py
@@ -182,10 +182,9 @@
         with self._result_queues_lock:
             queue = self._result_queues.get(loop)
             if queue is None:
+                # Danger: without this, a host that keeps creating loops would leak memory.
                 for ended in [known for known in self._result_queues if known.is_closed()]:
-                    del self._result_queues[
-                        ended
-                    ]  # danger: a host that keeps creating loops would leak memory
+                    del self._result_queues[ended]
                 queue = self._result_queues[loop] = LoopQueue(loop, LoopPendingCall.resolve)
         return queue
 
--- a/minthitch/embedded/process_exit.py
+++ b/minthitch/embedded/process_exit.py
@@ -87,7 +87,10 @@
 
 
 def _settle_and_resend(workers: list[Worker]) -> None:
-    """Danger: in the handler itself this would block the host's loop, and its tasks would get no answer."""
+    """Runs on its own thread.
+
+    Danger: in the handler itself it would block the host's loop, and its tasks would get no answer.
+    """
     _close_concurrently(workers)
     os.kill(os.getpid(), signal.SIGTERM)
 
--- a/minthitch/embedded/worker.py
+++ b/minthitch/embedded/worker.py
@@ -44,9 +44,7 @@
         self.state = "new"
         self.pid = os.getpid()
         self.held: set[PendingCall] = set()
-        self.failure: BaseException | None = (
-            None  # the error that ended the thread; None after a normal close
-        )
+        self.failure: BaseException | None = None  # what ended the thread, unless it was a close
         self.started, self.stopped = threading.Event(), threading.Event()
         self.stop_callbacks: list[Callable[[], None]] = []
         self.thread = threading.Thread(target=self._run, name=f"minthitch-{config.name}", daemon=True)
@@ -70,9 +68,8 @@
 
     def check_open(self) -> None:
         """Raises ClientClosed unless the client accepts calls."""
-        if (
-            self.pid != os.getpid()
-        ):  # danger: fork does not copy the engine's thread, so no call would be answered
+        # Danger: fork does not copy the engine's thread, so no call would be answered.
+        if self.pid != os.getpid():
             raise ClientClosed(
                 f"the client belongs to process {self.pid}, before the fork: make one after the fork"
             )
