--- a/minthitch/embedded/client.py
+++ b/minthitch/embedded/client.py
@@ -83,7 +83,7 @@
 
     @property
     def started(self) -> bool:
-        """Whether the client was ever started, even if it is closed now."""
+        """Whether the client was started or closed, so that it can't be started any more."""
         return self._worker.state != "new"
 
     @property
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -50,9 +50,9 @@
 def test_check_summarises_a_valid_configuration(tmp_path: Path) -> None:
     done = command("check", "deploy/minthitch.toml")
     assert done.returncode == 0 and not done.stderr
-    told = json.loads(done.stdout.split(": good ", 1)[1])
-    assert told["classes"] == {"route-search": "safe", "save-trip": "keyed", "buy-ticket": "unsafe"}
-    assert told["servers"] == ["127.0.0.1:9001", "127.0.0.1:9002"]
+    described = json.loads(done.stdout.split(": good ", 1)[1])
+    assert described["classes"] == {"route-search": "safe", "save-trip": "keyed", "buy-ticket": "unsafe"}
+    assert described["servers"] == ["127.0.0.1:9001", "127.0.0.1:9002"]
     path = tmp_path / "platform.json"
     path.write_text(
         json.dumps({"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": SETTINGS})
--- a/tests/test_embedded.py
+++ b/tests/test_embedded.py
@@ -581,12 +581,12 @@
 async def _asyncio_cancels_all() -> None:
     async with tier(never) as servers:
         body = """
-        heard = []
+        outcomes = []
         async def hold(client):
             try:
-                heard.append(type(await client.call("buy")).__name__)
+                outcomes.append(type(await client.call("buy")).__name__)
             except asyncio.CancelledError:
-                heard.append("cancelled")
+                outcomes.append("cancelled")
                 raise
         async def main():
             global client
@@ -602,7 +602,7 @@
         asyncio.run(main())
         while client.held:
             time.sleep(0.01)
-        print(*heard, time.monotonic() - began < 4.0)
+        print(*outcomes, time.monotonic() - began < 4.0)
         """
         code, out, _ = await _program(body, servers.addresses[0])
         assert (code, out.split()) == (0, ["cancelled"] * 3 + ["True"]), out
