--- a/minthitch/embedded/client.py
+++ b/minthitch/embedded/client.py
@@ -1,4 +1,4 @@
-"""The public clients: one for hosts with a loop, one for hosts without."""
+"""The public clients: `Client` for asyncio, `BlockingClient` for threads."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 from minthitch import operatorfile
 from minthitch.config import NO_SERVERS, Config, ConfigError
-from minthitch.embedded import exits
-from minthitch.embedded.handover import Handover
-from minthitch.embedded.requests import Headers, Maker
-from minthitch.embedded.tickets import LoopTicket, ThreadTicket
+from minthitch.embedded import process_exit
+from minthitch.embedded.loop_queue import LoopQueue
+from minthitch.embedded.pending import LoopPendingCall, ThreadPendingCall
+from minthitch.embedded.requests import CallBuilder, Headers
 from minthitch.embedded.worker import Worker
 from minthitch.engine import Answer, Call, Refused
 from minthitch.interface import Settings
 from minthitch.listing import ListError, static_listing
 
-CLOSE_WITHIN = 3.4  # seconds in which a close settles all that is held, if nothing else is said
-Fields = Iterable[tuple[bytes, bytes]]
+DEFAULT_CLOSE_WITHIN = 3.4  # seconds in which a close settles all held calls
+RawHeaders = Iterable[tuple[bytes, bytes]]
 
 
 def configure(
@@ -34,7 +34,7 @@
     seed: int | None = None,
     sockets: int = 1024,
 ) -> Config:
-    """A client's configuration from settings and either a static list (`address:port`) or discovery.
+    """A client configuration from settings and either a static server list (`address:port`) or discovery.
 
     Raises ConfigError.
     """
@@ -52,51 +52,51 @@
     return source if isinstance(source, Config) else operatorfile.read(source)
 
 
-class _Base:
-    """What both clients share: the worker's life, and calls made from arguments."""
+class _BaseClient:
+    """What both clients share: the worker's lifecycle, and building calls from arguments."""
 
     def __init__(
         self,
         config: Config | str | os.PathLike[str],
         *,
-        close_within: float = CLOSE_WITHIN,
+        close_within: float = DEFAULT_CLOSE_WITHIN,
         settle_on_sigterm: bool = False,
     ) -> None:
         """`config`: a Config (`configure`) or the path of an operator file (TOML).
 
         `close_within`: seconds in which a close settles every held call. `settle_on_sigterm`: on SIGTERM
-        settle all first, then do what the process did before; set it from the main thread, and only where
-        nobody else handles the signal. Raises ConfigError.
+        settle held calls, then run the previous signal handler. It needs a start in the main thread, and
+        that nothing else replaces the handler. Raises ConfigError.
         """
         if not 0 < close_within < 3600:
             raise ConfigError(f"close_within = {close_within!r} is not a number of seconds above 0")
         config = _config(config)
         self.settings = config.settings
-        self._maker = Maker(config.settings, config.name)
+        self._call_builder = CallBuilder(config.settings, config.name)
         self._worker = Worker(config, close_within)
         self._settle_on_sigterm = settle_on_sigterm
 
     @property
     def held(self) -> int:
-        """Calls that are not settled yet."""
+        """The number of calls that are not settled yet."""
         return len(self._worker.held)
 
     @property
     def started(self) -> bool:
-        """Whether it was started, and perhaps closed since."""
+        """Whether the client was started or closed, so that it can't be started any more."""
         return self._worker.state != "new"
 
     @property
     def ready(self) -> bool:
-        """Whether calls are taken and a list of servers is there."""
+        """Whether the client accepts calls and has a server list."""
         worker = self._worker
         return worker.state == "open" and worker.engine is not None and worker.engine.have_list
 
     def _start(self) -> None:
         self._worker.start()
-        exits.register(self._worker)
+        process_exit.register(self._worker)
         if self._settle_on_sigterm:
-            exits.settle_on_sigterm(self._worker)
+            process_exit.settle_on_sigterm(self._worker)
 
     def _call(
         self,
@@ -112,7 +112,7 @@
         repeat: bool,
         identity: str | None,
     ) -> Call:
-        return self._maker.direct(
+        return self._call_builder.from_arguments(
             service_class,
             target,
             body,
@@ -128,8 +128,8 @@
         )
 
 
-class Client(_Base):
-    """Balanced calls from asyncio, from any number of loops.
+class Client(_BaseClient):
+    """Load-balanced calls for asyncio, usable from any number of loops.
 
         async with Client("minthitch.toml") as client:
             match await client.call("search", "/search?q=lahore"):
@@ -137,22 +137,22 @@
                 case Refused(retry_after=seconds): ...
                 case Failed(): ...
 
-    Each call ends once. A task that is cancelled while it waits counts as a caller that left.
+    Each call has exactly one outcome. Cancelling a task that awaits a call abandons the call.
     """
 
     def __init__(
         self,
         config: Config | str | os.PathLike[str],
         *,
-        close_within: float = CLOSE_WITHIN,
+        close_within: float = DEFAULT_CLOSE_WITHIN,
         settle_on_sigterm: bool = False,
     ) -> None:
         super().__init__(config, close_within=close_within, settle_on_sigterm=settle_on_sigterm)
-        self._mailboxes: dict[asyncio.AbstractEventLoop, Handover[LoopTicket]] = {}
-        self._mailbox_lock = threading.Lock()
+        self._result_queues: dict[asyncio.AbstractEventLoop, LoopQueue[LoopPendingCall]] = {}
+        self._result_queues_lock = threading.Lock()
 
     async def start(self) -> None:
-        """Starts the engine. Raises ClientClosed if it was started before."""
+        """Start the engine. Raises ClientClosed if it was started before."""
         self._start()
 
     async def __aenter__(self) -> Self:
@@ -165,27 +165,28 @@
         await self.aclose()
 
     async def aclose(self) -> None:
-        """Settles all that is held within `close_within`, then ends the engine. May be called again."""
+        """Settle all held calls within `close_within`, then stop the engine. May be called more than once."""
         self._worker.begin_close()
-        loop, down = asyncio.get_running_loop(), asyncio.Event()
+        loop, stopped = asyncio.get_running_loop(), asyncio.Event()
 
-        def tell() -> None:
-            # Danger: the loop may have ended meanwhile, and the engine's thread must not fail over it.
+        def notify() -> None:
+            # Danger: the loop may be closed by now, which must not raise in the engine's thread.
             if not loop.is_closed():
-                loop.call_soon_threadsafe(down.set)
+                loop.call_soon_threadsafe(stopped.set)
 
-        self._worker.call_when_down(tell)
-        await down.wait()
+        self._worker.call_when_stopped(notify)
+        await stopped.wait()
 
-    def _mailbox(self) -> Handover[LoopTicket]:
+    def _result_queue(self) -> LoopQueue[LoopPendingCall]:
         loop = asyncio.get_running_loop()
-        with self._mailbox_lock:
-            box = self._mailboxes.get(loop)
-            if box is None:
-                for ended in [known for known in self._mailboxes if known.is_closed()]:
-                    del self._mailboxes[ended]  # danger: a host that makes loops would fill the memory
-                box = self._mailboxes[loop] = Handover(loop, LoopTicket.resolve)
-        return box
+        with self._result_queues_lock:
+            queue = self._result_queues.get(loop)
+            if queue is None:
+                # Danger: without this, a host that keeps creating loops would leak memory.
+                for ended in [known for known in self._result_queues if known.is_closed()]:
+                    del self._result_queues[ended]
+                queue = self._result_queues[loop] = LoopQueue(loop, LoopPendingCall.resolve)
+        return queue
 
     async def call(
         self,
@@ -202,11 +203,12 @@
         repeat: bool = False,
         identity: str | None = None,
     ) -> Answer:
-        """Sends to the tier; `Served`, `Refused` or `Failed` by `timeout` s or the class's deadline.
+        """Send a request to the tier; the result comes within `timeout` s or the class's deadline.
 
-        `key`: the idempotency key of a keyed class. `tenant`, `session`: whose and about what it is. `cost`:
-        a guess at its work in s. `repeat`: the caller tried before. `identity`: its id, else a new one.
-        Raises BadCall where no server could use it, ClientClosed where the client takes no calls.
+        `key`: the idempotency key, for a keyed class. `tenant`, `session`: the account and the session that
+        the call belongs to. `cost`: its estimated work in s. `repeat`: this is a retry by the caller.
+        `identity`: its id (default: a new one). Raises BadCall for an invalid call, ClientClosed if the
+        client does not accept calls.
         """
         return await self._wait(
             self._call(
@@ -215,27 +217,34 @@
         )
 
     async def send(
-        self, method: bytes, target: bytes, fields: Fields, body: bytes = b"", timeout: float | None = None
+        self,
+        method: bytes,
+        target: bytes,
+        fields: RawHeaders,
+        body: bytes = b"",
+        timeout: float | None = None,
     ) -> Answer:
-        """The same from a request's raw parts; its fields name it as at the daemon."""
-        return await self._wait(self._maker.call(method, target, fields, body, timeout, time.monotonic_ns()))
+        """Like `call`, from a request's raw parts; class, id and key are header fields, as for the daemon."""
+        return await self._wait(
+            self._call_builder.from_raw(method, target, fields, body, timeout, time.monotonic_ns())
+        )
 
     async def _wait(self, call: Call) -> Answer:
-        ticket = LoopTicket(call, self._worker, self._mailbox())
-        if (full := self._worker.submit(ticket)) is not None:
-            return full
+        pending = LoopPendingCall(call, self._worker, self._result_queue())
+        if (refused := self._worker.submit(pending)) is not None:
+            return refused
         try:
-            return await ticket.future
+            return await pending.future
         except asyncio.CancelledError:
-            self._worker.abandon(ticket)
+            self._worker.abandon(pending)
             raise
 
 
-class BlockingClient(_Base):
-    """The same for hosts without a loop, from any number of threads."""
+class BlockingClient(_BaseClient):
+    """Load-balanced calls for hosts without a loop, usable from any number of threads."""
 
     def start(self) -> None:
-        """Starts the engine. Raises ClientClosed if it was started before."""
+        """Start the engine. Raises ClientClosed if it was started before."""
         self._start()
 
     def __enter__(self) -> Self:
@@ -248,7 +257,7 @@
         self.close()
 
     def close(self) -> None:
-        """Settles all that is held within `close_within`, then ends the engine. May be called again."""
+        """Settle all held calls within `close_within`, then stop the engine. May be called more than once."""
         self._worker.close()
 
     def call(
@@ -266,20 +275,20 @@
         repeat: bool = False,
         identity: str | None = None,
     ) -> Answer:
-        """As `Client.call`. Must not be called from a coroutine: it blocks."""
+        """Like `Client.call`, but blocks. Must not be called from a coroutine."""
         call = self._call(
             service_class, target, body, headers, timeout, key, tenant, session, cost, repeat, identity
         )
-        ticket = ThreadTicket(call, self._worker)
-        full: Refused | None = self._worker.submit(ticket)
-        if full is not None:
-            return full
+        pending = ThreadPendingCall(call, self._worker)
+        refused: Refused | None = self._worker.submit(pending)
+        if refused is not None:
+            return refused
         try:
-            ticket.done.wait()
-        except BaseException:  # KeyboardInterrupt, or what a signal handler raised: nobody waits any more
-            self._worker.abandon(ticket)
+            pending.done.wait()
+        except BaseException:  # KeyboardInterrupt, or raised by a signal handler
+            self._worker.abandon(pending)
             raise
-        if isinstance(ticket.result, BaseException):
-            raise ticket.result
-        assert ticket.result is not None
-        return ticket.result
+        if isinstance(pending.result, BaseException):
+            raise pending.result
+        assert pending.result is not None
+        return pending.result
--- a/minthitch/httpx_transport.py
+++ b/minthitch/httpx_transport.py
@@ -1,6 +1,7 @@
 """A transport for httpx: `httpx.AsyncClient(transport=BalancedTransport(client, "search"))`.
 
-Needs the extra `httpx`. Refused and failed are answers 503 and 502, as from the daemon; nothing is resent.
+Needs the extra `httpx`. Refused and failed calls become responses 503 and 502, as from the daemon; the
+transport resends nothing.
 """
 
 from __future__ import annotations
@@ -13,15 +14,15 @@
 
 from minthitch.embedded.client import Client
 from minthitch.embedded.errors import BadCall, ClientClosed
-from minthitch.embedded.requests import of_class, whole_seconds
+from minthitch.embedded.requests import retry_after_seconds, with_service_class
 from minthitch.engine.calls import Refused, Served
 
 
 class BalancedTransport(httpx.AsyncBaseTransport):
-    """Requests of an httpx client, balanced. The request's host says nothing: the client's servers take it.
+    """Sends the requests of an httpx client through `client`; the host in the URL does not choose the server.
 
-    `service_class`: of each request, or by method. A single request's class may be named by
-    `extensions={"service_class": NAME}`. httpx's read time-out is the call's. The client is started and
+    `service_class`: the class of all requests, or one for each method. `extensions={"service_class": NAME}`
+    sets it for one request. httpx's read timeout is the timeout of the call. The client is started and
     closed with the transport unless it was started before.
     """
 
@@ -66,9 +67,9 @@
         return self.service_class[request.method]
 
     async def handle_async_request(self, request: httpx.Request) -> httpx.Response:
-        """Raises httpx.LocalProtocolError for a call that no server could use, ConnectError when closed."""
+        """Raises httpx.LocalProtocolError for an invalid call, ConnectError when the client is closed."""
         await self._start()
-        fields = of_class(request.headers.raw, self._class(request))
+        fields = with_service_class(request.headers.raw, self._class(request))
         timeout = request.extensions.get("timeout", {}).get("read")
         try:
             answer = await self.client.send(
@@ -81,6 +82,6 @@
         if isinstance(answer, Served):
             return httpx.Response(200, headers=list(answer.fields), content=answer.body, request=request)
         if isinstance(answer, Refused):
-            wait = {b"Retry-After": whole_seconds(answer)} if answer.retry_after_ns else {}
+            wait = {b"Retry-After": retry_after_seconds(answer)} if answer.retry_after_ns else {}
             return httpx.Response(503, headers=wait, request=request)
         return httpx.Response(502, request=request)
