--- a/bench/meshsize.py
+++ b/bench/meshsize.py
@@ -21,7 +21,7 @@
 from minthitch.mesh.registry.merged_views import MergedViews
 from minthitch.mesh.registry.records import SidecarRecord
 from minthitch.mesh.registry.registry import Registry, RegistryDelta
-from rigs.simulation.size import SPREAD, Crowd, Used
+from rigs.simulation.size import START_SPREAD_S, LargeSite, Usage
 
 SIZES, QUICK_SIZES = (20, 100, 1_000), (20, 100)
 FEW, MANY = 10, 2_000  # routes
@@ -36,7 +36,7 @@
 TOLD_MOST = (
     BATCH_INTERVAL_S + 0.08
 )  # seconds from an acknowledgement to the last sidecar: gathered, a sync, two ways
-REPLACED_WORDS = SPREAD / BATCH_INTERVAL_S + 4.0  # words to each sidecar while a service is replaced
+REPLACED_WORDS = START_SPREAD_S / BATCH_INTERVAL_S + 4.0  # words to each sidecar while a service is replaced
 START_WORDS = 2.0 * REPLACED_WORDS  # a word to a new sidecar, and those of all that come after it
 
 
@@ -44,44 +44,44 @@
     """One size's figures: of a control node, in the mean of three."""
 
     sidecars: int
-    start: Used
-    rest: Used  # a second
-    sidecar: Used  # a second, of a sidecar at rest
-    state: Used  # beyond the rest
+    start: Usage
+    rest: Usage  # a second
+    sidecar: Usage  # a second, of a sidecar at rest
+    state: Usage  # beyond the rest
     state_told: tuple[float, float]  # median and most seconds
-    change: Used
+    change: Usage
     change_told: tuple[float, float]
-    replaced: Used
-    pair: Used  # a second of a sidecar with a quiet line to every other one, beyond the rest
+    replaced: Usage
+    pair: Usage  # a second of a sidecar with a quiet line to every other one, beyond the rest
 
 
-def told(crowd: Crowd) -> tuple[float, float]:
+def told(crowd: LargeSite) -> tuple[float, float]:
     delays = crowd.delays()
-    assert len(delays) == len(crowd.told), f"{len(delays)} of {len(crowd.told)} were told"
+    assert len(delays) == len(crowd.reporters), f"{len(delays)} of {len(crowd.reporters)} were told"
     return median(delays), delays[-1]
 
 
 def played(count: int, routes: int = FEW) -> Row:
-    crowd = Crowd(count, routes=routes)
+    crowd = LargeSite(count, routes=routes)
     crowd.begin()
-    start = crowd.spent()
-    rest = min((crowd.over(WINDOW) for _ in range(LOOKS)), key=lambda used: used.busy)
-    sidecar = crowd.over(WINDOW, ips=crowd.keepers())
-    state = crowd.over(WINDOW, crowd.drain).less(rest)
+    start = crowd.usage()
+    rest = min((crowd.usage_during(WINDOW) for _ in range(LOOKS)), key=lambda used: used.busy)
+    sidecar = crowd.usage_during(WINDOW, ips=crowd.list_keepers())
+    state = crowd.usage_during(WINDOW, crowd.drain).minus(rest)
     state_told = told(crowd)
-    change = crowd.over(WINDOW, crowd.change).less(rest)
+    change = crowd.usage_during(WINDOW, crowd.change).minus(rest)
     change_told = told(crowd)
-    replaced = crowd.over(WINDOW, lambda: crowd.replace("svc-1", SPREAD)).less(rest)
-    met = crowd.meet(MEETERS)
+    replaced = crowd.usage_during(WINDOW, lambda: crowd.replace("svc-1", START_SPREAD_S)).minus(rest)
+    met = crowd.connect_to_all(MEETERS)
     crowd.loop.run_until(crowd.loop.now + WINDOW)
-    pair = crowd.over(WINDOW, ips=met).less(sidecar).by(WINDOW)
+    pair = crowd.usage_during(WINDOW, ips=met).minus(sidecar).divided_by(WINDOW)
     crowd.close()
     assert not crowd.faults, crowd.faults[0]
     return Row(
         count,
         start,
-        rest.by(WINDOW),
-        sidecar.by(WINDOW),
+        rest.divided_by(WINDOW),
+        sidecar.divided_by(WINDOW),
         state,
         state_told,
         change,
@@ -125,19 +125,19 @@
     rest, sidecar = row.rest, row.sidecar
     print(f"{n} sidecars")
     print(
-        f"  a control node at rest, a second: {rest.words_out:.0f} words and {rest.beats_out:.0f} beats out, "
+        f"  a control node at rest, a second: {rest.messages_out:.0f} words and {rest.heartbeats_out:.0f} beats out, "
         f"{rest.bytes_in:.0f} bytes in, {rest.bytes_out:.0f} out, "
         f"{1000 * rest.busy:.1f} ms of processor"
     )
     print(
-        f"  a sidecar at rest, a second: {sidecar.words_out:.1f} words and {sidecar.beats_out:.1f} "
+        f"  a sidecar at rest, a second: {sidecar.messages_out:.1f} words and {sidecar.heartbeats_out:.1f} "
         f"beats out, "
         f"{sidecar.bytes_out:.0f} bytes out, {1000 * sidecar.busy:.2f} ms; with a quiet line to every "
         f"other one "
-        f"{row.pair.words_out + row.pair.beats_out:+.1f} words and beats, {1000 * row.pair.busy:+.2f} ms"
+        f"{row.pair.messages_out + row.pair.heartbeats_out:+.1f} words and beats, {1000 * row.pair.busy:+.2f} ms"
     )
     print(
-        f"  start within {SPREAD:g} s: {row.start.words_out / n:.1f} words and "
+        f"  start within {START_SPREAD_S:g} s: {row.start.messages_out / n:.1f} words and "
         f"{row.start.bytes_out / n:.0f} bytes to each, {1000 * row.start.busy / n:.2f} ms for each"
     )
     for name, used, delays in (
@@ -145,11 +145,11 @@
         ("one item of the configuration", row.change, row.change_told),
     ):
         print(
-            f"  {name}: {used.words_out / n:.2f} words and {used.bytes_out / n:.0f} bytes each; told after "
+            f"  {name}: {used.messages_out / n:.2f} words and {used.bytes_out / n:.0f} bytes each; told after "
             f"{1000 * delays[0]:.0f} ms in the median, {1000 * delays[1]:.0f} at most"
         )
     print(
-        f"  a service replaced within {SPREAD:g} s: {row.replaced.words_out / n:.1f} words and "
+        f"  a service replaced within {START_SPREAD_S:g} s: {row.replaced.messages_out / n:.1f} words and "
         f"{row.replaced.bytes_out / n:.0f} bytes to each, {1000 * row.replaced.busy / n:.2f} ms for each"
     )
 
@@ -174,11 +174,14 @@
             ("state", row.state, row.state_told),
             ("item", row.change, row.change_told),
         ):
-            check(used.words_out / n < LIKE, f"one {what} is {used.words_out / n:.2f} words to each of {n}")
+            check(
+                used.messages_out / n < LIKE,
+                f"one {what} is {used.messages_out / n:.2f} words to each of {n}",
+            )
             check(delays[1] < TOLD_MOST, f"one {what} is told to {n} after {delays[1]:.3f} s")
-        words = row.replaced.words_out / n
+        words = row.replaced.messages_out / n
         check(words < REPLACED_WORDS, f"a service replaced is {words:.0f} words to each of {n}")
-        words = row.start.words_out / n
+        words = row.start.messages_out / n
         check(words < START_WORDS, f"a start is {words:.0f} words to each of {n}")
         check(
             _alike(row.state.bytes_out / n, rows[0].state.bytes_out / rows[0].sidecars),
--- a/rigs/simulation/checks.py
+++ b/rigs/simulation/checks.py
@@ -6,15 +6,15 @@
 from collections import defaultdict
 from typing import Any
 
-from rigs.simulation.calm import CONTACT, Calm
+from rigs.simulation.fault_spans import CONTACT_S, FaultSpans
 from rigs.simulation.history import Event, History, asked_requests
-from rigs.simulation.mesh import KEY_WINDOW, RATIO, SIDECARS, SLACK, WINDOW
+from rigs.simulation.mesh import KEY_WINDOW_S, RETRY_RATIO, RETRY_SLACK, RETRY_WINDOW_S, SIDECARS
 from rigs.simulation.shutdown_checks import broken_off, lost
 
-APPLY, DRAIN, LATE = 2.0, 2.0, 0.1  # seconds
-REFUSALS = (408, 421, 429, 503)
-SYNC = 4.0  # seconds after all is well until the control nodes hold again as many copies as they must
-RECOVER = 4.0  # seconds after the last fault from which most requests must be served
+APPLY_S, DRAIN_S, LATE_S = 2.0, 2.0, 0.1  # seconds
+REFUSAL_STATUSES = (408, 421, 429, 503)
+RESYNC_S = 4.0  # seconds after all is well until the control nodes hold again as many copies as they must
+RECOVERY_S = 4.0  # seconds after the last fault from which most requests must be served
 
 
 def violations(history: History) -> list[str]:
@@ -32,7 +32,7 @@
     return [e for e in history.of("arrival") if e.data["ran"]]
 
 
-def once(history: History) -> list[str]:
+def executed_at_most_once(history: History) -> list[str]:
     found = []
     asked = asked_requests(history)
     by_id: dict[str, Event] = {}
@@ -45,7 +45,7 @@
         if key:
             sent = asked[name].at
             for other in by_key[key]:
-                if abs(sent - asked[other.data["id"]].at) < KEY_WINDOW and other.data["id"] != name:
+                if abs(sent - asked[other.data["id"]].at) < KEY_WINDOW_S and other.data["id"] != name:
                     found.append(
                         f"ONCE: {key} ran for {other.data['id']} at {other.at:.3f} and for {name} "
                         f"at {run.at:.3f}"
@@ -54,18 +54,18 @@
     return found
 
 
-def refused(history: History) -> list[str]:
+def refused_not_executed(history: History) -> list[str]:
     asked, ran = asked_requests(history), {e.data["id"]: e for e in _runs(history)}
     return [
         f"REFUSED: {e.data['id']} got {e.data['status']} at {e.at:.3f}, ran at {ran[e.data['id']].at:.3f}"
         for e in history.of("told")
-        if e.data["status"] in REFUSALS
+        if e.data["status"] in REFUSAL_STATUSES
         and e.data["id"] in ran
         and asked[e.data["id"]].data["kind"] != "idempotent"
     ]
 
 
-def mixed(history: History) -> list[str]:
+def bodies_match(history: History) -> list[str]:
     """A success is the whole answer of a run of that request, or of its key's."""
     asked = asked_requests(history)
     said: dict[str, set[str]] = defaultdict(set)
@@ -81,25 +81,25 @@
     return found
 
 
-def answered(history: History) -> list[str]:
+def answered_once_in_time(history: History) -> list[str]:
     """One answer to each, in time where its sidecar was not in trouble; none that no rule of ours
     explains.
     """
-    found, calm = [], Calm(history)
+    found, spans = [], FaultSpans(history)
     told: dict[str, list[Event]] = defaultdict(list)
     early = {e.data["id"] for e in history.of("gave up") if e.data["early"]}
     for event in history.of("told", "unheard"):
         told[event.data["id"]].append(event)
     end = history.events[-1].at
     for name, ask in asked_requests(history).items():
-        until = ask.at + ask.data["deadline"] + LATE
+        until = ask.at + ask.data["deadline"] + LATE_S
         answers = [e for e in told[name] if e.what == "told"]
         if len(answers) > 1:
             found.append(f"ANSWERED: {name} {len(answers)} times, last at {answers[-1].at:.3f}")
         in_time = any(e.at <= until for e in told[name])
-        if not in_time and name not in early and until < end and calm.calm(ask.who, ask.at - 0.1, until):
+        if not in_time and name not in early and until < end and spans.is_calm(ask.who, ask.at - 0.1, until):
             found.append(f"ANSWERED: {name} ({ask.data['kind']}) at {ask.who} not by {until:.3f}")
-        if answers and answers[0].data["status"] in (400, 404, 422) and ask.at > 2.0 + APPLY:
+        if answers and answers[0].data["status"] in (400, 404, 422) and ask.at > 2.0 + APPLY_S:
             found.append(f"DENIED: {name} got {answers[0].data['status']} at {answers[0].at:.3f}")
     return found
 
@@ -124,7 +124,7 @@
     ]
 
 
-def acked(history: History) -> list[str]:
+def acknowledged_changes_kept(history: History) -> list[str]:
     found = [
         f"CONFIG: invalid acknowledged at {e.at:.3f}"
         for e in history.of("verdict")
@@ -155,7 +155,7 @@
     return found
 
 
-def back(history: History) -> list[str]:
+def versions_never_fall(history: History) -> list[str]:
     found = []
     newest: dict[tuple[str, int], Event] = {}
     for event in history.of("table"):
@@ -175,51 +175,55 @@
     return found
 
 
-class Tables:
+class TableVersions:
     """Which version each sidecar has had, life by life."""
 
     def __init__(self, history: History) -> None:
         self.starts: dict[str, list[float]] = defaultdict(list)
-        self.news: dict[tuple[str, int], list[Event]] = defaultdict(list)  # sidecar, number of its life
+        self.updates: dict[tuple[str, int], list[Event]] = defaultdict(list)  # sidecar, number of its life
         for event in history.of("table", "start"):
             if event.what == "start":
                 self.starts[event.who].append(event.at)
             else:
-                self.news[event.who, len(self.starts[event.who])].append(event)
+                self.updates[event.who, len(self.starts[event.who])].append(event)
 
     def since(self, sidecar: str, at: float, name: str, ver: int) -> float:
         """From when on it had that version in the life that it was in at `at`."""
-        news = self.news.get((sidecar, bisect_right(self.starts[sidecar], at)), ())
-        return next((e.at for e in news if e.data["rows"].get(name, (-1,))[0] >= ver), float("inf"))
+        updates = self.updates.get((sidecar, bisect_right(self.starts[sidecar], at)), ())
+        return next((e.at for e in updates if e.data["rows"].get(name, (-1,))[0] >= ver), float("inf"))
 
 
 def delays(history: History) -> list[float]:
     """Seconds from each acknowledgement until the last sidecar in touch had it, where the core was calm."""
-    tables, calm = Tables(history), Calm(history)
+    tables, spans = TableVersions(history), FaultSpans(history)
     rows = []
     for at, name, ver, _ in _acks(history):
-        near = [
+        reachable = [
             v
             for v in SIDECARS
-            if calm.touch(v, at) and calm.calm(v, at, at + APPLY) and calm.calm("core", at, at + APPLY)
+            if spans.in_contact(v, at)
+            and spans.is_calm(v, at, at + APPLY_S)
+            and spans.is_calm("core", at, at + APPLY_S)
         ]
-        if near:
-            rows.append(max(tables.since(sidecar, at, name, ver) for sidecar in near) - at)
+        if reachable:
+            rows.append(max(tables.since(sidecar, at, name, ver) for sidecar in reachable) - at)
     return rows
 
 
-def applied(history: History) -> list[str]:
-    """Where a sidecar is in touch APPLY after an acknowledgement, or later, it has it."""
-    found, calm, tables = [], Calm(history), Tables(history)
+def applied_in_time(history: History) -> list[str]:
+    """Where a sidecar is in touch APPLY_S after an acknowledgement, or later, it has it."""
+    found, spans, tables = [], FaultSpans(history), TableVersions(history)
     end = history.events[-1].at
     ends = sorted(e.at for e in history.of("well"))
     for at, name, ver, _ in _acks(history):
-        looks = [at + APPLY, *(e + CONTACT + 0.01 for e in ends if e + CONTACT > at + APPLY)]
+        check_times = [at + APPLY_S, *(e + CONTACT_S + 0.01 for e in ends if e + CONTACT_S > at + APPLY_S)]
         for sidecar in SIDECARS:
             late = [
-                look
-                for look in looks
-                if look < end and calm.touch(sidecar, look) and tables.since(sidecar, look, name, ver) > look
+                check_time
+                for check_time in check_times
+                if check_time < end
+                and spans.in_contact(sidecar, check_time)
+                and tables.since(sidecar, check_time, name, ver) > check_time
             ]
             if late:
                 found.append(
@@ -228,22 +232,22 @@
     return found
 
 
-def synced(history: History) -> list[str]:
-    """Where the core was calm for SYNC, each control node votes and holds what was agreed: a disk may be
+def replicas_restored(history: History) -> list[str]:
+    """Where the core was calm for RESYNC_S, each control node votes and holds what was agreed: a disk may be
     lost.
     """
-    calm = Calm(history)
+    spans = FaultSpans(history)
     return [
         f"SYNC: not whole again at {e.at:.3f}"
         for e in history.of("unsynced")
-        if calm.calm("core", e.at - SYNC, e.at)
+        if spans.is_calm("core", e.at - RESYNC_S, e.at)
     ]
 
 
 # Servers --------------------------------------------------------------------------------------------
 
 
-def budget(history: History) -> list[str]:
+def retry_budget(history: History) -> list[str]:
     found = []
     asked, first = defaultdict(list), set[str]()
     first.update(e.data["id"] for e in history.of("inner") if e.data["repeat"])  # calls of repeated runs
@@ -257,13 +261,16 @@
             first.add(event.data["id"])
     for service, times in further.items():
         for n, at in enumerate(times):  # windows that end with a further arrival
-            start = at - WINDOW
+            start = at - RETRY_WINDOW_S
             count = n + 1 - bisect_right(times, start, 0, n + 1)
-            most = max(_count(asked[service], start - shift, at - shift) for shift in (0, WINDOW / 2, WINDOW))
-            if count > RATIO * most + SLACK:
+            most = max(
+                _count(asked[service], start - shift, at - shift)
+                for shift in (0, RETRY_WINDOW_S / 2, RETRY_WINDOW_S)
+            )
+            if count > RETRY_RATIO * most + RETRY_SLACK:
                 found.append(
                     f"BUDGET: {service}: {count} further arrivals, {most} requests "
-                    f"in the {WINDOW} s to {at:.3f}"
+                    f"in the {RETRY_WINDOW_S} s to {at:.3f}"
                 )
                 break
     return found
@@ -273,8 +280,8 @@
     return bisect_right(times, until) - bisect_left(times, since)
 
 
-def drains(history: History) -> list[str]:
-    found, calm = [], Calm(history)
+def draining_gets_no_requests(history: History) -> list[str]:
+    found, spans = [], FaultSpans(history)
     drained: dict[str, float] = {}
     asked = asked_requests(history)
     for event in history.of("beaten", "arrival"):
@@ -285,7 +292,7 @@
         if not event.data["ran"]:
             continue
         since, sender = drained.get(event.data["life"]), asked[event.data["id"]].who
-        if since is not None and event.at > since + DRAIN and calm.touch(sender, event.at):
+        if since is not None and event.at > since + DRAIN_S and spans.in_contact(sender, event.at):
             found.append(
                 f"DRAIN: {event.data['id']} reached {event.data['life']} at {event.at:.3f}, "
                 f"draining since {since:.3f}"
@@ -293,7 +300,7 @@
     return found
 
 
-def lives(history: History) -> list[str]:
+def incarnation_matches(history: History) -> list[str]:
     """What is meant for another life does not reach a server whose sidecar has long known its present one."""
     found, known = [], dict[str, float]()
     for event in history.of("beaten", "arrival"):
@@ -309,9 +316,9 @@
     return found
 
 
-def recovers(history: History) -> list[str]:
+def serves_after_recovery(history: History) -> list[str]:
     """Once all is well, what is asked is mostly served. Repeats may fail: the first's end may be unknown."""
-    healed = next((e.at for e in history.of("healed")), 0.0) + RECOVER
+    healed = next((e.at for e in history.of("healed")), 0.0) + RECOVERY_S
     late, known = [], set[str]()
     for event in history.of("asked"):
         if event.at > healed and event.data["key"] not in known:
@@ -325,18 +332,18 @@
 
 CHECKS = (
     faults,
-    once,
-    refused,
-    mixed,
-    answered,
+    executed_at_most_once,
+    refused_not_executed,
+    bodies_match,
+    answered_once_in_time,
     lost,
     broken_off,
-    acked,
-    back,
-    applied,
-    synced,
-    budget,
-    drains,
-    lives,
-    recovers,
+    acknowledged_changes_kept,
+    versions_never_fall,
+    applied_in_time,
+    replicas_restored,
+    retry_budget,
+    draining_gets_no_requests,
+    incarnation_matches,
+    serves_after_recovery,
 )
--- a/rigs/simulation/clients.py
+++ b/rigs/simulation/clients.py
@@ -9,7 +9,7 @@
 from minthitch.engine.calls import Rejected
 from minthitch.mesh.http.listener import ClientConnection
 from minthitch.net.callers import Incoming
-from rigs.simulation.mesh import HOST, KEY_WINDOW, SERVICES, ControlNode, SidecarNode, Site
+from rigs.simulation.mesh import HOST, KEY_WINDOW_S, SERVICES, ControlNode, SidecarNode, Site
 
 KINDS = (
     ("idempotent", "/i/", "shop", 0.4),
@@ -17,14 +17,16 @@
     ("mutating", "/m/", "shop", 0.15),
     ("upload", "/u/", "bank", 0.1),
 )
-TIMEOUT = 3.0  # of the routes; a client's own deadline lies below
-GOAL = 0.5
-SLACK = 0.3  # seconds beyond its deadline that a client still listens
-DEADLINES = (0.6, 1.5, 2.5)  # seconds: a client draws one of these
-EARLY = 0.03  # part of all requests that their clients leave early, if they are not answered by then
-MOST_TRIES = 4
-PATIENCE = 1.5  # seconds that an operator waits for an answer
-ITEMS = 6  # routes that operators change
+ROUTE_TIMEOUT_S = 3.0  # of the routes; a client's own deadline lies below
+LATENCY_TARGET_S = 0.5
+HANG_UP_SLACK_S = 0.3  # seconds beyond its deadline that a client still listens
+DEADLINES_S = (0.6, 1.5, 2.5)  # seconds: a client draws one of these
+EARLY_HANG_UP_RATE = (
+    0.03  # part of all requests that their clients leave early, if they are not answered by then
+)
+MAX_TRIES = 4
+OPERATOR_TIMEOUT_S = 1.5  # seconds that an operator waits for an answer
+CHANGED_ROUTES = 6  # routes that operators change
 
 
 class SimClientConnection:
@@ -36,7 +38,7 @@
         self, clients: Clients, sidecar: SidecarNode, name: str, done: Callable[[int, bytes], None]
     ) -> None:
         self.clients, self.sidecar, self.name, self.done = clients, sidecar, name, done
-        self.over = False
+        self.ended = False
 
     def respond(self, token: int, status: int, fields: Any, body: bytes) -> None:
         site = self.clients.site
@@ -50,8 +52,8 @@
 
     def _end(self, status: int, body: bytes) -> None:
         self.sidecar.clients.pop(self, None)
-        if not self.over:
-            self.over = True
+        if not self.ended:
+            self.ended = True
             loop = self.clients.site.loop
             loop.after(0.0005, loop.world, self.done, status, body)
 
@@ -60,7 +62,7 @@
     """Who asks at the sidecars."""
 
     def __init__(
-        self, site: Site, rate: float, until: float, deadlines: tuple[float, ...] = DEADLINES
+        self, site: Site, rate: float, until: float, deadlines: tuple[float, ...] = DEADLINES_S
     ) -> None:
         self.site, self.loop, self.random = site, site.loop, site.random
         self.rate, self.until, self.count = rate, until, 0
@@ -68,38 +70,38 @@
 
     def start(self) -> None:
         for sidecar in self.site.sidecars:
-            self._next(sidecar, 1.5)
+            self._schedule_next(sidecar, 1.5)
 
-    def _next(self, sidecar: SidecarNode, more: float = 0.0) -> None:
+    def _schedule_next(self, sidecar: SidecarNode, more: float = 0.0) -> None:
         if self.loop.now < self.until:
             pause = self.random.expovariate(self.rate) + more
-            self.loop.after(pause, self.loop.world, self._come, sidecar)
+            self.loop.after(pause, self.loop.world, self._arrive, sidecar)
 
-    def _come(self, sidecar: SidecarNode) -> None:
-        self._next(sidecar)
+    def _arrive(self, sidecar: SidecarNode) -> None:
+        self._schedule_next(sidecar)
         kind = self.random.choices([row[0] for row in KINDS], [row[3] for row in KINDS])[0]
         if kind == "keyed":
             self.operation(sidecar)
         else:
             self.ask(sidecar, kind, "", lambda status, body: None)
 
-    def operation(self, sidecar: SidecarNode, twin: SidecarNode | None = None) -> str:
+    def operation(self, sidecar: SidecarNode, second_sidecar: SidecarNode | None = None) -> str:
         """One keyed operation, with its repeats: after a failure, at times after a success, or at once."""
         self.count += 1
         key = f"key{self.count}"
-        if twin is None and self.random.random() < 0.1:
-            twin = self.random.choice(self.site.sidecars)
+        if second_sidecar is None and self.random.random() < 0.1:
+            second_sidecar = self.random.choice(self.site.sidecars)
         self._try(sidecar, key, 1)
-        if twin is not None:
-            self._try(twin, key, 2)
+        if second_sidecar is not None:
+            self._try(second_sidecar, key, 2)
         return key
 
     def _try(self, sidecar: SidecarNode, key: str, number: int) -> None:
         def done(status: int, body: bytes) -> None:
             again = 0.15 if status == 200 else 0.85
-            if number < MOST_TRIES and self.random.random() < again:
+            if number < MAX_TRIES and self.random.random() < again:
                 other = self.random.choice(self.site.sidecars)
-                pause = self.random.choice((0.01, 0.1, 0.5, KEY_WINDOW * 0.4))
+                pause = self.random.choice((0.01, 0.1, 0.5, KEY_WINDOW_S * 0.4))
                 self.loop.after(pause, self.loop.world, self._try, other, key, number + 1)
 
         self.ask(sidecar, "keyed", key, done)
@@ -118,29 +120,29 @@
         name = f"q{self.count}"
         place, service = to or next((place, service) for k, place, service, _ in KINDS if k == kind)
         seconds = deadline or self.random.choice(self.deadlines)
-        item = _incoming(kind, place, name, key, seconds, self.random)
+        item = _make_request(kind, place, name, key, seconds, self.random)
         self.site.record("asked", sidecar.ip, id=name, key=key, kind=kind, service=service, deadline=seconds)
         client = SimClientConnection(self, sidecar, name, done)
         if not sidecar.machine.running:
             client.reset()
             return name
         sidecar.clients[client] = None
-        self.loop.after(0.0003, sidecar.machine, self._take, sidecar, client, item)
-        early = self.random.random() < EARLY
-        stays = self.random.uniform(0.0, 0.2) if early else seconds + SLACK
-        self.loop.after(stays, self.loop.world, self._enough, sidecar, client, early)
+        self.loop.after(0.0003, sidecar.machine, self._deliver, sidecar, client, item)
+        early = self.random.random() < EARLY_HANG_UP_RATE
+        stays = self.random.uniform(0.0, 0.2) if early else seconds + HANG_UP_SLACK_S
+        self.loop.after(stays, self.loop.world, self._hang_up, sidecar, client, early)
         return name
 
-    def _take(self, sidecar: SidecarNode, client: SimClientConnection, item: Incoming) -> None:
+    def _deliver(self, sidecar: SidecarNode, client: SimClientConnection, item: Incoming) -> None:
         assert sidecar.front is not None
         try:
             sidecar.front.handle(cast(ClientConnection, client), item)
         except Rejected as err:
             client.respond(1, err.status, (), b"")
 
-    def _enough(self, sidecar: SidecarNode, client: SimClientConnection, early: bool) -> None:
+    def _hang_up(self, sidecar: SidecarNode, client: SimClientConnection, early: bool) -> None:
         """It hangs up."""
-        if client.over:
+        if client.ended:
             return
         sidecar.clients.pop(client, None)
         self.site.record("gave up", sidecar.ip, id=client.name, early=early)
@@ -150,7 +152,7 @@
             self.loop.after(0.0003, sidecar.machine, front.on_client_lost, client)
 
 
-def _incoming(kind: str, place: str, name: str, key: str, seconds: float, draw: Any) -> Incoming:
+def _make_request(kind: str, place: str, name: str, key: str, seconds: float, draw: Any) -> Incoming:
     item = Incoming()
     item.method = b"GET" if kind == "idempotent" else b"POST"
     item.target = place.encode() + (key or name).encode()
@@ -167,7 +169,7 @@
 
 
 def route(
-    name: str, ver: int, place: str, kind: str, service: str, timeout: float = TIMEOUT
+    name: str, ver: int, place: str, kind: str, service: str, timeout: float = ROUTE_TIMEOUT_S
 ) -> dict[str, Any]:
     return {
         "Name": name,
@@ -176,13 +178,13 @@
         "Pfx": place,
         "Kind": kind,
         "TmoS": timeout,
-        "GoalS": GOAL,
+        "GoalS": LATENCY_TARGET_S,
         "Tries": 3,
         "Svc": service,
     }
 
 
-def first_items(timeout: float = TIMEOUT) -> dict[str, Any]:
+def initial_configuration(timeout: float = ROUTE_TIMEOUT_S) -> dict[str, Any]:
     return {
         "Upsert": {
             "Svcs": [{"Name": name, "Ver": "00000001"} for name in SERVICES],
@@ -194,21 +196,21 @@
 class Operators:
     """They change items at any control node, and ask again until the answer is clear."""
 
-    def __init__(self, site: Site, every: float, until: float, timeout: float = TIMEOUT) -> None:
+    def __init__(self, site: Site, every: float, until: float, timeout: float = ROUTE_TIMEOUT_S) -> None:
         self.site, self.loop, self.random = site, site.loop, site.random
         self.every, self.until, self.timeout = every, until, timeout
-        self.vers = [0] * ITEMS
+        self.versions = [0] * CHANGED_ROUTES
         self.taken: list[dict[str, Any]] = []  # calls that were acknowledged
 
     def start(self) -> None:
-        self.loop.after(0.5, self.loop.world, self.patch, first_items(self.timeout), "proper")
-        self.loop.after(3.0, self.loop.world, self._next)
+        self.loop.after(0.5, self.loop.world, self.patch, initial_configuration(self.timeout), "proper")
+        self.loop.after(3.0, self.loop.world, self._schedule_next)
 
-    def _next(self) -> None:
+    def _schedule_next(self) -> None:
         if self.loop.now >= self.until:
             return
-        self.loop.after(self.random.expovariate(1.0 / self.every), self.loop.world, self._next)
-        number = self.random.randrange(ITEMS)
+        self.loop.after(self.random.expovariate(1.0 / self.every), self.loop.world, self._schedule_next)
+        number = self.random.randrange(CHANGED_ROUTES)
         draw = self.random.random()
         if draw < 0.1:
             self._invalid(number)
@@ -220,8 +222,8 @@
             self.change(number, drop=draw > 0.9)
 
     def change(self, number: int, drop: bool = False) -> None:
-        self.vers[number] += 1
-        ver = self.vers[number]
+        self.versions[number] += 1
+        ver = self.versions[number]
         if drop:
             self.patch({"Del": {"Routes": [{"Name": f"x{number}", "Ver": f"{ver:08x}"}]}}, "proper")
         else:
@@ -229,14 +231,14 @@
 
     def race(self, number: int) -> None:
         """Two operators, the same version, other content, at two control nodes at once."""
-        self.vers[number] += 1
+        self.versions[number] += 1
         for timeout in (1.25, 1.75):
-            self.patch(self._upsert(number, self.vers[number], timeout + self.vers[number]), "race")
+            self.patch(self._upsert(number, self.versions[number], timeout + self.versions[number]), "race")
 
     def twins(self, number: int) -> None:
         """The identical call at every control node in the same moment."""
-        self.vers[number] += 1
-        call = self._upsert(number, self.vers[number], 1.0 + self.vers[number])
+        self.versions[number] += 1
+        call = self._upsert(number, self.versions[number], 1.0 + self.versions[number])
         for control in self.site.controls:
             self.site.record("sent", "operator", call=call, sort="proper")
             self._patch(call, "proper", control, [False])
@@ -254,33 +256,33 @@
         self.site.record("sent", "operator", call=call, sort=sort)
         self._patch(call, sort, self.random.choice(self.site.controls), [False])
 
-    def _patch(self, call: dict[str, Any], sort: str, control: ControlNode, over: list[bool]) -> None:
-        """`over[0]`: it has had a clear answer."""
-        heard = [False]
+    def _patch(self, call: dict[str, Any], sort: str, control: ControlNode, ended: list[bool]) -> None:
+        """`ended[0]`: it has had a clear answer."""
+        gave_up = [False]
 
         def again() -> None:
-            if not heard[0] and not over[0]:
-                heard[0] = True
-                self._patch(call, sort, self.random.choice(self.site.controls), over)
+            if not gave_up[0] and not ended[0]:
+                gave_up[0] = True
+                self._patch(call, sort, self.random.choice(self.site.controls), ended)
 
         def told(result: tuple[Any, ...] | None) -> None:
             self.loop.after(0.001, self.loop.world, clear, result)
 
         def clear(result: tuple[Any, ...] | None) -> None:
-            if over[0]:
+            if ended[0]:
                 return
             if result is None:
                 self.loop.after(0.1, self.loop.world, again)
                 return
-            over[0] = True
+            ended[0] = True
             if result[0] == 200:
                 self.taken.append(call)
             self.site.record("verdict", control.ip, call=call, sort=sort, status=result[0])
 
         body = json.dumps(call).encode()
         if control.machine.running and control.machine.powered:
-            self.loop.after(0.001, control.machine, _at, control, "patch", body, told)
-        self.loop.after(PATIENCE if control.machine.running else 0.1, self.loop.world, again)
+            self.loop.after(0.001, control.machine, _call_at, control, "patch", body, told)
+        self.loop.after(OPERATOR_TIMEOUT_S if control.machine.running else 0.1, self.loop.world, again)
 
     def read_back(self, place: int | None = None) -> None:
         """From one control node after the other, until one answers."""
@@ -300,11 +302,11 @@
                 self.read_back(place + 1)
 
         if control.machine.running:
-            self.loop.after(0.001, control.machine, _at, control, "fetch", told)
+            self.loop.after(0.001, control.machine, _call_at, control, "fetch", told)
         self.loop.after(0.5, self.loop.world, again)
 
 
-def _at(control: ControlNode, name: str, *args: Any) -> None:
+def _call_at(control: ControlNode, name: str, *args: Any) -> None:
     if control.leaving:  # its handlers answer 503
         args[-1](None)
     else:
--- a/rigs/simulation/ctl.py
+++ b/rigs/simulation/control_client.py
@@ -12,26 +12,30 @@
 
 from rigs.simulation.mesh import ControlNode, Site
 
-PATIENCE = 1.0  # seconds without an answer after which a caller goes on to another node
-PAUSES = (0.05, 0.1, 0.2, 0.4)  # seconds between two tries, in turn; the last one from then on
-WAY = 0.001  # seconds between a caller and a node, one way
-REFUSED_AFTER = 0.002  # seconds until a node that does not run refuses the connection
-MOST_READS = 3  # reads under way at once
-LOST_PART = 0.0  # chance that an answer is lost on its way
+ATTEMPT_TIMEOUT_S = 1.0  # seconds without an answer after which a caller goes on to another node
+RETRY_DELAYS_S = (0.05, 0.1, 0.2, 0.4)  # seconds between two attempts, in turn; the last one from then on
+ONE_WAY_DELAY_S = 0.001  # seconds between a caller and a node, one way
+REFUSAL_DELAY_S = 0.002  # seconds until a node that does not run refuses the connection
+MAX_READS_IN_FLIGHT = 3  # reads under way at once
+LOST_ANSWER_RATE = 0.0  # chance that an answer is lost on its way
 
 Result = tuple[Any, ...] | None
-Told = Callable[[int], None]
+OnStatus = Callable[[int], None]
 
 
 class ControlClient:
     """Sends orders and reads; `lost` is the chance that an answer does not come back."""
 
-    def __init__(self, site: Site, lost: float = LOST_PART) -> None:
+    def __init__(self, site: Site, lost: float = LOST_ANSWER_RATE) -> None:
         self.site, self.loop, self.random, self.lost = site, site.loop, site.random, lost
         self.orders = self.reading = 0
 
     def order(
-        self, call: dict[str, Any], sort: str = "proper", node: int | None = None, done: Told | None = None
+        self,
+        call: dict[str, Any],
+        sort: str = "proper",
+        node: int | None = None,
+        done: OnStatus | None = None,
     ) -> None:
         """Sends it to one node after another until the answer is clear; `sort` as for operators' calls."""
         self.orders += 1
@@ -44,7 +48,7 @@
         place = self.random.randrange(len(self.site.controls)) if node is None else node
         begin = self.loop.now
 
-        def told(control: ControlNode, result: Result) -> None:
+        def on_result(control: ControlNode, result: Result) -> None:
             if result is None:
                 return
             if isinstance(result[0], bytes):
@@ -52,14 +56,14 @@
             else:
                 self.site.record("fault", control.ip, why=f"a read was answered with {result!r}")
 
-        _Attempt(self, self.site.controls[place], "fetch", (), told)
+        _Attempt(self, self.site.controls[place], "fetch", (), on_result)
 
-    def read_on(self, every: float, until: float) -> None:
+    def read_repeatedly(self, every: float, until: float) -> None:
         """Reads again and again, at any node."""
         if self.loop.now < until:
             self.read()
             self.loop.after(
-                self.random.uniform(0.5, 1.5) * every, self.loop.world, self.read_on, every, until
+                self.random.uniform(0.5, 1.5) * every, self.loop.world, self.read_repeatedly, every, until
             )
 
 
@@ -67,35 +71,35 @@
     """One order until its answer is clear."""
 
     def __init__(
-        self, client: ControlClient, call: dict[str, Any], sort: str, number: int, done: Told | None
+        self, client: ControlClient, call: dict[str, Any], sort: str, number: int, done: OnStatus | None
     ) -> None:
         self.client, self.call, self.sort, self.number, self.done = client, call, sort, number, done
         self.body = json.dumps(call).encode()
-        self.tries = 0
+        self.attempts = 0
 
     def send(self, place: int) -> None:
         controls = self.client.site.controls
         begin = self.client.loop.now
-        self.tries += 1
+        self.attempts += 1
 
-        def told(control: ControlNode, result: Result) -> None:
+        def on_result(control: ControlNode, result: Result) -> None:
             if result is not None and not isinstance(result[0], int):
                 self.client.site.record("fault", control.ip, why="an order was answered with a configuration")
                 return
-            self._ended(place, control, begin, None if result is None else result[0])
+            self._on_attempt_ended(place, control, begin, None if result is None else result[0])
 
-        _Attempt(self.client, controls[place % len(controls)], "patch", (self.body,), told)
+        _Attempt(self.client, controls[place % len(controls)], "patch", (self.body,), on_result)
 
-    def _ended(self, place: int, control: ControlNode, begin: float, status: int | None) -> None:
+    def _on_attempt_ended(self, place: int, control: ControlNode, begin: float, status: int | None) -> None:
         site, loop = self.client.site, self.client.loop
         site.record("order", control.ip, begin=begin, call=self.call, status=status, order=self.number)
         if status is None:
-            pause = PAUSES[min(self.tries, len(PAUSES)) - 1]
+            pause = RETRY_DELAYS_S[min(self.attempts, len(RETRY_DELAYS_S)) - 1]
             loop.after(pause, loop.world, self.send, place + 1)
             return
         if status == 200:
             voters = _voters(site)
-            held = sum(holds(node, self.call) for node in voters)
+            held = sum(is_on_disk(node, self.call) for node in voters)
             site.record("copies", control.ip, order=self.number, count=held, needed=len(voters) // 2 + 1)
         site.record("verdict", control.ip, call=self.call, sort=self.sort, status=status, order=self.number)
         if self.done is not None:
@@ -103,7 +107,7 @@
 
 
 class _Attempt:
-    """One call at one node. `told` is called once: with its answer, or None once that is lost or late."""
+    """One call at one node. `on_result` is called once: with its answer, or None once that is lost or late."""
 
     def __init__(
         self,
@@ -111,17 +115,17 @@
         control: ControlNode,
         method: str,
         args: tuple[Any, ...],
-        told: Callable[[ControlNode, Result], None],
+        on_result: Callable[[ControlNode, Result], None],
     ) -> None:
-        self.client, self.control, self.told, self.over = client, control, told, False
+        self.client, self.control, self.on_result, self.over = client, control, on_result, False
         self.begin, self.life = client.loop.now, control.machine.life
         loop = client.loop
         if not control.machine.running:
-            wait = REFUSED_AFTER if control.machine.powered else PATIENCE
+            wait = REFUSAL_DELAY_S if control.machine.powered else ATTEMPT_TIMEOUT_S
             loop.after(wait, loop.world, self._end, None)
             return
-        loop.after(WAY, control.machine, self._at_node, method, args)
-        loop.after(PATIENCE, loop.world, self._end, None)
+        loop.after(ONE_WAY_DELAY_S, control.machine, self._at_node, method, args)
+        loop.after(ATTEMPT_TIMEOUT_S, loop.world, self._end, None)
 
     def _at_node(self, method: str, args: tuple[Any, ...]) -> None:
         if self.control.server is not None:
@@ -135,14 +139,14 @@
         site.record("waited", self.control.ip, seconds=loop.now - self.begin, clear=result is not None)
         if self.client.random.random() < self.client.lost:
             if self.client.random.random() < 0.5:  # the connection breaks; else there is silence
-                loop.after(WAY, loop.world, self._end, None)
+                loop.after(ONE_WAY_DELAY_S, loop.world, self._end, None)
             return
-        loop.after(WAY, loop.world, self._end, result)
+        loop.after(ONE_WAY_DELAY_S, loop.world, self._end, result)
 
     def _end(self, result: Result) -> None:
         if not self.over:
             self.over = True
-            self.told(self.control, result)
+            self.on_result(self.control, result)
 
 
 def _voters(site: Site) -> list[ControlNode]:
@@ -153,7 +157,7 @@
     return [node for node in site.controls if f"{node.ip}#{node.disk.name}" in table]
 
 
-def holds(control: ControlNode, call: dict[str, Any]) -> bool:
+def is_on_disk(control: ControlNode, call: dict[str, Any]) -> bool:
     """Whether the call is on the disk of this node: as an entry, or in its snapshot."""
     saved = control.disk.saved
     if saved is None:
--- a/rigs/simulation/cuts.py
+++ b/rigs/simulation/cuts.py
@@ -1,4 +1,4 @@
-"""A machine cut off from all others: in one way or both, silently, with refusals, or with resets."""
+"""A machine cut off from all others: in one direction or both, silently, with refusals, or with resets."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from rigs.simulation.mesh import ControlNode, Site
 from rigs.simulation.network import End, Network
 
-WAYS = ("in", "out", "both")  # what does not arrive
+DIRECTIONS = ("in", "out", "both")  # what does not arrive
 MODES = ("silent", "refuse", "reset")
-RESET_EVERY = 0.5  # seconds between two resets of a cut-off machine's connections
+RESET_INTERVAL_S = 0.5  # seconds between two resets of a cut-off machine's connections
 
 
 class RefusingNetwork(Network):
@@ -33,18 +33,18 @@
 
     at: float
     seconds: float
-    way: str = "both"
+    direction: str = "both"
     mode: str = "silent"
     restarts: tuple[float, ...] = ()
 
 
-def cut_off(site: Site, control: ControlNode, cut: Cut) -> None:
+def isolate(site: Site, control: ControlNode, cut: Cut) -> None:
     """Strikes now."""
     network, loop = site.network, site.loop
     others = [ip for ip in site.machines if ip != control.ip]
-    pairs = [(ip, control.ip) for ip in others if cut.way != "out"]
-    pairs += [(control.ip, ip) for ip in others if cut.way != "in"]
-    kind = f"cut-{cut.way}-{cut.mode}"
+    pairs = [(ip, control.ip) for ip in others if cut.direction != "out"]
+    pairs += [(control.ip, ip) for ip in others if cut.direction != "in"]
+    kind = f"cut-{cut.direction}-{cut.mode}"
     site.record("struck", control.ip, kind=kind, state=control.state)
     site.record("trouble", "core", kind=kind)
     for pair in pairs:
@@ -63,17 +63,17 @@
     def reset_again() -> None:
         if loop.now < until:
             network.reset(control.machine)
-            loop.after(RESET_EVERY, loop.world, reset_again)
+            loop.after(RESET_INTERVAL_S, loop.world, reset_again)
 
     until = loop.now + cut.seconds
     if cut.mode == "reset":
-        loop.after(RESET_EVERY, loop.world, reset_again)
+        loop.after(RESET_INTERVAL_S, loop.world, reset_again)
     for wait in cut.restarts:
         loop.after(wait, loop.world, restart, site, control)
     loop.after(cut.seconds, loop.world, healed)
 
 
-def restart(site: Site, control: ControlNode, power: bool = False, away: float = 0.3) -> None:
+def restart(site: Site, control: ControlNode, power: bool = False, downtime_s: float = 0.3) -> None:
     """Its process ends and is started again."""
     if not control.machine.running:
         return
@@ -86,4 +86,4 @@
             control.start()
         site.record("well", "core", kind="restart")
 
-    site.loop.after(away, site.loop.world, back)
+    site.loop.after(downtime_s, site.loop.world, back)
--- a/rigs/simulation/disk.py
+++ b/rigs/simulation/disk.py
@@ -13,17 +13,17 @@
 from minthitch.mesh.storage.store import Condition
 from rigs.simulation.loop import Machine, VirtualLoop
 
-AGAIN = 0.2  # seconds between two tries of a write that is refused
+WRITE_RETRY_S = 0.2  # seconds between two tries of a write that is refused
 
 
 class SimDisk:
     """What stays when the process ends."""
 
     def __init__(self, sync: tuple[float, float]) -> None:
-        self.sync = sync  # seconds of a write, from and to
+        self.sync_s = sync  # seconds of a write, from and to
         self.name = ""
         self.saved: PersistedState | None = None
-        self.found = Condition.EMPTY  # what a start finds where nothing of ours is whole
+        self.condition_after_loss = Condition.EMPTY  # what a start finds where nothing of ours is whole
         self.hung = self.full = False
 
     @property
@@ -48,9 +48,9 @@
             )
         self.saved = PersistedState(persist.term, persist.voted_for, snapshot, kept)
 
-    def wipe(self, found: Condition = Condition.EMPTY) -> None:
+    def wipe(self, condition_after_loss: Condition = Condition.EMPTY) -> None:
         """Nothing is left, or what is left is torn or another's."""
-        self.name, self.saved, self.found = "", None, found
+        self.name, self.saved, self.condition_after_loss = "", None, condition_after_loss
 
 
 class SimStore:
@@ -58,7 +58,7 @@
 
     def __init__(self, disk: SimDisk) -> None:
         self.disk = disk
-        self.condition = Condition.INTACT if disk.name else disk.found
+        self.condition = Condition.INTACT if disk.name else disk.condition_after_loss
         self.header = Header(disk.name)
         saved = disk.saved
         if saved is not None:
@@ -87,19 +87,19 @@
         machine: Machine,
         disk: SimDisk,
         done: Callable[[int], None],
-        trouble: Callable[[str, bool], None],
-        begun: Callable[[], None] = lambda: None,
+        on_trouble: Callable[[str, bool], None],
+        on_begin: Callable[[], None] = lambda: None,
     ) -> None:
-        self.loop, self.machine, self.disk, self.done, self.trouble = loop, machine, disk, done, trouble
-        self.begun = begun  # hears of each write that is under way
+        self.loop, self.machine, self.disk, self.done, self.on_trouble = loop, machine, disk, done, on_trouble
+        self.on_begin = on_begin  # hears of each write that is under way
         self.life = machine.life
         self.queue: deque[Persist] = deque()
-        self.since: float | None = None
-        self.ending = False
+        self.write_started_at: float | None = None
+        self.stopping = False
 
     @property
     def pending_since(self) -> float | None:
-        return self.since
+        return self.write_started_at
 
     def start(self) -> None:
         pass
@@ -110,39 +110,39 @@
             self._begin()
 
     def stop(self) -> None:
-        self.ending = True
+        self.stopping = True
 
     def _begin(self) -> None:
-        self.since = self.loop.now + self.machine.offset
-        self.loop.after(self.loop.random.uniform(*self.disk.sync), self.loop.world, self._land)
-        self.begun()
+        self.write_started_at = self.loop.now + self.machine.offset
+        self.loop.after(self.loop.random.uniform(*self.disk.sync_s), self.loop.world, self._complete)
+        self.on_begin()
 
-    def _land(self) -> None:
+    def _complete(self) -> None:
         """In the system, not in the process: it goes on while that is frozen."""
         if self.machine.life != self.life or not self.queue:
             return
         if self.disk.hung:
-            self.loop.after(0.02, self.loop.world, self._land)
+            self.loop.after(0.02, self.loop.world, self._complete)
         elif self.disk.full:
-            self.loop.after(0.0, self.machine, self.trouble, "full", False)
-            self.loop.after(AGAIN, self.loop.world, self._land)
+            self.loop.after(0.0, self.machine, self.on_trouble, "full", False)
+            self.loop.after(WRITE_RETRY_S, self.loop.world, self._complete)
         else:
             self.disk.write(self.queue[0])
-            self.loop.after(0.0, self.machine, self._told)
+            self.loop.after(0.0, self.machine, self._notify)
 
-    def _told(self) -> None:
+    def _notify(self) -> None:
         persist = self.queue.popleft()
-        self.since = None
+        self.write_started_at = None
         if self.queue:
             self._begin()
         self.done(persist.write_id)
 
-    def fall(self, lands: float) -> None:
-        """The process ends, or power is lost: with chance `lands` a write under way has come to the disk.
+    def abort(self, survival_probability: float) -> None:
+        """The process ends, or power is lost: with chance `survival_probability` a write under way has come to the disk.
 
-        One that was torn by the loss of power is found out by its meta page, and the one before stands.
+        One that was torn by the loss of power is condition_after_loss out by its meta page, and the one before stands.
         """
         takes = not self.disk.hung and not self.disk.full
-        if self.queue and takes and self.loop.random.random() < lands:
+        if self.queue and takes and self.loop.random.random() < survival_probability:
             self.disk.write(self.queue[0])
         self.queue.clear()
--- a/rigs/simulation/fault_injector.py
+++ b/rigs/simulation/fault_injector.py
@@ -200,7 +200,7 @@
 
     def _lose_disk(self, fault: Fault, control: ControlNode, kind: str) -> None:
         """Its disk is lost with its power, but only while all replicas are up to date."""
-        if not self.site.taken_in():
+        if not self.site.replicas_up_to_date():
             self.site.record("unsynced", control.ip)
             return
         control.stop(power=True)
@@ -248,7 +248,7 @@
         `hung-copy`: the leader's disk hangs instead, and nothing may be acknowledged at all.
         """
         leader = self.site.leader()
-        if not self.site.taken_in():
+        if not self.site.replicas_up_to_date():
             self.site.record("unsynced", leader.ip)
             return
         others = [control for control in self.site.controls if control is not leader]
--- a/rigs/simulation/calm.py
+++ b/rigs/simulation/fault_spans.py
@@ -6,19 +6,19 @@
 
 from rigs.simulation.history import History
 
-CONTACT = 3.0  # seconds without trouble after which a machine is in touch
+CONTACT_S = 3.0  # seconds without trouble after which a machine is in touch
 PLANNED = ("leave-sidecar", "leave-control")  # kinds of trouble that are planned work
 
 
-class Calm:
-    """When which machine and the core were free of trouble (`but`: of all except these kinds)."""
+class FaultSpans:
+    """When which machine and the core were free of trouble (`ignored`: of all except these kinds)."""
 
-    def __init__(self, history: History, but: tuple[str, ...] = ()) -> None:
+    def __init__(self, history: History, ignored: tuple[str, ...] = ()) -> None:
         self.spans: dict[str, list[tuple[float, float]]] = defaultdict(list)
         open_since: dict[tuple[str, str], list[float]] = defaultdict(list)
         for event in history.of("trouble", "well"):
             key = event.who, event.data["kind"]
-            if event.data["kind"] in but:
+            if event.data["kind"] in ignored:
                 continue
             if event.what == "trouble":
                 open_since[key].append(event.at)
@@ -27,9 +27,9 @@
         for (who, _), since in open_since.items():
             self.spans[who] += [(at, float("inf")) for at in since]
 
-    def calm(self, who: str, since: float, until: float) -> bool:
+    def is_calm(self, who: str, since: float, until: float) -> bool:
         return all(end < since or start > until for start, end in self.spans.get(who, ()))
 
-    def touch(self, who: str, at: float) -> bool:
-        """In touch: it and the core have been calm for CONTACT."""
-        return self.calm(who, at - CONTACT, at) and self.calm("core", at - CONTACT, at)
+    def in_contact(self, who: str, at: float) -> bool:
+        """In touch: it and the core have been calm for CONTACT_S."""
+        return self.is_calm(who, at - CONTACT_S, at) and self.is_calm("core", at - CONTACT_S, at)
--- a/rigs/simulation/loop.py
+++ b/rigs/simulation/loop.py
@@ -26,12 +26,12 @@
         self.running = True
         self.powered = True
         self.frozen = False
-        self.lag, self.floor = 0.0, 0.0  # seconds by which callbacks come later; none before the last one
-        self.waiting: list[_Due] = []
+        self.lag, self.earliest = 0.0, 0.0  # seconds by which callbacks come later; none before the last one
+        self.waiting: list[_Scheduled] = []
         self.tasks: list[asyncio.Task[Any]] = []
 
 
-class _Due(NamedTuple):
+class _Scheduled(NamedTuple):
     when: float
     order: int
     handle: asyncio.Handle
@@ -47,9 +47,9 @@
         super().__init__()
         self.random = random.Random(seed)
         self.now, self.order, self.steps = 0.0, 0, 0
-        self.heap: list[_Due] = []
+        self.heap: list[_Scheduled] = []
         self.world = self.machine = Machine("world")
-        self.stepping, self.step_life = self.world, 0  # whose callback runs, and of which of its lives
+        self.step_machine, self.step_life = self.world, 0  # whose callback runs, and of which of its lives
         self.network: Any = None
         self.failures: Callable[[str, str], None] = lambda who, what: None
 
@@ -61,11 +61,11 @@
     def _push(self, when: float, handle: asyncio.Handle, machine: Machine, timer: bool) -> None:
         self.order += 1
         # What a life that was ended in this very callback still asks for never comes.
-        life = self.step_life if machine is self.stepping else machine.life
+        life = self.step_life if machine is self.step_machine else machine.life
         if machine.lag and when - self.now < machine.lag:
-            when = max(when + machine.lag, machine.floor)
-            machine.floor = when
-        heapq.heappush(self.heap, _Due(when, self.order, handle, machine, life, timer))
+            when = max(when + machine.lag, machine.earliest)
+            machine.earliest = when
+        heapq.heappush(self.heap, _Scheduled(when, self.order, handle, machine, life, timer))
 
     def call_soon(  # type: ignore[override]
         self,
@@ -138,7 +138,7 @@
         machine.lag = 0.0
         for task in machine.tasks:
             if not task.done():
-                _shut(task.get_coro())
+                _close_coroutine(task.get_coro())
         machine.tasks.clear()
 
     # The run ----------------------------------------------------------------------------------------
@@ -153,7 +153,7 @@
             events._set_running_loop(None)
             self.machine = self.world
 
-    def _step(self, due: _Due) -> None:
+    def _step(self, due: _Scheduled) -> None:
         machine = due.machine
         if due.handle.cancelled() or due.life != machine.life:
             return
@@ -162,7 +162,7 @@
             machine.waiting.append(due)
             return
         self.steps += 1
-        self.machine = self.stepping = machine
+        self.machine = self.step_machine = machine
         self.step_life = due.life
         due.handle._run()
 
@@ -187,6 +187,6 @@
         return self.network.listen(self.machine, factory, host, port)
 
 
-def _shut(coro: Coroutine[Any, Any, Any] | Any) -> None:
+def _close_coroutine(coro: Coroutine[Any, Any, Any] | Any) -> None:
     with contextlib.suppress(RuntimeError, AttributeError):
         coro.close()
--- a/rigs/simulation/mesh.py
+++ b/rigs/simulation/mesh.py
@@ -39,11 +39,17 @@
 SIDECARS = tuple(f"10.0.{zone}.{place}" for place in (11, 12) for zone in range(3))
 SERVICES = ("shop", "bank")  # of the first sidecar in each zone, of the second
 HOST = "mesh.test"
-RATIO, SLACK, WINDOW = 0.2, 6.0, 10.0
-KEY_WINDOW = 3.0  # so short that claims grow old more than once in a day
-GRACE = 6.0
-ROTATE_SLACK = 3.0  # seconds: as much as a client waits, and a little
-BOUNDS = Bounds(retry_ratio=RATIO, retry_slack=SLACK, retry_win_s=WINDOW, key_win_s=KEY_WINDOW, grace_s=GRACE)
+RETRY_RATIO, RETRY_SLACK, RETRY_WINDOW_S = 0.2, 6.0, 10.0
+KEY_WINDOW_S = 3.0  # so short that claims grow old more than once in a day
+GRACE_S = 6.0
+CLAIM_MARGIN_S = 3.0  # seconds: as much as a client waits, and a little
+BOUNDS = Bounds(
+    retry_ratio=RETRY_RATIO,
+    retry_slack=RETRY_SLACK,
+    retry_win_s=RETRY_WINDOW_S,
+    key_win_s=KEY_WINDOW_S,
+    grace_s=GRACE_S,
+)
 
 
 def zone_of(ip: str) -> str:
@@ -71,7 +77,7 @@
     def start(self) -> None:
         self.machine.running = self.machine.powered = True
         self.starts += 1
-        self.site.network.again()
+        self.site.network.resume_stuck()
         self.loop.on(self.machine, self.begin)
 
     def begin(self) -> None:
@@ -79,12 +85,12 @@
 
     def stop(self, power: bool = False) -> None:
         """Its process is killed, or its power is lost."""
-        self.fallen(power)
+        self.on_stopped(power)
         self.machine.powered = not power
         self.loop.end(self.machine)
-        self.site.network.fallen(self.machine)
+        self.site.network.close_connections(self.machine)
 
-    def fallen(self, power: bool) -> None:
+    def on_stopped(self, power: bool) -> None:
         pass
 
 
@@ -93,7 +99,7 @@
 
     def __init__(self, site: Site, ip: str) -> None:
         super().__init__(site, ip)
-        self.disk = SimDisk(site.sync)
+        self.disk = SimDisk(site.sync_s)
         self.server: ControlServer | None = None
         self.leaving = False  # its calls are refused then
         self.writer: SimWriter | None = None
@@ -103,22 +109,22 @@
             node=self.ip, mclass="core", ip=self.ip, az=zone_of(self.ip), region="r", init=self.starts == 1
         )
         server = self.server = self.site.make_control(
-            self.boot(own), cast(Store, SimStore(self.disk)), self._writer, self.loop.time
+            self.boot(own), cast(Store, SimStore(self.disk)), self._make_writer, self.loop.time
         )
         self._watch_state(server.state)
         self.site.network.listen(self.machine, lambda: Connection(server), self.ip, PORT)
-        self.loop.call_later(0.05, self._look, server)
+        self.loop.call_later(0.05, self._poll_stop_requested, server)
 
-    def _writer(self, store: Any, done: Any, trouble: Any, clock: Any) -> StorageWriter:
-        self.writer = SimWriter(self.loop, self.machine, self.disk, done, trouble, self._written)
+    def _make_writer(self, store: Any, done: Any, trouble: Any, clock: Any) -> StorageWriter:
+        self.writer = SimWriter(self.loop, self.machine, self.disk, done, trouble, self._on_write)
         return cast(StorageWriter, self.writer)
 
     def _watch_state(self, state: StateMachine) -> None:
         """Says when an image was taken in, and when claims grew old."""
-        load, rotate = state.restore, state.claims.rotate
+        restore, rotate = state.restore, state.claims.rotate
 
-        def loaded(snapshot: bytes) -> None:
-            load(snapshot)
+        def restored(snapshot: bytes) -> None:
+            restore(snapshot)
             self.site.record("image", self.ip, size=len(snapshot))
 
         def rotated() -> None:
@@ -126,20 +132,20 @@
             if self.leads:
                 self.site.record("rotated", self.ip)
 
-        state.restore, state.claims.rotate = loaded, rotated  # type: ignore[method-assign]
+        state.restore, state.claims.rotate = restored, rotated  # type: ignore[method-assign]
 
-    def _written(self) -> None:
+    def _on_write(self) -> None:
         for listener in list(self.site.writes):
             listener(self)
 
-    def _look(self, server: ControlServer) -> None:
+    def _poll_stop_requested(self, server: ControlServer) -> None:
         """As its program does: it ends where it has found a promise broken."""
         if server.stop_requested.is_set():
             self.site.record("fault", self.ip, why=f"ended by itself: {server.failure!r}")
             self.loop.after(0.0, self.loop.world, self.stop)
             self.loop.after(1.0, self.loop.world, self.start)
             return
-        self.loop.call_later(0.05, self._look, server)
+        self.loop.call_later(0.05, self._poll_stop_requested, server)
 
     def leave(self) -> None:
         """As its program does after SIGTERM; a second one changes nothing."""
@@ -150,10 +156,10 @@
     def may_end(self, began: float) -> bool:
         return self.server is None or self.server.may_end.is_set()
 
-    def fallen(self, power: bool) -> None:
+    def on_stopped(self, power: bool) -> None:
         self.leaving = False
         if self.writer is not None:
-            self.writer.fall(self.site.lands if power else 0.5)
+            self.writer.abort(self.site.write_survival_probability if power else 0.5)
         self.server = self.writer = None
 
     @property
@@ -183,7 +189,7 @@
 
 
 class SidecarNode(Node):
-    shutdown_s = GRACE
+    shutdown_s = GRACE_S
 
     def __init__(self, site: Site, ip: str, service: str) -> None:
         super().__init__(site, ip)
@@ -202,15 +208,15 @@
             upstream="127.0.0.1:8080",
             svc=self.service,
         )
-        shelf = SimServerPool(self.loop, self.server, self.machine)
-        front = self.front = self.site.make_front(self.boot(own), 1_000 + self.starts, shelf)
+        server_pool = SimServerPool(self.loop, self.server, self.machine)
+        front = self.front = self.site.make_front(self.boot(own), 1_000 + self.starts, server_pool)
         front.random.seed(self.loop.random.getrandbits(32))  # its own seed has Python's hash of a text in it
         told = front.on_update
 
         def changed(config: bool, records: bool) -> None:
             told(config, records)
             if config and front.table is not None:
-                self._table(front)
+                self._record_table(front)
 
         front.on_update = changed  # type: ignore[method-assign]
         self._watch_claims(front)
@@ -230,7 +236,7 @@
 
         front.controls.claim = watched  # type: ignore[method-assign]
 
-    def _table(self, front: Sidecar) -> None:
+    def _record_table(self, front: Sidecar) -> None:
         rows = {
             row.name: (row.version, row.body is not None)
             for row in front.controls.replica._rows.values()
@@ -241,14 +247,14 @@
     def leave(self) -> None:
         """As its program does after SIGTERM; a second one changes nothing."""
         if self.front is not None and not self.front.leaving:
-            schedule = ShutdownSchedule(self.loop.now + self.machine.offset, GRACE)
+            schedule = ShutdownSchedule(self.loop.now + self.machine.offset, GRACE_S)
             self.loop.after(0.0, self.machine, self.front.begin_shutdown, schedule)
 
     def may_end(self, began: float) -> bool:
         idle = self.front is None or not self.front.open_count()
-        return ShutdownSchedule(began, GRACE).may_end(self.loop.now, idle)
+        return ShutdownSchedule(began, GRACE_S).may_end(self.loop.now, idle)
 
-    def fallen(self, power: bool) -> None:
+    def on_stopped(self, power: bool) -> None:
         self.front = None
         self.server.reset_requests()
         for client in list(self.clients):
@@ -277,8 +283,10 @@
         self.loop.failures = lambda who, what: self.record("fault", who, why=what)
         self.network = make_network(self.loop)
         self.make_control, self.make_front = make_control, make_front
-        self.sync = self.random.choice(((0.002, 0.012), (0.01, 0.06)))  # seconds of a write at its disks
-        self.lands = self.random.choice((0.0, 0.0, 0.5, 1.0))  # chance of a write when power is lost
+        self.sync_s = self.random.choice(((0.002, 0.012), (0.01, 0.06)))  # seconds of a write at its disks
+        self.write_survival_probability = self.random.choice(
+            (0.0, 0.0, 0.5, 1.0)
+        )  # chance of a write when power is lost
         self.controls = [ControlNode(self, ip) for ip in controls]
         self.sidecars = [SidecarNode(self, ip, SERVICES[n // 3]) for n, ip in enumerate(SIDECARS)]
         nodes: list[ControlNode | SidecarNode] = [*self.controls, *self.sidecars]
@@ -301,7 +309,7 @@
     def leader(self) -> ControlNode:
         return next((f for f in self.controls if f.leads and not f.machine.frozen), self.controls[0])
 
-    def taken_in(self) -> bool:
+    def replicas_up_to_date(self) -> bool:
         """Each voter runs under the name of its disk, that is agreed, and it is on each voter's disk.
 
         Where there are spares, as many vote as founded the group.
--- a/rigs/simulation/network.py
+++ b/rigs/simulation/network.py
@@ -15,12 +15,20 @@
 
 from rigs.simulation.loop import Machine, VirtualLoop
 
-KERNEL = 256 * 1024  # bytes that the systems at both ends hold beyond the transport's own buffer
-RETRY = 0.05, 0.4  # seconds from a cut's end until what was lost is sent again
-USER_TIMEOUT = 2.0  # seconds for which a system tries to send: the programs set it (TCP_USER_TIMEOUT)
-LINGERS = 0.5  # chance that what an end had written before it was closed still comes after a cut
-NOTHING, ALL = 0.25, 0.5  # chances (the second counted up) of what a reset lets through; else a drawn part
-NEAR, FAR = (0.0002, 0.0008), (0.003, 0.012)  # one way within a zone, between zones
+KERNEL_BUFFER_BYTES = 256 * 1024  # bytes that the systems at both ends hold beyond the transport's own buffer
+RETRANSMIT_DELAY_S = 0.05, 0.4  # seconds from a cut's end until what was lost is sent again
+USER_TIMEOUT_S = 2.0  # seconds for which a system tries to send: the programs set it (TCP_USER_TIMEOUT)
+LATE_DATA_PROBABILITY = (
+    0.5  # chance that what an end had written before it was closed still comes after a cut
+)
+NO_DATA_PROBABILITY, ALL_DATA_PROBABILITY = (
+    0.25,
+    0.5,
+)  # chances (the second counted up) of what a reset lets through; else a drawn part
+SAME_ZONE_DELAY_S, CROSS_ZONE_DELAY_S = (
+    (0.0002, 0.0008),
+    (0.003, 0.012),
+)  # one way within a zone, between zones
 
 
 class _Socket:
@@ -38,10 +46,10 @@
         self.protocol: Any = None
         self.peer: End = self
         self.closed = False
-        self.high, self.paused = 64 * 1024, False
+        self.high_water, self.paused = 64 * 1024, False
         self.pending = 0  # bytes written that the other end has not taken
         self.queue: deque[Any] = deque()  # on its way to the other end
-        self.floor = 0.0  # nothing arrives before this
+        self.earliest_arrival = 0.0  # nothing arrives before this
         self.stuck = False  # the first of the queue waits for the cut's end
         self.stuck_at = 0.0  # since when
 
@@ -51,10 +59,10 @@
         return _Socket() if name == "socket" else default
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        self.high = 64 * 1024 if high is None else high
+        self.high_water = 64 * 1024 if high is None else high
 
     def get_write_buffer_size(self) -> int:
-        return max(self.pending - KERNEL, 0)
+        return max(self.pending - KERNEL_BUFFER_BYTES, 0)
 
     def is_closing(self) -> bool:
         return self.closed
@@ -64,7 +72,7 @@
             return
         self.pending += len(data)
         self.network.send(self, bytes(data))
-        if not self.paused and self.pending > self.high + KERNEL:
+        if not self.paused and self.pending > self.high_water + KERNEL_BUFFER_BYTES:
             self.paused = True
             self.protocol.pause_writing()
 
@@ -76,7 +84,7 @@
             return
         self.closed = True
         network = self.network
-        if self.stuck and network.loop.random.random() > LINGERS:
+        if self.stuck and network.loop.random.random() > LATE_DATA_PROBABILITY:
             self.queue.clear()
         network.send(self, None)
         if self.protocol is not None:
@@ -95,20 +103,20 @@
         if self.protocol is not None:
             self.protocol.connection_lost(ConnectionResetError())
 
-    def take(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
         if self.alive and self.protocol is not None:
-            self.peer.taken(len(data))
+            self.peer.on_received(len(data))
             self.protocol.data_received(data)
 
-    def under_way(self) -> bytes:
+    def bytes_in_flight(self) -> bytes:
         """The bytes on their way to this end, up to an end of the stream. None where they can't arrive."""
         if self.protocol is None or self.peer.stuck or self.network.blocked(self.peer.ip, self.ip):
             return b""
         return b"".join(takewhile(lambda item: isinstance(item, bytes), self.peer.queue))
 
-    def taken(self, size: int) -> None:
+    def on_received(self, size: int) -> None:
         self.pending -= size
-        if self.paused and self.pending <= self.high // 4 + KERNEL and self.alive:
+        if self.paused and self.pending <= self.high_water // 4 + KERNEL_BUFFER_BYTES and self.alive:
             self.paused = False
             self.network.loop.after(0.0, self.machine, self._resume)
 
@@ -136,16 +144,20 @@
         self.listeners: dict[tuple[str, int], _Listener] = {}
         self.cuts: set[tuple[str, str]] = set()
         self.ends: list[End] = []
-        self.slow: dict[str, float] = {}  # further seconds for what goes to or comes from it
+        self.extra_delay_s: dict[str, float] = {}  # further seconds for what goes to or comes from it
         # Its own generator, so that what a reset lets through shifts no other draw of the same seed.
-        self.prefixes = random.Random(repr(loop.random.getstate()))
+        self.prefix_random = random.Random(repr(loop.random.getstate()))
 
     def add(self, ip: str, zone: str, machine: Machine) -> None:
         self.machines[ip], self.zones[ip] = machine, zone
 
     def delay(self, src: str, dst: str) -> float:
-        low, high = NEAR if self.zones[src] == self.zones[dst] else FAR
-        return self.loop.random.uniform(low, high) + self.slow.get(src, 0.0) + self.slow.get(dst, 0.0)
+        low, high = SAME_ZONE_DELAY_S if self.zones[src] == self.zones[dst] else CROSS_ZONE_DELAY_S
+        return (
+            self.loop.random.uniform(low, high)
+            + self.extra_delay_s.get(src, 0.0)
+            + self.extra_delay_s.get(dst, 0.0)
+        )
 
     def blocked(self, src: str, dst: str) -> bool:
         return (src, dst) in self.cuts or not self.machines[dst].powered
@@ -157,22 +169,31 @@
         return listener
 
     async def connect(self, machine: Machine, factory: Any, ip: str, port: int) -> tuple[End, Any]:
-        made: asyncio.Future[End] = self.loop.create_future()
+        established: asyncio.Future[End] = self.loop.create_future()
         src = machine.name
         self.loop.after(
-            self.delay(src, ip), self.loop.world, self._asked, machine, machine.life, ip, port, made
+            self.delay(src, ip),
+            self.loop.world,
+            self._on_connect_request,
+            machine,
+            machine.life,
+            ip,
+            port,
+            established,
         )
         try:
-            end = await made
+            end = await established
         except asyncio.CancelledError:
-            if made.done() and not made.cancelled() and made.exception() is None:
-                made.result().abort()
+            if established.done() and not established.cancelled() and established.exception() is None:
+                established.result().abort()
             raise
         protocol = end.protocol = factory()
         protocol.connection_made(end)
         return end, protocol
 
-    def _asked(self, machine: Machine, life: int, ip: str, port: int, made: asyncio.Future[End]) -> None:
+    def _on_connect_request(
+        self, machine: Machine, life: int, ip: str, port: int, established: asyncio.Future[End]
+    ) -> None:
         """The first packet has come to the other machine."""
         src = machine.name
         if self.blocked(src, ip) or machine.life != life:
@@ -182,43 +203,50 @@
         self.loop.after(
             self.delay(ip, src),
             self.loop.world,
-            self._heard,
+            self._on_connect_reply,
             machine,
             life,
             ip,
             listener if there else None,
-            made,
+            established,
         )
 
-    def _heard(
-        self, machine: Machine, life: int, ip: str, listener: _Listener | None, made: asyncio.Future[End]
+    def _on_connect_reply(
+        self,
+        machine: Machine,
+        life: int,
+        ip: str,
+        listener: _Listener | None,
+        established: asyncio.Future[End],
     ) -> None:
         """Its answer has come back."""
         if self.blocked(ip, machine.name) or machine.life != life:
             return
-        self.loop.after(0.0, machine, self._made, machine, ip, listener, made)
+        self.loop.after(0.0, machine, self._establish, machine, ip, listener, established)
 
-    def _made(self, machine: Machine, ip: str, listener: _Listener | None, made: asyncio.Future[End]) -> None:
-        if made.done():
+    def _establish(
+        self, machine: Machine, ip: str, listener: _Listener | None, established: asyncio.Future[End]
+    ) -> None:
+        if established.done():
             return
         if listener is None:
-            made.set_exception(ConnectionRefusedError())
+            established.set_exception(ConnectionRefusedError())
             return
         near, far = End(self, machine, machine.name), End(self, listener.machine, ip)
         far.life = listener.life
         near.peer, far.peer = far, near
         self.ends += (near, far)
         self.send(near, listener.factory)
-        made.set_result(near)
+        established.set_result(near)
         if len(self.ends) > 500:
             self.ends = [end for end in self.ends if not end.closed or not end.peer.closed]
 
     # What travels: bytes, a protocol's factory (to be accepted), None (closed)
 
     def send(self, end: End, item: Any) -> None:
-        end.floor = max(end.floor, self.loop.now + self.delay(end.ip, end.peer.ip))
+        end.earliest_arrival = max(end.earliest_arrival, self.loop.now + self.delay(end.ip, end.peer.ip))
         end.queue.append(item)
-        self.loop.after(end.floor - self.loop.now, self.loop.world, self._arrive, end)
+        self.loop.after(end.earliest_arrival - self.loop.now, self.loop.world, self._arrive, end)
 
     def _arrive(self, end: End) -> None:
         if not end.queue or end.stuck:
@@ -226,9 +254,9 @@
         if self.blocked(end.ip, end.peer.ip):
             end.stuck, end.stuck_at = True, self.loop.now
             return
-        self._hand(end, end.queue.popleft())
+        self._deliver(end, end.queue.popleft())
 
-    def _hand(self, end: End, item: Any) -> None:
+    def _deliver(self, end: End, item: Any) -> None:
         peer = end.peer
         if peer.machine.life != peer.life or not peer.machine.running:
             self._refuse(end)
@@ -238,7 +266,7 @@
             if peer.closed:
                 self._refuse(end)
             else:
-                self.loop.after(0.0, peer.machine, peer.take, item)
+                self.loop.after(0.0, peer.machine, peer.receive, item)
         else:
             self.loop.after(0.0, peer.machine, self._accept, peer, item)
 
@@ -265,22 +293,22 @@
 
     def heal(self, pairs: Iterable[tuple[str, str]]) -> None:
         self.cuts.difference_update(pairs)
-        self.again()
+        self.resume_stuck()
 
-    def again(self) -> None:
+    def resume_stuck(self) -> None:
         """What was held up by cuts that are gone goes on."""
         for end in list(self.ends):
             if end.stuck and not self.blocked(end.ip, end.peer.ip):
                 end.stuck = False
-                pause = self.loop.random.uniform(*RETRY)
-                if self.loop.now - end.stuck_at > USER_TIMEOUT:
+                pause = self.loop.random.uniform(*RETRANSMIT_DELAY_S)
+                if self.loop.now - end.stuck_at > USER_TIMEOUT_S:
                     end.queue.clear()
                     self.loop.after(0.0, end.machine, end.reset)
                 for _ in range(len(end.queue)):
-                    end.floor = max(end.floor, self.loop.now + pause)
-                    self.loop.after(end.floor - self.loop.now, self.loop.world, self._arrive, end)
+                    end.earliest_arrival = max(end.earliest_arrival, self.loop.now + pause)
+                    self.loop.after(end.earliest_arrival - self.loop.now, self.loop.world, self._arrive, end)
 
-    def fallen(self, machine: Machine) -> None:
+    def close_connections(self, machine: Machine) -> None:
         """Its process has ended: its system closes what it had, unless it has no power."""
         for end in list(self.ends):
             if end.machine is machine and not end.closed:
@@ -290,16 +318,16 @@
 
     def reset(self, machine: Machine) -> None:
         """All connections of a machine are reset; each end hears a part of what was under way before that."""
-        struck = [end for end in self.ends if machine in (end.machine, end.peer.machine) and not end.closed]
-        arriving = [(end, self._prefix(end.under_way())) for end in struck]
+        affected = [end for end in self.ends if machine in (end.machine, end.peer.machine) and not end.closed]
+        arriving = [(end, self._prefix(end.bytes_in_flight())) for end in affected]
         for end, data in arriving:
             end.peer.queue.clear()
             if data:
-                self.loop.after(0.0, end.machine, end.take, data)
+                self.loop.after(0.0, end.machine, end.receive, data)
             self.loop.after(0.0, end.machine, end.reset)
 
     def _prefix(self, data: bytes) -> bytes:
-        chance = self.prefixes.random()
-        if not data or chance < NOTHING:
+        chance = self.prefix_random.random()
+        if not data or chance < NO_DATA_PROBABILITY:
             return b""
-        return data if chance < ALL else data[: self.prefixes.randrange(len(data) + 1)]
+        return data if chance < ALL_DATA_PROBABILITY else data[: self.prefix_random.randrange(len(data) + 1)]
--- a/rigs/simulation/order_checks.py
+++ b/rigs/simulation/order_checks.py
@@ -8,32 +8,32 @@
 from collections.abc import Iterable
 
 from rigs.simulation import linearizability
-from rigs.simulation.calm import CONTACT, Calm
-from rigs.simulation.checks import APPLY, Tables, _acks
+from rigs.simulation.checks import APPLY_S, TableVersions, _acks
+from rigs.simulation.fault_spans import CONTACT_S, FaultSpans
 from rigs.simulation.history import Event, History
 from rigs.simulation.mesh import SIDECARS
 
-ACK = 4.0  # seconds in one settled stretch within which a proper order is acknowledged
-MOST_WAIT = 0.95  # seconds that a node may keep a caller, who leaves after one
-LEAST_COPIES = 2  # of what is acknowledged, whatever the table of voters: one machine may be lost
-STARTED = 2.0  # seconds from which on the core is expected to stand
+ACK_S = 4.0  # seconds in one settled stretch within which a proper order is acknowledged
+MAX_WAIT_S = 0.95  # seconds that a node may keep a caller, who leaves after one
+MIN_COPIES = 2  # of what is acknowledged, whatever the table of voters: one machine may be lost
+CORE_STARTED_S = 2.0  # seconds from which on the core is expected to stand
 
 
-class Settled:
-    """Stretches in which nothing has befallen the core for CONTACT, a lasting cut of a minority included."""
+class SettledPeriods:
+    """Stretches in which nothing has befallen the core for CONTACT_S, a lasting cut of a minority included."""
 
     def __init__(self, history: History) -> None:
         times = sorted(e.at for e in history.of("trouble", "well") if e.who == "core")
         ends = [*times, history.events[-1].at]
-        begins = [STARTED, *(at + CONTACT for at in times)]
-        self.stretches = [(begin, end) for begin, end in zip(begins, ends, strict=True) if begin < end]
+        begins = [CORE_STARTED_S, *(at + CONTACT_S for at in times)]
+        self.periods = [(begin, end) for begin, end in zip(begins, ends, strict=True) if begin < end]
 
     def longest(self, since: float, until: float) -> float:
         """Seconds of the longest settled stretch between the two."""
-        return max((min(end, until) - max(begin, since) for begin, end in self.stretches), default=0.0)
+        return max((min(end, until) - max(begin, since) for begin, end in self.periods), default=0.0)
 
-    def holds(self, since: float, until: float) -> bool:
-        return any(begin <= since and until <= end for begin, end in self.stretches)
+    def covers(self, since: float, until: float) -> bool:
+        return any(begin <= since and until <= end for begin, end in self.periods)
 
 
 def violations(history: History) -> list[str]:
@@ -43,8 +43,8 @@
 
 
 def acknowledged(history: History) -> list[str]:
-    """An order has a clear answer within ACK of settled time in one stretch."""
-    settled = Settled(history)
+    """An order has a clear answer within ACK_S of settled time in one stretch."""
+    settled = SettledPeriods(history)
     answered = {e.data["order"]: e.at for e in history.of("verdict") if "order" in e.data}
     end = history.events[-1].at
     found = []
@@ -53,7 +53,7 @@
         if number is None:
             continue
         waited = settled.longest(sent.at, answered.get(number, end))
-        if waited > ACK:
+        if waited > ACK_S:
             found.append(
                 f"ACKS: order {number}, sent at {sent.at:.3f}, not answered in {waited:.2f} settled s"
             )
@@ -72,7 +72,7 @@
             continue
         rows = linearizability.rows_of(calls[event.data["order"]])
         current = all(row.ver == newest[row.key] and row.content != linearizability.DROPPED for row in rows)
-        if event.data["count"] < max(event.data["needed"], LEAST_COPIES) and current:
+        if event.data["count"] < max(event.data["needed"], MIN_COPIES) and current:
             found.append(
                 f"MINORITY: order {event.data['order']} acknowledged at {event.at:.3f} "
                 f"with {event.data['count']} copies"
@@ -81,23 +81,23 @@
 
 
 def in_force(history: History) -> list[str]:
-    """Where the core is settled, a cut included, each sidecar without trouble has it APPLY after its
+    """Where the core is settled, a cut included, each sidecar without trouble has it APPLY_S after its
     acknowledgement.
     """
-    settled, calm, tables = Settled(history), Calm(history), Tables(history)
+    settled, spans, tables = SettledPeriods(history), FaultSpans(history), TableVersions(history)
     found = []
     for at, name, ver, _ in _acks(history):
-        if not settled.holds(at, at + APPLY):
+        if not settled.covers(at, at + APPLY_S):
             continue
         late = [
             sidecar
             for sidecar in SIDECARS
-            if calm.calm(sidecar, at - CONTACT, at + APPLY)
-            and tables.since(sidecar, at + APPLY, name, ver) > at + APPLY
+            if spans.is_calm(sidecar, at - CONTACT_S, at + APPLY_S)
+            and tables.since(sidecar, at + APPLY_S, name, ver) > at + APPLY_S
         ]
         if late:
             found.append(
-                f"IN FORCE: {name} {ver:08x}, acknowledged at {at:.3f}, not at {late[0]} after {APPLY} s"
+                f"IN FORCE: {name} {ver:08x}, acknowledged at {at:.3f}, not at {late[0]} after {APPLY_S} s"
             )
     return found
 
@@ -109,11 +109,11 @@
 
 def waits(history: History) -> list[str]:
     """A node answers before its caller leaves: with a 503, where it can't say more."""
-    late = [e for e in history.of("waited") if e.data["seconds"] > MOST_WAIT]
+    late = [e for e in history.of("waited") if e.data["seconds"] > MAX_WAIT_S]
     if not late:
         return []
     worst = max(late, key=lambda e: e.data["seconds"])
-    return [f"WAIT: {len(late)} calls kept over {MOST_WAIT} s, {worst.data['seconds']:.2f} s by {worst.who}"]
+    return [f"WAIT: {len(late)} calls kept over {MAX_WAIT_S} s, {worst.data['seconds']:.2f} s by {worst.who}"]
 
 
 def struck_states(events: Iterable[Event]) -> dict[str, int]:
--- a/rigs/simulation/planned_work.py
+++ b/rigs/simulation/planned_work.py
@@ -9,13 +9,13 @@
 import random
 
 from rigs.simulation.clients import Clients, Operators
-from rigs.simulation.mesh import CONTROLS, GRACE, SIDECARS, Site
+from rigs.simulation.mesh import CONTROLS, GRACE_S, SIDECARS, Site
 from rigs.simulation.play import Action, Day, Played, play
 from rigs.simulation.schedule import SYNC_S, Fault
 
 FIRST_S, LAST_S = 3.0, 12.0  # of these days: the first SIGTERM, and the end of slow and silent servers
-DEADLINES = (1.5, 0.7 * GRACE, 1.2 * GRACE, 1.6 * GRACE)  # seconds: some end after the shutdown does
-TIMEOUT = 2.0 * GRACE
+DEADLINES_S = (1.5, 0.7 * GRACE_S, 1.2 * GRACE_S, 1.6 * GRACE_S)  # seconds: some end after the shutdown does
+TIMEOUT = 2.0 * GRACE_S
 CONTROL_RATE = 0.5  # of the days on which the control nodes are restarted, one after another
 
 
@@ -23,12 +23,12 @@
     """Draws which sidecars are shut down and when, and how servers and operators behave meanwhile."""
     draw = random.Random(seed ^ 0x51674E)
     schedule = []
-    at, until = FIRST_S + draw.uniform(0.0, 1.0), LAST_S - GRACE
+    at, until = FIRST_S + draw.uniform(0.0, 1.0), LAST_S - GRACE_S
     while at < until:
         spread = draw.choice((0.02, 0.5, 1.5))
         for target in draw.sample(range(len(SIDECARS)), draw.randrange(2, len(SIDECARS))):
             schedule.append(Fault(round(at + draw.uniform(0.0, spread), 3), "leave-sidecar", target))
-        at += GRACE + spread + draw.uniform(0.5, 1.5)
+        at += GRACE_S + spread + draw.uniform(0.5, 1.5)
     if draw.random() < CONTROL_RATE:
         first = FIRST_S + draw.uniform(0.0, 1.0)
         for number in range(len(CONTROLS)):
@@ -39,7 +39,7 @@
         every=draw.choice((0.2, 0.8)),
         quiet=9.0,
         failure_rate=draw.choice((0.0, 0.02)),
-        deadlines=DEADLINES,
+        deadlines=DEADLINES_S,
         timeout=TIMEOUT,
         actions=(
             (2.5, _servers(draw.choice((1.0, 6.0, 30.0)), draw.choice((0.0, 0.02, 0.1)))),
--- a/rigs/simulation/planted_drawn.py
+++ b/rigs/simulation/planted_drawn.py
@@ -23,12 +23,12 @@
 from minthitch.mesh.transport import ops
 from rigs.simulation import mesh
 from rigs.simulation.disk import SimStore, SimWriter
-from rigs.simulation.mesh import SLACK
+from rigs.simulation.mesh import RETRY_SLACK
 
 Patch = Any  # a patch of unittest.mock
 
 
-class Forgetful(RaftNode):
+class RevotingNode(RaftNode):
     """Votes for whoever asks, as often as it is asked."""
 
     def receive(self, now: float, source: str, message: Message) -> list[Action]:
@@ -37,7 +37,7 @@
         return super().receive(now, source, message)
 
 
-class CountingLeader(Leader):
+class UnsyncedCountingLeader(Leader):
     """Counts itself before its own disk has the entry."""
 
     def update_commit_index(self, now: float) -> None:
@@ -49,11 +49,11 @@
             log.durable = durable
 
 
-class Counting(RaftNode):
-    leader_type = CountingLeader
+class UnsyncedCountingNode(RaftNode):
+    leader_type = UnsyncedCountingLeader
 
 
-def _hasty(server: ControlServer, kind: int, data: bytes, done: Any) -> None:
+def _acknowledge_before_commit(server: ControlServer, kind: int, data: bytes, done: Any) -> None:
     if kind == CONFIG and server.raft.is_leader:
         _PROPOSE(server, kind, data, lambda result: None)
         done((200, "", True))
@@ -64,51 +64,51 @@
 _PROPOSE = ControlServer.propose
 
 
-def _unsynced(writer: SimWriter, persist: Any) -> None:
-    _PUT(writer, persist)
+def _report_synced_at_once(writer: SimWriter, persist: Any) -> None:
+    _SUBMIT(writer, persist)
     writer.loop.after(0.0, writer.machine, writer.done, persist.write_id)
 
 
-_PUT = SimWriter.submit
+_SUBMIT = SimWriter.submit
 
 
-def _same_name(store: SimStore, incarnation: str) -> None:
+def _initialize_as_founder(store: SimStore, incarnation: str) -> None:
     """What lost its disk comes back as a founder that has voted for nobody."""
-    _BEGIN(store, "0")
+    _INITIALIZE(store, "0")
 
 
-_BEGIN = SimStore.initialize
+_INITIALIZE = SimStore.initialize
 
 
-def _dump(state: StateMachine) -> bytes:
+def _snapshot_without_last(state: StateMachine) -> bytes:
     """Without the changes of the last entries."""
     short = StateMachine()
-    short.restore(_DUMP(state))
+    short.restore(_SNAPSHOT(state))
     rows = short.items._rows
     for key in [key for key, row in rows.items() if row.index > state.items.index - 5]:
         del rows[key]
-    return _DUMP(short)
+    return _SNAPSHOT(short)
 
 
-_DUMP = StateMachine.snapshot
+_SNAPSHOT = StateMachine.snapshot
 
 
-def _rotate(server: ControlServer) -> None:
+def _expire_too_soon(server: ControlServer) -> None:
     """Whoever leads lets claims grow old, though it doesn't know when that was done last."""
     raft = server.raft
     if raft.has_committed_in_term and server.claim_expiry.clock.term != raft.term:
         server.propose(ROTATE, b"", lambda result: None)
-    _ROTATE(server)
+    _EXPIRE_CLAIMS(server)
 
 
-_ROTATE = ControlServer._expire_claims
+_EXPIRE_CLAIMS = ControlServer._expire_claims
 
 
-def _unclaimed(controls: ControlLinks, body: tuple[Any, ...], deadline: float, done: Any) -> None:
+def _grant_locally(controls: ControlLinks, body: tuple[Any, ...], deadline: float, done: Any) -> None:
     controls.loop.call_soon(done, GRANTED, body[1], body[2], body[3])
 
 
-def _older(replica: Replica, delta: bytes) -> bool:
+def _merge_any_version(replica: Replica, delta: bytes) -> bool:
     new = _DELTA_DECODER.decode(delta)
     for row in new.rows:
         replica._rows[row.section, row.name] = row
@@ -116,7 +116,7 @@
     return True
 
 
-def _any_life(admission: Admission, origin: Any, reply: Any, message: ops.Message) -> None:
+def _call_any_incarnation(admission: Admission, origin: Any, reply: Any, message: ops.Message) -> None:
     own, admission.server_id = admission.server_id, message[2]
     try:
         _CALL(admission, origin, reply, message)
@@ -127,55 +127,65 @@
 _CALL = Admission.call
 
 
-def _undrained(admission: Admission, state: str) -> None:
+def _ignore_draining(admission: Admission, state: str) -> None:
     if state == "up":
-        _BE(admission, state)
+        _SET_STATE(admission, state)
 
 
-_BE = Admission._set_state
+_SET_STATE = Admission._set_state
 
 
-def _asked_free(keys: IdempotencyKeys, ident: int, claim: bytes, reply: Any) -> None:
+def _unknown_is_free(keys: IdempotencyKeys, ident: int, claim: bytes, reply: Any) -> None:
     """What this life knows nothing of is said to be free."""
     if claim in keys.operations.by_claim_id:
-        _ASKED(keys, ident, claim, reply)
+        _ON_QUERY(keys, ident, claim, reply)
     else:
         reply((ops.CLAIM_STATE, ident, "free", 0, (), b""))
 
 
-_ASKED = IdempotencyKeys.on_query
+_ON_QUERY = IdempotencyKeys.on_query
 
 
 PLANTED: dict[str, Callable[[], list[Patch]]] = {
     "configuration acknowledged before it is agreed": lambda: [
-        mock.patch.object(ControlServer, "propose", _hasty)
+        mock.patch.object(ControlServer, "propose", _acknowledge_before_commit)
+    ],
+    "agreed before it is synced": lambda: [mock.patch.object(SimWriter, "submit", _report_synced_at_once)],
+    "a commit counted before its sync": lambda: [
+        mock.patch.object(consensus_module, "RaftNode", UnsyncedCountingNode)
+    ],
+    "an image without the last entries": lambda: [
+        mock.patch.object(StateMachine, "snapshot", _snapshot_without_last)
     ],
-    "agreed before it is synced": lambda: [mock.patch.object(SimWriter, "submit", _unsynced)],
-    "a commit counted before its sync": lambda: [mock.patch.object(consensus_module, "RaftNode", Counting)],
-    "an image without the last entries": lambda: [mock.patch.object(StateMachine, "snapshot", _dump)],
     "a version that goes back": lambda: [mock.patch.object(Items, "_wins", lambda *args: True)],
-    "a wiped disk that keeps its vote": lambda: [mock.patch.object(SimStore, "initialize", _same_name)],
+    "a wiped disk that keeps its vote": lambda: [
+        mock.patch.object(SimStore, "initialize", _initialize_as_founder)
+    ],
     "a new leader that rotates too soon": lambda: [
-        mock.patch.object(ControlServer, "_expire_claims", _rotate)
+        mock.patch.object(ControlServer, "_expire_claims", _expire_too_soon)
     ],
-    "a vote forgotten": lambda: [mock.patch.object(consensus_module, "RaftNode", Forgetful)],
+    "a vote forgotten": lambda: [mock.patch.object(consensus_module, "RaftNode", RevotingNode)],
     "a key freed that may have run": lambda: [
         mock.patch.object(OperationTable, "record_unknown", OperationTable.record_not_run)
     ],
     "a claim of a life before taken for free": lambda: [
-        mock.patch.object(IdempotencyKeys, "on_query", _asked_free)
+        mock.patch.object(IdempotencyKeys, "on_query", _unknown_is_free)
     ],
-    "keys not claimed": lambda: [mock.patch.object(ControlLinks, "claim", _unclaimed)],
+    "keys not claimed": lambda: [mock.patch.object(ControlLinks, "claim", _grant_locally)],
     "claims forgotten too soon": lambda: [
-        mock.patch.object(mesh, "ROTATE_SLACK", 1.0 - mesh.KEY_WINDOW),
-        mock.patch.object(StateMachine, "longest_route_timeout", lambda *_: -mesh.KEY_WINDOW),
+        mock.patch.object(mesh, "CLAIM_MARGIN_S", 1.0 - mesh.KEY_WINDOW_S),
+        mock.patch.object(StateMachine, "longest_route_timeout", lambda *_: -mesh.KEY_WINDOW_S),
     ],
     "a budget without bound": lambda: [
         mock.patch.object(Budget, "spend", lambda *args: Charge(0, True)),
         mock.patch.object(Budget, "remaining", lambda *args: 9),
     ],
-    "a replica that takes older state": lambda: [mock.patch.object(Replica, "merge", _older)],
-    "a gate that passes calls of another life": lambda: [mock.patch.object(Admission, "call", _any_life)],
-    "a gate that is deaf to draining": lambda: [mock.patch.object(Admission, "_set_state", _undrained)],
-    "slack without a lease": lambda: [mock.patch.object(LeaseClient, "amount", lambda *args: int(SLACK))],
+    "a replica that takes older state": lambda: [mock.patch.object(Replica, "merge", _merge_any_version)],
+    "a gate that passes calls of another life": lambda: [
+        mock.patch.object(Admission, "call", _call_any_incarnation)
+    ],
+    "a gate that is deaf to draining": lambda: [mock.patch.object(Admission, "_set_state", _ignore_draining)],
+    "slack without a lease": lambda: [
+        mock.patch.object(LeaseClient, "amount", lambda *args: int(RETRY_SLACK))
+    ],
 }
--- a/rigs/simulation/planted_points.py
+++ b/rigs/simulation/planted_points.py
@@ -28,7 +28,7 @@
 from rigs.simulation.planted_drawn import PLANTED, Patch
 
 
-class Unleased(RaftNode):
+class EndlessLeaseNode(RaftNode):
     """A leader that takes all voters to be in touch for ever, and so its lease to last."""
 
     def tick(self, now: float) -> list[Action]:
@@ -40,7 +40,7 @@
         return self.is_leader
 
 
-class Presuming(RaftNode):
+class SentIsHeldNode(RaftNode):
     """Counts what was sent to a voter as held by it."""
 
     def persisted(self, now: float, write_id: int) -> list[Action]:
@@ -49,7 +49,7 @@
         return super().persisted(now, write_id)
 
 
-class Credulous(RaftNode):
+class VoteForAnyLogNode(RaftNode):
     """Votes for whoever asks first, however short its log."""
 
     def receive(self, now: float, source: str, message: Message) -> list[Action]:
@@ -58,7 +58,7 @@
         return super().receive(now, source, message)
 
 
-class Clinging(RaftNode):
+class KeepsLostVoterNode(RaftNode):
     """Never gives the seat of a voter that is gone to another machine."""
 
     def __init__(self, *args: Any, **more: Any) -> None:
@@ -67,25 +67,25 @@
         self.reconfiguration.policy.unresponsive_after_s = float("inf")
 
 
-class Impatient(RaftNode):
+class SilentVotersAgreeNode(RaftNode):
     """Does not wait for voters that are silent: what it holds alone counts as agreed."""
 
     def persisted(self, now: float, write_id: int) -> list[Action]:
-        self._wave_through(now)
+        self._count_silent_voters(now)
         return super().persisted(now, write_id)
 
     def tick(self, now: float) -> list[Action]:
-        self._wave_through(now)
+        self._count_silent_voters(now)
         return super().tick(now)
 
-    def _wave_through(self, now: float) -> None:
+    def _count_silent_voters(self, now: float) -> None:
         for progress in self.leader_state.peers.values():
             if now - progress.last_response_at > 0.5 * self.timing.election_timeout:
                 progress.match_index = max(progress.match_index, self.log.durable)
                 progress.acknowledged_sent_at = now
 
 
-class Trusting(RaftNode):
+class SuccessCoversAllNode(RaftNode):
     """Takes any good answer of a voter for one to all that the leader holds."""
 
     def receive(self, now: float, source: str, message: Message) -> list[Action]:
@@ -104,7 +104,7 @@
     return front.table is not None and not front.leaving
 
 
-def _any_result(proposals: Proposals, message: ForwardedResult) -> None:
+def _result_for_oldest(proposals: Proposals, message: ForwardedResult) -> None:
     """Takes the answer for the oldest that waits."""
     oldest = next(iter(proposals.forwarded), message.request_id)
     _ON_RESULT(proposals, structs.replace(message, request_id=oldest))
@@ -113,19 +113,19 @@
 _ON_RESULT = Proposals.on_forwarded_result
 
 
-def _refuses_equal(items: Items, row: Any) -> bool:
+def _conflicts_with_itself(items: Items, row: Any) -> bool:
     """Takes the same order for a rival of itself."""
     held = items._rows.get((row.section, row.name))
     return held is not None and row.version == held.version
 
 
-def _short_log(store: SimStore) -> Any:
+def _load_without_last(store: SimStore) -> Any:
     """What a start finds lacks its last entries."""
     saved = store.disk.saved
     return None if saved is None else structs.replace(saved, entries=saved.entries[:-3])
 
 
-def _any_answer(copies: AttemptDispatcher, message: ops.Message) -> None:
+def _answer_for_oldest(copies: AttemptDispatcher, message: ops.Message) -> None:
     """Takes a server's answer for that of the oldest call that is out."""
     if message[0] == ops.ANSWER and copies.attempts:
         message = (message[0], next(iter(copies.attempts)), *message[2:])
@@ -135,7 +135,7 @@
 _ANSWER = AttemptDispatcher.handle_reply
 
 
-def _core(make: type[RaftNode]) -> Callable[[], list[Patch]]:
+def _replace_raft_node(make: type[RaftNode]) -> Callable[[], list[Patch]]:
     return lambda: [mock.patch.object(consensus_module, "RaftNode", make)]
 
 
@@ -145,32 +145,34 @@
 
 AT_POINTS: dict[str, dict[str, Callable[[], list[Patch]]]] = {
     CUT_OFF: {
-        "a lease that never ends": _core(Unleased),
-        "a majority counted without contact": _core(Presuming),
-        "a member that leads with old state": _core(Credulous),
+        "a lease that never ends": _replace_raft_node(EndlessLeaseNode),
+        "a majority counted without contact": _replace_raft_node(SentIsHeldNode),
+        "a member that leads with old state": _replace_raft_node(VoteForAnyLogNode),
         "reads answered by any node": lambda: [mock.patch.object(ControlServer, "fetch", _fetch_anywhere)],
         "ready with what a peer fed it": lambda: [mock.patch.object(Sidecar, "ready", _ready_when_fed)],
     },
     ONE_ORDER: {
         "both orders confirmed": lambda: [mock.patch.object(Items, "_conflicts", lambda *args: False)],
-        "a taken order refused": lambda: [mock.patch.object(Items, "_conflicts", _refuses_equal)],
+        "a taken order refused": lambda: [mock.patch.object(Items, "_conflicts", _conflicts_with_itself)],
         "a result without its number checked": lambda: [
-            mock.patch.object(Proposals, "on_forwarded_result", _any_result)
+            mock.patch.object(Proposals, "on_forwarded_result", _result_for_oldest)
         ],
     },
     SECOND_LOSS: {
-        "a seat kept too long": _core(Clinging),
-        "a sole copy let go": _core(Impatient),
-        "copies counted that are not there": _core(Trusting),
+        "a seat kept too long": _replace_raft_node(KeepsLostVoterNode),
+        "a sole copy let go": _replace_raft_node(SilentVotersAgreeNode),
+        "copies counted that are not there": _replace_raft_node(SuccessCoversAllNode),
         "a wiped disk that keeps its vote at a second loss": PLANTED["a wiped disk that keeps its vote"],
     },
     MANY_CHANGES: {
         "a snapshot without its last entries": PLANTED["an image without the last entries"],
-        "a restart that forgets its last entries": lambda: [mock.patch.object(SimStore, "load", _short_log)],
+        "a restart that forgets its last entries": lambda: [
+            mock.patch.object(SimStore, "load", _load_without_last)
+        ],
     },
     RIGHT_CALLER: {
         "an answer without its number checked": lambda: [
-            mock.patch.object(AttemptDispatcher, "handle_reply", _any_answer)
+            mock.patch.object(AttemptDispatcher, "handle_reply", _answer_for_oldest)
         ],
         "never left, claimed after a write": lambda: [mock.patch.object(Attempt, "fully_sent", False)],
         "a key freed that was sent": PLANTED["a key freed that may have run"],
--- a/rigs/simulation/play.py
+++ b/rigs/simulation/play.py
@@ -19,7 +19,7 @@
 from minthitch.mesh.sidecar.sidecar import Sidecar
 from rigs.simulation import mesh
 from rigs.simulation.checks import violations
-from rigs.simulation.clients import DEADLINES, TIMEOUT, Clients, Operators
+from rigs.simulation.clients import DEADLINES_S, ROUTE_TIMEOUT_S, Clients, Operators
 from rigs.simulation.fault_injector import FaultInjector
 from rigs.simulation.history import History
 from rigs.simulation.loop import VirtualLoop
@@ -28,8 +28,8 @@
 from rigs.simulation.schedule import Fault, draw_schedule
 
 SNAPSHOT_INTERVALS = (10, 25, 60)  # entries between two images; a day has some 250
-TAILS = (0, 6, 40)  # entries that are kept before an image
-PIECES = (300, 2_000, 64 * 1024)  # bytes of entries or of an image in one message
+RETAINED_ENTRY_COUNTS = (0, 6, 40)  # entries that are kept before an image
+CHUNK_SIZES_BYTES = (300, 2_000, 64 * 1024)  # bytes of entries or of an image in one message
 Action = Callable[[Site, Clients, Operators], None]
 
 
@@ -41,8 +41,8 @@
     every: float = 0.8  # seconds between two changes of the configuration
     quiet: float = 7.0  # seconds after the last fault, in which all comes right again
     failure_rate: float | None = None  # share of requests that go wrong at their server; None: drawn
-    deadlines: tuple[float, ...] = DEADLINES  # of clients, in seconds
-    timeout: float = TIMEOUT  # of the routes, in seconds
+    deadlines: tuple[float, ...] = DEADLINES_S  # of clients, in seconds
+    timeout: float = ROUTE_TIMEOUT_S  # of the routes, in seconds
     actions: tuple[tuple[float, Action], ...] = ()
     make_control: MakeControl = ControlServer
     make_front: MakeFront = Sidecar
@@ -70,7 +70,7 @@
             mock.patch.object(os, "urandom", chance.randbytes),
             mock.patch.object(time, "monotonic_ns", clock),
             mock.patch.object(LOG, "disabled", True),
-            *_small(chance),
+            *_patch_small_limits(chance),
         ):
             stack.enter_context(patch)
         site = Site(seed, day.make_control, day.make_front, day.controls, day.make_network)
@@ -79,13 +79,13 @@
     return Played(site.history, violations(site.history), site)
 
 
-def _small(chance: random.Random) -> list[Any]:
+def _patch_small_limits(chance: random.Random) -> list[Any]:
     """Figures so small that images, and claims that grow old, come in every day."""
     return [
         mock.patch.object(consensus_module, "MAX_SNAPSHOT_ENTRIES", chance.choice(SNAPSHOT_INTERVALS)),
-        mock.patch.object(server_module, "CLAIM_MARGIN_S", mesh.ROTATE_SLACK),
-        mock.patch.object(log_module, "RETAINED_ENTRIES", chance.choice(TAILS)),
-        mock.patch.object(leader_module, "CHUNK_BYTES", chance.choice(PIECES)),
+        mock.patch.object(server_module, "CLAIM_MARGIN_S", mesh.CLAIM_MARGIN_S),
+        mock.patch.object(log_module, "RETAINED_ENTRIES", chance.choice(RETAINED_ENTRY_COUNTS)),
+        mock.patch.object(leader_module, "CHUNK_BYTES", chance.choice(CHUNK_SIZES_BYTES)),
     ]
 
 
@@ -102,28 +102,28 @@
         loop.after(at, loop.world, action, site, clients, operators)
     loop.after(day.seconds, loop.world, faults.heal)
     loop.after(day.seconds + day.quiet, loop.world, operators.read_back)
-    loop.after(day.seconds + day.quiet, loop.world, _look, site)
+    loop.after(day.seconds + day.quiet, loop.world, _check_replicas, site)
     loop.run_until(day.seconds + day.quiet + 2.0)
     site.record("end", "world")
 
 
-def _look(site: Site) -> None:
-    if not site.taken_in():
+def _check_replicas(site: Site) -> None:
+    if not site.replicas_up_to_date():
         site.record("unsynced", "world")
 
 
-def shrink(seed: int, schedule: Sequence[Fault], day: Day = Day(), most: int = 60) -> list[Fault]:  # noqa: B008
+def shrink(seed: int, schedule: Sequence[Fault], day: Day = Day(), max_runs: int = 60) -> list[Fault]:  # noqa: B008
     """A schedule with as few faults as may be that is still broken by the same rule."""
     kept = list(schedule)
     rule = _rules(play(seed, kept, day).broken)
     tries, size = 0, max(len(kept) // 2, 1)
-    while size and tries < most:
+    while size and tries < max_runs:
         at = 0
-        while at < len(kept) and tries < most:
-            less = kept[:at] + kept[at + size :]
+        while at < len(kept) and tries < max_runs:
+            shorter = kept[:at] + kept[at + size :]
             tries += 1
-            if _rules(play(seed, less, day).broken) & rule:
-                kept = less
+            if _rules(play(seed, shorter, day).broken) & rule:
+                kept = shorter
             else:
                 at += size
         size //= 2
--- a/rigs/simulation/points/isolation.py
+++ b/rigs/simulation/points/isolation.py
@@ -5,8 +5,8 @@
 import random
 
 from rigs.simulation import order_checks
-from rigs.simulation.ctl import ControlClient
-from rigs.simulation.cuts import MODES, WAYS, Cut, cut_off, restart
+from rigs.simulation.control_client import ControlClient
+from rigs.simulation.cuts import DIRECTIONS, MODES, Cut, isolate, restart
 from rigs.simulation.mesh import CONTROLS, SPARES, ControlNode, Site
 from rigs.simulation.play import Played
 from rigs.simulation.points.orders import ORDER_ACTIONS
@@ -21,19 +21,19 @@
     script = Script(seed, lost=draw.choice((0.0, 0.05)))
     at, target = FAULTS_FROM_S + draw.uniform(0.5, 1.0), TARGETS[seed % len(TARGETS)]
     combination = seed // len(TARGETS)
-    way, mode = WAYS[combination % len(WAYS)], MODES[combination // len(WAYS) % len(MODES)]
+    way, mode = DIRECTIONS[combination % len(DIRECTIONS)], MODES[combination // len(DIRECTIONS) % len(MODES)]
     restarts = draw.choice(((), (), (draw.uniform(0.1, 19.0),), (2.0, 9.0, 19.5)))
     cut = Cut(at, CUT_S, way, mode, restarts)
 
     def strike(site: Site, client: ControlClient) -> None:
         control = target_of(site, target, draw)
         client.site.record("target", control.ip, kind=target, way=way, mode=mode)
-        cut_off(site, control, cut)
+        isolate(site, control, cut)
 
     script.at(at, strike)
     if draw.random() < 0.4:  # the one that returns may be the first to stand
         back = at + CUT_S + draw.choice((-0.05, 0.02, 0.1, 0.3))
-        script.at(back, lambda site, client: restart(site, site.leader(), away=1.0))
+        script.at(back, lambda site, client: restart(site, site.leader(), downtime_s=1.0))
     script.read_from(1.5, at + CUT_S + 4.0)
     for when in moments_around(draw, at, at + CUT_S + 3.0):
         draw.choice(ORDER_ACTIONS[:-1])(script, when)
--- a/rigs/simulation/points/many_changes.py
+++ b/rigs/simulation/points/many_changes.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from rigs.simulation.clients import route
-from rigs.simulation.ctl import ControlClient
+from rigs.simulation.control_client import ControlClient
 from rigs.simulation.cuts import restart
 from rigs.simulation.history import History
 from rigs.simulation.mesh import ControlNode, Site
--- a/rigs/simulation/points/orders.py
+++ b/rigs/simulation/points/orders.py
@@ -4,7 +4,7 @@
 
 import random
 
-from rigs.simulation.ctl import ControlClient
+from rigs.simulation.control_client import ControlClient
 from rigs.simulation.cuts import restart
 from rigs.simulation.mesh import Site
 from rigs.simulation.play import Played
--- a/rigs/simulation/points/script.py
+++ b/rigs/simulation/points/script.py
@@ -9,7 +9,7 @@
 
 from rigs.simulation import clients, order_checks
 from rigs.simulation.clients import Clients, Operators, route
-from rigs.simulation.ctl import ControlClient
+from rigs.simulation.control_client import ControlClient
 from rigs.simulation.cuts import RefusingNetwork, restart
 from rigs.simulation.history import History
 from rigs.simulation.mesh import CONTROLS, Site
@@ -55,7 +55,7 @@
 
     def read_from(self, when: float, until: float) -> None:
         """Reads the configuration again and again between these times."""
-        self.at(when, lambda site, client: client.read_on(READ_INTERVAL_S, until))
+        self.at(when, lambda site, client: client.read_repeatedly(READ_INTERVAL_S, until))
 
     def next(self, name: int) -> int:
         """The next version of a route."""
@@ -98,7 +98,7 @@
         controls=controls,
         make_network=RefusingNetwork,
     )
-    with mock.patch.object(clients, "EARLY", 0.0):
+    with mock.patch.object(clients, "EARLY_HANG_UP_RATE", 0.0):
         played = play(seed, faults, day)
     more = [text for check in (order_checks.violations, *checks) for text in check(played.history)]
     return played._replace(broken=played.broken + more)
--- a/rigs/simulation/points/second_loss.py
+++ b/rigs/simulation/points/second_loss.py
@@ -4,8 +4,8 @@
 
 import random
 
-from rigs.simulation.ctl import ControlClient
-from rigs.simulation.cuts import Cut, cut_off
+from rigs.simulation.control_client import ControlClient
+from rigs.simulation.cuts import Cut, isolate
 from rigs.simulation.mesh import CONTROLS, SPARES, ControlNode, Site
 from rigs.simulation.play import Played
 from rigs.simulation.points.isolation import moments_around
@@ -43,7 +43,7 @@
 
 def _lose_temporarily(site: Site, target: ControlNode, kind: str, away: float) -> None:
     if kind == "cut":
-        cut_off(site, target, Cut(site.loop.now, away))
+        isolate(site, target, Cut(site.loop.now, away))
         return
     site.record("struck", target.ip, kind=f"second {kind}", state=target.state)
     site.record("trouble", "core", kind="second")
--- a/rigs/simulation/points/stale_sidecar.py
+++ b/rigs/simulation/points/stale_sidecar.py
@@ -6,7 +6,7 @@
 
 from minthitch.mesh.configuration.schema import ROUTES
 from rigs.simulation import linearizability
-from rigs.simulation.ctl import ControlClient
+from rigs.simulation.control_client import ControlClient
 from rigs.simulation.history import History
 from rigs.simulation.mesh import ControlNode, Site
 from rigs.simulation.play import Played
--- a/rigs/simulation/shutdown_checks.py
+++ b/rigs/simulation/shutdown_checks.py
@@ -4,14 +4,14 @@
 
 from collections import defaultdict
 
-from rigs.simulation.calm import CONTACT, PLANNED, Calm
+from rigs.simulation.fault_spans import CONTACT_S, PLANNED, FaultSpans
 from rigs.simulation.history import Event, History, asked_requests
-from rigs.simulation.mesh import GRACE, SERVICES, SIDECARS
+from rigs.simulation.mesh import GRACE_S, SERVICES, SIDECARS
 
 LOST_S = 0.2  # seconds in which a request that has come may still cross the close of its connection
-AFTER_GRACE_S = 1.0  # for which a shutdown still counts after GRACE
+AFTER_GRACE_S = 1.0  # for which a shutdown still counts after GRACE_S
 EARLY_S = 3.0  # after SIGTERM until which a request that came may be cut off in the end,
-CUT_OFF_FROM_S = 5 / 6 * GRACE  # where its server is at work so long after SIGTERM
+CUT_OFF_FROM_S = 5 / 6 * GRACE_S  # where its server is at work so long after SIGTERM
 DEADLINE_SLACK_S = 0.05  # around its deadline a request may end without its server
 
 
@@ -20,29 +20,29 @@
     return [sidecar for n, sidecar in enumerate(SIDECARS) if SERVICES[n // 3] == service]
 
 
-def _is_calm(calm: Calm, ask: Event, answer: Event) -> bool:
+def _is_calm(spans: FaultSpans, ask: Event, answer: Event) -> bool:
     """Whether no unplanned trouble came near a request and its answer.
 
     Neither at its sidecar, nor at the core, nor at the machines that it may have gone to.
     """
     machines = ("core", answer.who, *servers_of(ask.data["service"]))
-    return all(calm.calm(who, ask.at - CONTACT, answer.at) for who in machines)
+    return all(spans.is_calm(who, ask.at - CONTACT_S, answer.at) for who in machines)
 
 
 def lost(history: History) -> list[str]:
     """A sidecar that leaves in order answers what it has read, beside planned work only."""
     asked, left = asked_requests(history), {(e.who, e.at) for e in history.of("left")}
-    calm, found = Calm(history, PLANNED), []
+    spans, found = FaultSpans(history, PLANNED), []
     for event in history.of("unheard"):
         ask = asked[event.data["id"]]
-        if (event.who, event.at) in left and ask.at < event.at - LOST_S and _is_calm(calm, ask, event):
+        if (event.who, event.at) in left and ask.at < event.at - LOST_S and _is_calm(spans, ask, event):
             found.append(f"LOST: {event.data['id']} at {event.who}, which left at {event.at:.3f}")
     return found
 
 
 def broken_off(history: History) -> list[str]:
     """A sidecar that leaves does not answer itself while a server is at work on the request."""
-    asked, calm = asked_requests(history), Calm(history, PLANNED)
+    asked, spans = asked_requests(history), FaultSpans(history, PLANNED)
     answers: dict[str, list[Event]] = defaultdict(list)
     for event in history.of("told"):
         if event.data["status"] >= 500 and not event.data["body"]:  # servers' answers have a body
@@ -53,15 +53,15 @@
     for term in history.of("sigterm"):
         for event in answers[term.who]:
             ask = asked[event.data["id"]]
-            if not term.at <= event.at <= term.at + GRACE + AFTER_GRACE_S:
+            if not term.at <= event.at <= term.at + GRACE_S + AFTER_GRACE_S:
                 continue
             if event.at >= ask.at + ask.data["deadline"] - DEADLINE_SLACK_S or not work.goes_on(event):
                 continue
             if ask.at <= term.at + EARLY_S and event.at >= term.at + CUT_OFF_FROM_S:
                 continue
-            if any(ask.at - CONTACT <= at <= event.at for at in mishaps):
+            if any(ask.at - CONTACT_S <= at <= event.at for at in mishaps):
                 continue
-            if _is_calm(calm, ask, event):
+            if _is_calm(spans, ask, event):
                 found.append(
                     f"LOST: {event.data['id']} got {event.data['status']} at {event.who} at {event.at:.3f}, "
                     f"while its server was at work; SIGTERM at {term.at:.3f}"
--- a/rigs/simulation/size.py
+++ b/rigs/simulation/size.py
@@ -26,33 +26,37 @@
 from minthitch.mesh.transport.connection import Connection
 from minthitch.mesh.transport.framing import MAX_FRAME_PAYLOAD
 from rigs.simulation.history import History
-from rigs.simulation.loop import VirtualLoop, _Due
+from rigs.simulation.loop import VirtualLoop, _Scheduled
 from rigs.simulation.mesh import CONTROLS, PORT, ZONES, ControlNode, Node, Site, zone_of
 from rigs.simulation.network import End, Network
 
-KEEP = 20  # sidecars that keep the list
-BEAT_BYTES = 12  # a write up to this is a line's own beat
+LIST_KEEPERS = 20  # sidecars that keep the list
+MAX_HEARTBEAT_BYTES = 12  # a write up to this is a line's own beat
 SERVICES = 4
-SYNC = 0.005, 0.01  # seconds of a write of a control node's disk
-CONFIGURED, SIDECARS_AT, SPREAD = 1.5, 2.0, 1.0  # seconds; the sidecars start within the last
-SETTLED = 7.0  # seconds from the start until nothing moves any more
+SYNC_S = 0.005, 0.01  # seconds of a write of a control node's disk
+CONFIGURED_AT_S, SIDECARS_START_AT_S, START_SPREAD_S = (
+    1.5,
+    2.0,
+    1.0,
+)  # seconds; the sidecars start within the last
+SETTLED_AT_S = 7.0  # seconds from the start until nothing moves any more
 
 
-class Used(NamedTuple):
+class Usage(NamedTuple):
     """What one machine did, or all of a kind."""
 
-    words_in: float
-    words_out: float
-    beats_out: float
+    messages_in: float
+    messages_out: float
+    heartbeats_out: float
     bytes_in: float
     bytes_out: float
     busy: float  # seconds of processor time
 
-    def less(self, other: Used) -> Used:
-        return Used(*(a - b for a, b in zip(self, other, strict=True)))
+    def minus(self, other: Usage) -> Usage:
+        return Usage(*(a - b for a, b in zip(self, other, strict=True)))
 
-    def by(self, number: float) -> Used:
-        return Used(*(a / number for a in self))
+    def divided_by(self, number: float) -> Usage:
+        return Usage(*(a / number for a in self))
 
 
 class _Loop(VirtualLoop):
@@ -60,15 +64,15 @@
         super().__init__(seed)
         self.busy: Counter[str] = Counter()
 
-        self.own = _own_cost()
+        self.clock_overhead_ns = _clock_overhead_ns()
 
-    def _step(self, due: _Due) -> None:
+    def _step(self, due: _Scheduled) -> None:
         began = time.process_time_ns()
         super()._step(due)
-        self.busy[due.machine.name] += max(time.process_time_ns() - began - self.own, 0)
+        self.busy[due.machine.name] += max(time.process_time_ns() - began - self.clock_overhead_ns, 0)
 
 
-def _own_cost() -> int:
+def _clock_overhead_ns() -> int:
     """Nanoseconds that two looks at the clock take: some systems take many."""
     looks = [time.process_time_ns() for _ in range(2_001)]
     return int(median(b - a for a, b in pairwise(looks)))
@@ -84,45 +88,45 @@
         if isinstance(item, bytes):
             out = self.sums[end.ip]
             into = self.sums[end.peer.ip]
-            word = len(item) > BEAT_BYTES
-            out["words_out" if word else "beats_out"] += 1
+            word = len(item) > MAX_HEARTBEAT_BYTES
+            out["messages_out" if word else "heartbeats_out"] += 1
             out["bytes_out"] += len(item)
-            into["words_in"] += word
+            into["messages_in"] += word
             into["bytes_in"] += len(item)
             if end.peer.ip == self.slow_to and len(item) >= MAX_FRAME_PAYLOAD:  # and what follows on it
-                end.floor = max(end.floor, self.loop.now) + self.slow_by
+                end.earliest_arrival = max(end.earliest_arrival, self.loop.now) + self.slow_by
         super().send(end, item)
 
 
-class _Views(MergedViews):
-    """Notes when a record is told that is waited for; keeps the list or not."""
+class _RecordingViews(MergedViews):
+    """Notes when a record is told that is waited for; keeps_list the list or not."""
 
-    def __init__(self, sidecar: Told, keeps: bool) -> None:
+    def __init__(self, sidecar: ReportingSidecar, keeps_list: bool) -> None:
         super().__init__()
-        self.sidecar, self.keeps = sidecar, keeps
+        self.sidecar, self.keeps_list = sidecar, keeps_list
 
     def update(self, now: float, source: str, delta: RegistryDelta) -> bool:
         for record in delta.changed:
-            if (record.ip, record.server_id, record.state) in self.sidecar.crowd.wanted:
-                self.sidecar.crowd.note(self.sidecar.ip, record.ip)
-        return self.keeps and super().update(now, source, delta)
+            if (record.ip, record.server_id, record.state) in self.sidecar.large_site.awaited:
+                self.sidecar.large_site.record_update(self.sidecar.ip, record.ip)
+        return self.keeps_list and super().update(now, source, delta)
 
 
-class Told(Node):
+class ReportingSidecar(Node):
     """The part of a sidecar that talks to control nodes."""
 
-    def __init__(self, crowd: Crowd, ip: str, service: str, keeps: bool) -> None:
-        super().__init__(crowd, ip)
-        self.crowd, self.service, self.keeps = crowd, service, keeps
+    def __init__(self, site: LargeSite, ip: str, service: str, keeps_list: bool) -> None:
+        super().__init__(site, ip)
+        self.large_site, self.service, self.keeps_list = site, service, keeps_list
         self.seq, self.life, self.state = 0, 1, "up"
         self.controls: ControlLinks | None = None
         self.peers: list[Peer] = []
-        self.answers, self.losses, self.back = 0, list[str](), list[int]()
+        self.answers, self.losses, self.returned = 0, list[str](), list[int]()
 
     def begin(self) -> None:
-        self.crowd.network.listen(self.machine, lambda: Connection(self), self.ip, PORT)
+        self.large_site.network.listen(self.machine, lambda: Connection(self), self.ip, PORT)
         self.controls = ControlLinks(self, PORT, f"{self.ip}/1")
-        self.controls.views = _Views(self, self.keeps)
+        self.controls.views = _RecordingViews(self, self.keeps_list)
         self.controls.connect_to(CONTROLS)
 
     def lease_request(self) -> None:
@@ -134,15 +138,15 @@
     def on_lease(self, lease: object) -> None:
         pass
 
-    def be(self, life: int, state: str) -> None:
+    def set_server_state(self, life: int, state: str) -> None:
         """Its server's new word, told at once."""
         self.life, self.state = life, state
         if self.controls is not None:
-            self.crowd.loop.after(0.0, self.machine, self.controls.send_report)
+            self.large_site.loop.after(0.0, self.machine, self.controls.send_report)
 
-    def meet(self) -> None:
-        """Asks every other sidecar something, and keeps the lines."""
-        for other in self.crowd.told:
+    def connect_to_all(self) -> None:
+        """Asks every other sidecar something, and keeps_list the lines."""
+        for other in self.large_site.reporters:
             if other is not self:
                 peer = Peer(self, other.ip, PORT, self.ip)
                 peer.send((ops.PEER_FETCH, 0), 0, lambda parcel: None)
@@ -164,13 +168,13 @@
         self.losses.append(peer.ip)
 
     def on_unsent(self, idents: list[int]) -> None:
-        self.back += idents
+        self.returned += idents
 
     # What Control nodes asks of its host
 
     def on_update(self, config: bool, records: bool) -> None:
-        if config and self.controls is not None and self.controls.replica.index >= self.crowd.index > 0:
-            self.crowd.note(self.ip, "config")
+        if config and self.controls is not None and self.controls.replica.index >= self.large_site.index > 0:
+            self.large_site.record_update(self.ip, "config")
 
     def report_fields(self) -> tuple[Any, ...]:
         self.seq += 1
@@ -195,26 +199,26 @@
         pass
 
 
-class Crowd(Site):
+class LargeSite(Site):
     """Three control nodes and `count` sidecars."""
 
     def __init__(self, count: int, seed: int = 1, routes: int = 10) -> None:
-        self.loop = self.sized = _Loop(seed)
+        self.loop = self.metered_loop = _Loop(seed)
         self.random, self.history = self.loop.random, History()
         self.faults: list[str] = []
         self.loop.failures = lambda who, what: self.faults.append(f"{who}: {what}")
-        self.network = self.metered = _Network(self.loop)
-        self.make_control, self.sync = ControlServer, SYNC
+        self.network = self.metered_network = _Network(self.loop)
+        self.make_control, self.sync_s = ControlServer, SYNC_S
         self.routes = routes
         self.writes = []
         self.controls = [ControlNode(self, ip) for ip in CONTROLS]
-        self.told = [
-            Told(self, f"10.0.{n % len(ZONES)}.{10 + n}", f"svc-{n % SERVICES}", n < KEEP)
+        self.reporters = [
+            ReportingSidecar(self, f"10.0.{n % len(ZONES)}.{10 + n}", f"svc-{n % SERVICES}", n < LIST_KEEPERS)
             for n in range(count)
         ]
-        self.wanted: set[tuple[str, str, str]] = set()
+        self.awaited: set[tuple[str, str, str]] = set()
         self.index = 0
-        self.heard: dict[tuple[str, str], float] = {}  # sidecar and what it was told, first time
+        self.first_update_at: dict[tuple[str, str], float] = {}  # sidecar and what it was told, first time
         self.acknowledged = 0.0
 
     def begin(self) -> None:
@@ -222,15 +226,15 @@
         for control in self.controls:
             self.loop.after(0.0, self.loop.world, control.start)
         with mock.patch.object(os, "urandom", self.random.randbytes):
-            self.loop.run_until(CONFIGURED)
+            self.loop.run_until(CONFIGURED_AT_S)
         self.patch(items(range(self.routes), 1))
-        self.loop.run_until(SIDECARS_AT)
-        for sidecar in self.told:
-            self.loop.after(self.random.uniform(0.0, SPREAD), self.loop.world, sidecar.start)
-        self.loop.run_until(SETTLED)
+        self.loop.run_until(SIDECARS_START_AT_S)
+        for sidecar in self.reporters:
+            self.loop.after(self.random.uniform(0.0, START_SPREAD_S), self.loop.world, sidecar.start)
+        self.loop.run_until(SETTLED_AT_S)
 
-    def note(self, sidecar: str, what: str) -> None:
-        self.heard.setdefault((sidecar, what), self.loop.now)
+    def record_update(self, sidecar: str, what: str) -> None:
+        self.first_update_at.setdefault((sidecar, what), self.loop.now)
 
     def patch(self, body: bytes) -> None:
         control = self.leader()
@@ -243,62 +247,69 @@
         assert server is not None
         self.acknowledged, self.index = self.loop.now, server.state.items.index
 
-    def spent(self, ips: tuple[str, ...] = CONTROLS) -> Used:
+    def usage(self, ips: tuple[str, ...] = CONTROLS) -> Usage:
         """So far, by each of these in the mean."""
         sums: Counter[str] = Counter()
         for ip in ips:
-            sums.update(self.metered.sums[ip])
-        busy = sum(self.sized.busy[ip] for ip in ips) / 1e9
-        return Used(
-            sums["words_in"], sums["words_out"], sums["beats_out"], sums["bytes_in"], sums["bytes_out"], busy
-        ).by(len(ips))
-
-    def keepers(self) -> tuple[str, ...]:
-        return tuple(sidecar.ip for sidecar in self.told if sidecar.keeps)
-
-    def over(
+            sums.update(self.metered_network.sums[ip])
+        busy = sum(self.metered_loop.busy[ip] for ip in ips) / 1e9
+        return Usage(
+            sums["messages_in"],
+            sums["messages_out"],
+            sums["heartbeats_out"],
+            sums["bytes_in"],
+            sums["bytes_out"],
+            busy,
+        ).divided_by(len(ips))
+
+    def list_keepers(self) -> tuple[str, ...]:
+        return tuple(sidecar.ip for sidecar in self.reporters if sidecar.keeps_list)
+
+    def usage_during(
         self, seconds: float, action: Callable[[], None] = lambda: None, ips: tuple[str, ...] = CONTROLS
-    ) -> Used:
+    ) -> Usage:
         """What these spend in so many seconds from a action on."""
-        before = self.spent(ips)
+        before = self.usage(ips)
         action()
         self.loop.run_until(self.loop.now + seconds)
-        return self.spent(ips).less(before)
+        return self.usage(ips).minus(before)
 
     # Deeds
 
-    def meet(self, count: int) -> tuple[str, ...]:
+    def connect_to_all(self, count: int) -> tuple[str, ...]:
         """The last so many sidecars open a line to every other one."""
-        for sidecar in self.told[-count:]:
-            self.loop.after(0.0, sidecar.machine, sidecar.meet)
-        return tuple(sidecar.ip for sidecar in self.told[-count:])
+        for sidecar in self.reporters[-count:]:
+            self.loop.after(0.0, sidecar.machine, sidecar.connect_to_all)
+        return tuple(sidecar.ip for sidecar in self.reporters[-count:])
 
     def drain(self) -> None:
         """One server's state."""
-        self._become(self.told[:1], "draining", 0.0)
+        self._set_states(self.reporters[:1], "draining", 0.0)
 
     def replace(self, service: str, spread: float) -> None:
         """All servers of a service get new lives within so many seconds."""
-        self._become([v for v in self.told if v.service == service], "up", spread)
+        self._set_states([v for v in self.reporters if v.service == service], "up", spread)
 
-    def _become(self, sidecars: list[Told], state: str, spread: float) -> None:
-        self.heard.clear()
+    def _set_states(self, sidecars: list[ReportingSidecar], state: str, spread: float) -> None:
+        self.first_update_at.clear()
         self.acknowledged = self.loop.now
-        self.wanted = set()
+        self.awaited = set()
         for sidecar in sidecars:
             life = sidecar.life + (state == "up")
-            self.wanted.add((sidecar.ip, f"{sidecar.ip}-{life}", state))
-            self.loop.after(self.random.uniform(0.0, spread), self.loop.world, sidecar.be, life, state)
+            self.awaited.add((sidecar.ip, f"{sidecar.ip}-{life}", state))
+            self.loop.after(
+                self.random.uniform(0.0, spread), self.loop.world, sidecar.set_server_state, life, state
+            )
 
     def change(self) -> None:
         """One item of the configuration."""
-        self.heard.clear()
+        self.first_update_at.clear()
         self.acknowledged, self.index = 0.0, 1 << 60
         self.patch(items(range(1), 2))
 
     def delays(self) -> list[float]:
         """Seconds from the acknowledgement until each sidecar was told, ascending."""
-        return sorted(max(at - self.acknowledged, 0.0) for at in self.heard.values())
+        return sorted(max(at - self.acknowledged, 0.0) for at in self.first_update_at.values())
 
     def close(self) -> None:
         self.loop.close()
--- a/rigs/simulation/storms.py
+++ b/rigs/simulation/storms.py
@@ -9,8 +9,8 @@
 from rigs.simulation.play import Action, Day, Played, play
 from rigs.simulation.schedule import Fault
 
-FIRST, LAST = 3.0, 11.5  # seconds between which it storms
-CORE = (
+FIRST_S, LAST_S = 3.0, 11.5  # seconds between which it storms
+CORE_FAULTS = (
     "kill-control",
     "freeze-control",
     "cut-control",
@@ -23,7 +23,7 @@
     "power-control",
     "slow-control",
 )
-SIDE = (
+SIDECAR_FAULTS = (
     "kill-sidecar",
     "freeze-sidecar",
     "cut-sidecar",
@@ -39,40 +39,52 @@
     "leave-sidecar",
     "server-drains",
 )
-KEYS, EVERY = 70, 0.12  # keys, and seconds between two of them
-WAITS = (0.0005, 0.003, 0.01, 0.03, 0.1, 0.3, 0.6, 1.0, 2.5)  # seconds until the same is asked again
+KEY_COUNT, KEY_INTERVAL_S = 70, 0.12  # keys, and seconds between two of them
+REPEAT_DELAYS_S = (
+    0.0005,
+    0.003,
+    0.01,
+    0.03,
+    0.1,
+    0.3,
+    0.6,
+    1.0,
+    2.5,
+)  # seconds until the same is asked again
 
 
 def schedule(seed: int) -> list[Fault]:
     """One of the core at a time, but one right after the other; of the sidecars any number."""
     draw = random.Random(seed)
     faults: list[Fault] = []
-    at = FIRST
-    while at < LAST:
-        last = draw.choice((0.1, 0.3, 0.6, 1.2, 2.0))
-        faults.append(Fault(round(at, 3), draw.choice(CORE), draw.choice((-1, -1, -1, 0, 1, 2)), last))
-        at += last + draw.choice((0.05, 0.2, 0.6))
-    at = FIRST
-    while at < LAST:
-        last = draw.choice((0.05, 0.2, 0.5, 1.0, 2.5))
-        faults.append(Fault(round(at, 3), draw.choice(SIDE), draw.randrange(6), last))
+    at = FIRST_S
+    while at < LAST_S:
+        duration = draw.choice((0.1, 0.3, 0.6, 1.2, 2.0))
+        faults.append(
+            Fault(round(at, 3), draw.choice(CORE_FAULTS), draw.choice((-1, -1, -1, 0, 1, 2)), duration)
+        )
+        at += duration + draw.choice((0.05, 0.2, 0.6))
+    at = FIRST_S
+    while at < LAST_S:
+        duration = draw.choice((0.05, 0.2, 0.5, 1.0, 2.5))
+        faults.append(Fault(round(at, 3), draw.choice(SIDECAR_FAULTS), draw.randrange(6), duration))
         at += draw.uniform(0.05, 0.8)
     return sorted(faults)
 
 
-def _everywhere(key: str) -> Action:
+def _ask_everywhere(key: str) -> Action:
     """One key, at most of the sidecars in the same moment, and again and again."""
 
     def action(site: Site, clients: Clients, operators: Operators) -> None:
         draw, loop = site.random, site.loop
 
         def ask(sidecar: int) -> None:
-            patience = draw.choice((0.3, 0.8, 2.0))
-            clients.ask(site.sidecars[sidecar], "keyed", key, lambda status, body: None, patience)
+            deadline = draw.choice((0.3, 0.8, 2.0))
+            clients.ask(site.sidecars[sidecar], "keyed", key, lambda status, body: None, deadline)
 
         for sidecar in range(len(site.sidecars)):
             if draw.random() < 0.7:
-                for wait in (0.0, *(draw.choice(WAITS) for _ in range(3))):
+                for wait in (0.0, *(draw.choice(REPEAT_DELAYS_S) for _ in range(3))):
                     loop.after(wait, loop.world, ask, sidecar)
 
     return action
@@ -82,7 +94,7 @@
     seconds=12.0,
     rate=2.0,
     every=0.3,
-    actions=tuple((FIRST + EVERY * n, _everywhere(f"storm{n}")) for n in range(KEYS)),
+    actions=tuple((FIRST_S + KEY_INTERVAL_S * n, _ask_everywhere(f"storm{n}")) for n in range(KEY_COUNT)),
 )
 
 
--- a/tests/mesh/test_control_claim_expiry.py
+++ b/tests/mesh/test_control_claim_expiry.py
@@ -15,7 +15,7 @@
 from minthitch.mesh.events.events import LOG
 from minthitch.mesh.idempotency.claims import ClaimCommand
 from minthitch.mesh.idempotency.rotation import RECORD_INTERVAL_S, LeadershipClock
-from rigs.simulation.mesh import KEY_WINDOW, ROTATE_SLACK, ControlNode, Site
+from rigs.simulation.mesh import CLAIM_MARGIN_S, KEY_WINDOW_S, ControlNode, Site
 
 WINDOW_S, MARGIN_S = 60.0, 15.0
 NEEDED_MS = int((WINDOW_S + MARGIN_S) * 1000)
@@ -156,10 +156,10 @@
     """The control nodes of the simulation, with a key window of 3 s."""
 
     def test_a_leader_frozen_every_four_seconds(self) -> None:
-        window = KEY_WINDOW + ROTATE_SLACK
+        window = KEY_WINDOW_S + CLAIM_MARGIN_S
         with (
             mock.patch.object(LOG, "disabled", True),
-            mock.patch.object(server, "CLAIM_MARGIN_S", ROTATE_SLACK),
+            mock.patch.object(server, "CLAIM_MARGIN_S", CLAIM_MARGIN_S),
         ):
             for seed in range(3):
                 site = Site(seed)
--- a/tests/mesh/test_delivery_links.py
+++ b/tests/mesh/test_delivery_links.py
@@ -287,7 +287,7 @@
     def _kill(self, ip: str) -> None:
         machine = self.machines[ip]
         self.loop.end(machine)
-        self.network.fallen(machine)
+        self.network.close_connections(machine)
         if ip == CALLER:  # its open calls end with it
             for call in self.calls.values():
                 call.end = call.end or "killed"
--- a/tests/mesh/test_delivery_network.py
+++ b/tests/mesh/test_delivery_network.py
@@ -97,7 +97,7 @@
     def test_a_connection_that_is_not_accepted_yet_has_no_bytes_in_flight(self) -> None:
         pair = Pair(1)
         end = End(pair.network, pair.near, pair.near.name)
-        self.assertEqual(end.under_way(), b"")
+        self.assertEqual(end.bytes_in_flight(), b"")
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_hard.py
+++ b/tests/mesh/test_hard.py
@@ -107,7 +107,7 @@
                 site.network.cut(*pair)
             site.loop.after(3.0, site.loop.world, site.network.heal, pairs)
 
-        with mock.patch.multiple(play_module, SNAPSHOT_INTERVALS=(10,), TAILS=(0,)):
+        with mock.patch.multiple(play_module, SNAPSHOT_INTERVALS=(10,), RETAINED_ENTRY_COUNTS=(0,)):
             played = self.day(Fault(6.6, "power-control", -1, 0.3), actions=((3.5, cut),))
         self.assertTrue(list(played.history.of("image")))
 
@@ -115,7 +115,7 @@
         """A request may wait as long as its route allows, and claim its key only then."""
 
         def slow(site: Site, clients: Clients, operators: Operators) -> None:
-            operators.vers[0] = 40  # as seconds
+            operators.versions[0] = 40  # as seconds
             operators.change(0)
 
         played = self.day(every=9.0, seconds=9.0)
@@ -153,7 +153,9 @@
             self.struck(self.day(Fault(3.5, kind, -1, 0.5)), kind, "leader")
 
     def test_snapshot_partly_sent(self) -> None:
-        with mock.patch.multiple(play_module, SNAPSHOT_INTERVALS=(10,), TAILS=(0,), PIECES=(300,)):
+        with mock.patch.multiple(
+            play_module, SNAPSHOT_INTERVALS=(10,), RETAINED_ENTRY_COUNTS=(0,), CHUNK_SIZES_BYTES=(300,)
+        ):
             played = self.day(Fault(3.5, "image-power", 1, 0.5), Fault(5.0, "freeze-control", -1, 0.3))
         self.struck(played, "power-control")
         self.assertTrue(list(played.history.of("image")))
--- a/tests/mesh/test_planned_work.py
+++ b/tests/mesh/test_planned_work.py
@@ -7,7 +7,7 @@
 from minthitch.mesh.sidecar.shutdown_schedule import ShutdownSchedule
 from rigs.simulation.clients import Clients, Operators
 from rigs.simulation.history import History
-from rigs.simulation.mesh import GRACE, Site
+from rigs.simulation.mesh import GRACE_S, Site
 from rigs.simulation.planned_work import TIMEOUT, play_planned_work
 from rigs.simulation.planted import planted
 from rigs.simulation.play import Action, Day, Played, play
@@ -15,7 +15,7 @@
 from rigs.simulation.shutdown_checks import broken_off
 
 SIGTERM_AT = 5.0
-PATIENCE = 1.5 * GRACE  # seconds that the clients of these cases wait: longer than a shutdown takes
+PATIENCE = 1.5 * GRACE_S  # seconds that the clients of these cases wait: longer than a shutdown takes
 CASE = Day(seconds=12.0, rate=0.2, quiet=9.0, failure_rate=0.0, timeout=TIMEOUT)
 
 
@@ -86,7 +86,7 @@
 
 
 class BrokenOff(unittest.TestCase):
-    """The sidecar itself responds while a server still works; SIGTERM at 10, GRACE until 16."""
+    """The sidecar itself responds while a server still works; SIGTERM at 10, GRACE_S until 16."""
 
     def broken(
         self, asked_at: float, told_at: float, body: str = "", deadline: float = 9.0, trouble: str = ""
--- a/tests/mesh/test_simulation.py
+++ b/tests/mesh/test_simulation.py
@@ -25,7 +25,9 @@
 
 
 def case(schedule: list[Fault], *actions: tuple[float, Action], seed: int = 1) -> Played:
-    with mock.patch.object(clients, "EARLY", 0.0):  # one that leaves by chance hides what became of a key
+    with mock.patch.object(
+        clients, "EARLY_HANG_UP_RATE", 0.0
+    ):  # one that leaves by chance hides what became of a key
         return play(seed, schedule, SHORT._replace(rate=1.0, failure_rate=0.0, actions=actions))
 
 
@@ -349,7 +351,7 @@
             self._joined()
             self.b.powered = power
             self.loop.end(self.b)
-            self.network.fallen(self.b)
+            self.network.close_connections(self.b)
             self.loop.run_until(self.loop.now + 1.0)
             self.assertEqual(self.said, heard)
             self.b.powered = self.b.running = True
--- a/tests/mesh/test_size.py
+++ b/tests/mesh/test_size.py
@@ -26,7 +26,7 @@
 from minthitch.mesh.transport.framing import MAX_FRAME_PAYLOAD, ProtocolError
 from minthitch.mesh.transport.link import STALE_CONNECT_S
 from rigs.simulation.mesh import CONTROLS
-from rigs.simulation.size import SPREAD, Crowd
+from rigs.simulation.size import START_SPREAD_S, LargeSite
 
 COUNT = 40
 ROUND_TRIP_S = 0.03  # seconds for the simulated round trip and an iteration of both loops
@@ -104,16 +104,18 @@
         patch.start()
         self.addCleanup(patch.stop)
 
-    def crowd(self) -> Crowd:
-        crowd = Crowd(COUNT)
+    def crowd(self) -> LargeSite:
+        crowd = LargeSite(COUNT)
         crowd.begin()
         self.addCleanup(crowd.close)
         self.addCleanup(lambda: self.assertEqual(crowd.faults, []))
         return crowd
 
-    def listed(self, crowd: Crowd) -> set[int]:
+    def listed(self, crowd: LargeSite) -> set[int]:
         return {
-            len(sidecar.controls.views.merged) for sidecar in crowd.told if sidecar.keeps and sidecar.controls
+            len(sidecar.controls.views.merged)
+            for sidecar in crowd.reporters
+            if sidecar.keeps_list and sidecar.controls
         }
 
 
@@ -121,26 +123,26 @@
     def test_a_start_of_all_sends_no_message_per_pair(self) -> None:
         crowd = self.crowd()
         self.assertEqual(self.listed(crowd), {COUNT})
-        batched = crowd.spent().words_out
+        batched = crowd.usage().messages_out
         with mock.patch.object(sidecar_updates, "BATCH_INTERVAL_S", 0.0):
-            self.assertGreater(self.crowd().spent().words_out, 1.25 * batched)
+            self.assertGreater(self.crowd().usage().messages_out, 1.25 * batched)
 
     def test_a_single_change_is_packed_once_and_sent_to_each_at_once(self) -> None:
         crowd = self.crowd()
         crowd.loop.run_until(crowd.loop.now + 1.0)
         with mock.patch.object(Registry, "since", autospec=True, side_effect=Registry.since) as since:
-            crowd.over(0.2, crowd.drain)
+            crowd.usage_during(0.2, crowd.drain)
         self.assertLessEqual(since.call_count, 2 * len(CONTROLS))
-        self.assertEqual(len(crowd.heard), COUNT)
+        self.assertEqual(len(crowd.first_update_at), COUNT)
         self.assertLess(crowd.delays()[-1], ROUND_TRIP_S)
 
     def test_a_drain_among_many_changes_waits_for_one_batch_at_most(self) -> None:
         crowd = self.crowd()
-        crowd.replace("svc-1", SPREAD)
+        crowd.replace("svc-1", START_SPREAD_S)
         crowd.loop.run_until(crowd.loop.now + 0.5)
         crowd.drain()
         crowd.loop.run_until(crowd.loop.now + 1.0)
-        self.assertEqual(len(crowd.heard), COUNT)
+        self.assertEqual(len(crowd.first_update_at), COUNT)
         self.assertLess(crowd.delays()[-1], BATCH_INTERVAL_S + ROUND_TRIP_S)
 
     def test_a_quiet_sidecar_stays_listed_and_a_dead_one_is_removed(self) -> None:
@@ -148,7 +150,7 @@
         with mock.patch.object(links, "MAX_REPORT_INTERVAL_S", 1e9):
             crowd.loop.run_until(crowd.loop.now + 2 * EXPIRY_S)
             self.assertEqual(self.listed(crowd), {COUNT})
-            crowd.told[-1].stop(power=True)
+            crowd.reporters[-1].stop(power=True)
             crowd.loop.run_until(crowd.loop.now + EXPIRY_S + 1.0)
         self.assertEqual(self.listed(crowd), {COUNT - 1})
 
@@ -156,12 +158,12 @@
 class SidecarLinks(ManySidecars):
     def test_connections_between_sidecars_are_quiet_and_a_dead_one_is_found_before_use(self) -> None:
         crowd = self.crowd()
-        ips = crowd.meet(2)
+        ips = crowd.connect_to_all(2)
         crowd.loop.run_until(crowd.loop.now + 1.0)
-        caller = crowd.told[-1]
+        caller = crowd.reporters[-1]
         self.assertEqual((len(ips), caller.answers), (2, COUNT - 1))
-        reported = crowd.over(5.0, ips=ips)
-        self.assertLess(reported.words_out + reported.beats_out, 5.0 * 3 * len(CONTROLS))
+        reported = crowd.usage_during(5.0, ips=ips)
+        self.assertLess(reported.messages_out + reported.heartbeats_out, 5.0 * 3 * len(CONTROLS))
         live, dead = caller.peers[0], caller.peers[1]
         crowd.network.cut(caller.ip, dead.ip)
         left: list[str] = []
@@ -172,9 +174,9 @@
 
     def test_a_call_avoids_a_suspected_connection_whose_open_calls_are_not_cut(self) -> None:
         crowd = self.crowd()
-        crowd.meet(1)
+        crowd.connect_to_all(1)
         crowd.loop.run_until(crowd.loop.now + 1.0)
-        caller = crowd.told[-1]
+        caller = crowd.reporters[-1]
         peer = caller.peers[0]
         left: list[str] = []
         crowd.loop.after(0.0, caller.machine, self.call, peer, 7, left)  # gets no answer
@@ -183,7 +185,7 @@
         crowd.loop.run_until(crowd.loop.now + PROBE_AFTER_ONCE_S)
         crowd.loop.after(0.0, caller.machine, self.call, peer, 8, left)
         crowd.loop.run_until(crowd.loop.now + HOLD_S + 0.05)
-        self.assertEqual((left, caller.back), ([peer.ip], [8]))
+        self.assertEqual((left, caller.returned), ([peer.ip], [8]))
         crowd.loop.run_until(crowd.loop.now + PROBE_TIMEOUT_S)
         self.assertEqual(caller.losses, [])
         crowd.loop.run_until(crowd.loop.now + 2 * PEER_TIMEOUT_S)
@@ -191,7 +193,7 @@
 
     def test_a_pending_connection_to_a_dead_machine_does_not_hide_its_return(self) -> None:
         crowd = self.crowd()
-        sidecar = crowd.told[-1]
+        sidecar = crowd.reporters[-1]
         assert sidecar.controls is not None
         link = sidecar.controls.links[CONTROLS[0]]
         way = (sidecar.ip, CONTROLS[0])
@@ -213,15 +215,15 @@
 
     def test_a_long_message_on_a_slow_link_keeps_its_connection(self) -> None:
         crowd = self.crowd()
-        crowd.meet(1)
+        crowd.connect_to_all(1)
         crowd.loop.run_until(crowd.loop.now + 15.0)
-        caller = crowd.told[-1]
+        caller = crowd.reporters[-1]
         peer, far = caller.peers[0], caller.peers[0].link.connection
         assert far is not None
         caller.answers = 0
         crowd.loop.after(0.0, caller.machine, far.probe, lambda: None)
         crowd.loop.run_until(crowd.loop.now + 0.1)
-        crowd.metered.slow_to, crowd.metered.slow_by = peer.ip, 0.6  # seconds per piece
+        crowd.metered_network.slow_to, crowd.metered_network.slow_by = peer.ip, 0.6  # seconds per piece
         crowd.loop.after(0.0, caller.machine, self.upload, peer)
         crowd.loop.run_until(crowd.loop.now + 9.0)
         self.assertEqual((caller.answers, caller.losses), (1, []))
