--- a/bench/meshsize.py
+++ b/bench/meshsize.py
@@ -125,8 +125,8 @@
     rest, sidecar = row.rest, row.sidecar
     print(f"{n} sidecars")
     print(
-        f"  a control node at rest, a second: {rest.messages_out:.0f} words and {rest.heartbeats_out:.0f} beats out, "
-        f"{rest.bytes_in:.0f} bytes in, {rest.bytes_out:.0f} out, "
+        f"  a control node at rest, a second: {rest.messages_out:.0f} words and "
+        f"{rest.heartbeats_out:.0f} beats out, {rest.bytes_in:.0f} bytes in, {rest.bytes_out:.0f} out, "
         f"{1000 * rest.busy:.1f} ms of processor"
     )
     print(
@@ -134,7 +134,8 @@
         f"beats out, "
         f"{sidecar.bytes_out:.0f} bytes out, {1000 * sidecar.busy:.2f} ms; with a quiet line to every "
         f"other one "
-        f"{row.pair.messages_out + row.pair.heartbeats_out:+.1f} words and beats, {1000 * row.pair.busy:+.2f} ms"
+        f"{row.pair.messages_out + row.pair.heartbeats_out:+.1f} words and beats, "
+        f"{1000 * row.pair.busy:+.2f} ms"
     )
     print(
         f"  start within {START_SPREAD_S:g} s: {row.start.messages_out / n:.1f} words and "
@@ -145,8 +146,8 @@
         ("one item of the configuration", row.change, row.change_told),
     ):
         print(
-            f"  {name}: {used.messages_out / n:.2f} words and {used.bytes_out / n:.0f} bytes each; told after "
-            f"{1000 * delays[0]:.0f} ms in the median, {1000 * delays[1]:.0f} at most"
+            f"  {name}: {used.messages_out / n:.2f} words and {used.bytes_out / n:.0f} bytes each; "
+            f"told after {1000 * delays[0]:.0f} ms in the median, {1000 * delays[1]:.0f} at most"
         )
     print(
         f"  a service replaced within {START_SPREAD_S:g} s: {row.replaced.messages_out / n:.1f} words and "
--- a/rigs/simulation/__init__.py
+++ b/rigs/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""The mesh in virtual time: the real shells and cores on a simulated loop, with faults, judged afterwards."""
+"""Runs the real mesh programs on a simulated event loop, injects faults, and checks the recorded history."""
--- a/rigs/simulation/checks.py
+++ b/rigs/simulation/checks.py
@@ -1,4 +1,4 @@
-"""What a history shows to be broken. Reads nothing else."""
+"""The rules of the mesh, checked on a history alone."""
 
 from __future__ import annotations
 
@@ -11,10 +11,14 @@
 from rigs.simulation.mesh import KEY_WINDOW_S, RETRY_RATIO, RETRY_SLACK, RETRY_WINDOW_S, SIDECARS
 from rigs.simulation.shutdown_checks import broken_off, lost
 
-APPLY_S, DRAIN_S, LATE_S = 2.0, 2.0, 0.1  # seconds
+APPLY_S, DRAIN_S, LATE_S = (
+    2.0,
+    2.0,
+    0.1,
+)  # to apply a change, to stop calls to a draining server, past a deadline
 REFUSAL_STATUSES = (408, 421, 429, 503)
-RESYNC_S = 4.0  # seconds after all is well until the control nodes hold again as many copies as they must
-RECOVERY_S = 4.0  # seconds after the last fault from which most requests must be served
+RESYNC_S = 4.0  # after the last fault until the control nodes have restored all replicas
+RECOVERY_S = 4.0  # after the last fault until most requests must succeed
 
 
 def violations(history: History) -> list[str]:
@@ -66,7 +70,7 @@
 
 
 def bodies_match(history: History) -> list[str]:
-    """A success is the whole answer of a run of that request, or of its key's."""
+    """A successful response carries the complete body that a server returned for this request or its key."""
     asked = asked_requests(history)
     said: dict[str, set[str]] = defaultdict(set)
     for event in history.of("served"):
@@ -82,8 +86,8 @@
 
 
 def answered_once_in_time(history: History) -> list[str]:
-    """One answer to each, in time where its sidecar was not in trouble; none that no rule of ours
-    explains.
+    """Each request gets exactly one answer, in time unless its sidecar had a fault, and none that the rules
+    do not explain.
     """
     found, spans = [], FaultSpans(history)
     told: dict[str, list[Event]] = defaultdict(list)
@@ -108,7 +112,7 @@
 
 
 def _items(call: dict[str, Any]) -> list[tuple[str, int, Any]]:
-    """(name, version, item or None for a drop) of all routes in a call."""
+    """(name, version, item or None for a deletion) of all routes in a call."""
     upsert, drop = call.get("Upsert", {}), call.get("Del", {})
     return [(i["Name"], int(i["Ver"], 16), i) for i in upsert.get("Routes", ())] + [
         (i["Name"], int(i["Ver"], 16), None) for i in drop.get("Routes", ())
@@ -176,11 +180,13 @@
 
 
 class TableVersions:
-    """Which version each sidecar has had, life by life."""
+    """The route table versions that each sidecar had, by incarnation of its process."""
 
     def __init__(self, history: History) -> None:
         self.starts: dict[str, list[float]] = defaultdict(list)
-        self.updates: dict[tuple[str, int], list[Event]] = defaultdict(list)  # sidecar, number of its life
+        self.updates: dict[tuple[str, int], list[Event]] = defaultdict(
+            list
+        )  # by sidecar and number of its incarnation
         for event in history.of("table", "start"):
             if event.what == "start":
                 self.starts[event.who].append(event.at)
@@ -188,13 +194,16 @@
                 self.updates[event.who, len(self.starts[event.who])].append(event)
 
     def since(self, sidecar: str, at: float, name: str, ver: int) -> float:
-        """From when on it had that version in the life that it was in at `at`."""
+        """When the sidecar's incarnation at time `at` first had this version or a higher one."""
         updates = self.updates.get((sidecar, bisect_right(self.starts[sidecar], at)), ())
         return next((e.at for e in updates if e.data["rows"].get(name, (-1,))[0] >= ver), float("inf"))
 
 
 def delays(history: History) -> list[float]:
-    """Seconds from each acknowledgement until the last sidecar in touch had it, where the core was calm."""
+    """Seconds from each acknowledgement until the last sidecar in contact had the change.
+
+    Counts only changes after which neither the core nor the sidecar had a fault for APPLY_S.
+    """
     tables, spans = TableVersions(history), FaultSpans(history)
     rows = []
     for at, name, ver, _ in _acks(history):
@@ -211,7 +220,7 @@
 
 
 def applied_in_time(history: History) -> list[str]:
-    """Where a sidecar is in touch APPLY_S after an acknowledgement, or later, it has it."""
+    """A sidecar that is in contact APPLY_S after an acknowledgement, or later, has the change."""
     found, spans, tables = [], FaultSpans(history), TableVersions(history)
     end = history.events[-1].at
     ends = sorted(e.at for e in history.of("well"))
@@ -233,8 +242,8 @@
 
 
 def replicas_restored(history: History) -> list[str]:
-    """Where the core was calm for RESYNC_S, each control node votes and holds what was agreed: a disk may be
-    lost.
+    """Once the core had no fault for RESYNC_S, each control node votes and stores all committed entries, so
+    that the loss of one disk is tolerated.
     """
     spans = FaultSpans(history)
     return [
@@ -250,7 +259,9 @@
 def retry_budget(history: History) -> list[str]:
     found = []
     asked, first = defaultdict(list), set[str]()
-    first.update(e.data["id"] for e in history.of("inner") if e.data["repeat"])  # calls of repeated runs
+    first.update(
+        e.data["id"] for e in history.of("inner") if e.data["repeat"]
+    )  # a nested call of a repeated request is a further arrival
     further: dict[str, list[float]] = defaultdict(list)
     for event in history.of("asked", "arrival"):
         if event.what == "asked":
@@ -260,7 +271,7 @@
         else:
             first.add(event.data["id"])
     for service, times in further.items():
-        for n, at in enumerate(times):  # windows that end with a further arrival
+        for n, at in enumerate(times):  # checks each window that ends with a further arrival
             start = at - RETRY_WINDOW_S
             count = n + 1 - bisect_right(times, start, 0, n + 1)
             most = max(
@@ -301,7 +312,9 @@
 
 
 def incarnation_matches(history: History) -> list[str]:
-    """What is meant for another life does not reach a server whose sidecar has long known its present one."""
+    """A request for another incarnation does not reach a server whose sidecar already knows the current
+    one.
+    """
     found, known = [], dict[str, float]()
     for event in history.of("beaten", "arrival"):
         if event.what == "beaten":
@@ -317,7 +330,7 @@
 
 
 def serves_after_recovery(history: History) -> list[str]:
-    """Once all is well, what is asked is mostly served. Repeats may fail: the first's end may be unknown."""
+    """After recovery most requests succeed. Repeats of a key may fail: the first outcome may be unknown."""
     healed = next((e.at for e in history.of("healed")), 0.0) + RECOVERY_S
     late, known = [], set[str]()
     for event in history.of("asked"):
@@ -326,7 +339,7 @@
         known.update({event.data["key"]} - {""})
     good = {e.data["id"] for e in history.of("told") if e.data["status"] == 200}
     served = sum(e.data["id"] in good for e in late)
-    bad = len(late) >= 20 and served < len(late) / 3  # servers have moods, too
+    bad = len(late) >= 20 and served < len(late) / 3  # servers fail at random as well
     return [f"RECOVER: {served} of {len(late)} served"] if bad else []
 
 
--- a/rigs/simulation/clients.py
+++ b/rigs/simulation/clients.py
@@ -1,4 +1,4 @@
-"""Clients and operators: what they ask, what they are told, and how they ask again."""
+"""Simulated clients and operators: their requests, retries, and the recording of answers."""
 
 from __future__ import annotations
 
@@ -17,20 +17,18 @@
     ("mutating", "/m/", "shop", 0.15),
     ("upload", "/u/", "bank", 0.1),
 )
-ROUTE_TIMEOUT_S = 3.0  # of the routes; a client's own deadline lies below
+ROUTE_TIMEOUT_S = 3.0  # of the routes, in seconds; clients' own deadlines are shorter
 LATENCY_TARGET_S = 0.5
-HANG_UP_SLACK_S = 0.3  # seconds beyond its deadline that a client still listens
-DEADLINES_S = (0.6, 1.5, 2.5)  # seconds: a client draws one of these
-EARLY_HANG_UP_RATE = (
-    0.03  # part of all requests that their clients leave early, if they are not answered by then
-)
+HANG_UP_SLACK_S = 0.3  # a client hangs up this long after its deadline
+DEADLINES_S = (0.6, 1.5, 2.5)  # each request draws one of these
+EARLY_HANG_UP_RATE = 0.03  # share of requests whose client hangs up early, if not answered by then
 MAX_TRIES = 4
-OPERATOR_TIMEOUT_S = 1.5  # seconds that an operator waits for an answer
-CHANGED_ROUTES = 6  # routes that operators change
+OPERATOR_TIMEOUT_S = 1.5  # an operator waits this long for an answer
+CHANGED_ROUTES = 6  # number of routes that operators change
 
 
 class SimClientConnection:
-    """A client's connection, for one request."""
+    """The connection of a client for one request."""
 
     token = 1
 
@@ -46,7 +44,7 @@
         self._end(status, body)
 
     def reset(self) -> None:
-        """The sidecar's process is gone, or nobody listens there."""
+        """The sidecar's process has ended, or it is not listening."""
         self.clients.site.record("unheard", self.sidecar.ip, id=self.name)
         self._end(0, b"")
 
@@ -59,7 +57,7 @@
 
 
 class Clients:
-    """Who asks at the sidecars."""
+    """Sends random requests to all sidecars."""
 
     def __init__(
         self, site: Site, rate: float, until: float, deadlines: tuple[float, ...] = DEADLINES_S
@@ -86,7 +84,10 @@
             self.ask(sidecar, kind, "", lambda status, body: None)
 
     def operation(self, sidecar: SidecarNode, second_sidecar: SidecarNode | None = None) -> str:
-        """One keyed operation, with its repeats: after a failure, at times after a success, or at once."""
+        """Sends one keyed operation and its repeats: often after a failure, sometimes after a success.
+
+        With `second_sidecar`, which may be drawn, a second request with the key is sent at the same time.
+        """
         self.count += 1
         key = f"key{self.count}"
         if second_sidecar is None and self.random.random() < 0.1:
@@ -115,7 +116,7 @@
         deadline: float | None = None,
         to: tuple[str, str] | None = None,
     ) -> str:
-        """One request with an id of its own; `to`: another path and service than its kind's."""
+        """Sends one request with a new id. `to` replaces the path and service of its kind."""
         self.count += 1
         name = f"q{self.count}"
         place, service = to or next((place, service) for k, place, service, _ in KINDS if k == kind)
@@ -141,7 +142,7 @@
             client.respond(1, err.status, (), b"")
 
     def _hang_up(self, sidecar: SidecarNode, client: SimClientConnection, early: bool) -> None:
-        """It hangs up."""
+        """Hangs up if the request is not answered yet."""
         if client.ended:
             return
         sidecar.clients.pop(client, None)
@@ -194,13 +195,13 @@
 
 
 class Operators:
-    """They change items at any control node, and ask again until the answer is clear."""
+    """Operators that change items at random control nodes, and retry until the answer is definite."""
 
     def __init__(self, site: Site, every: float, until: float, timeout: float = ROUTE_TIMEOUT_S) -> None:
         self.site, self.loop, self.random = site, site.loop, site.random
         self.every, self.until, self.timeout = every, until, timeout
         self.versions = [0] * CHANGED_ROUTES
-        self.taken: list[dict[str, Any]] = []  # calls that were acknowledged
+        self.taken: list[dict[str, Any]] = []  # acknowledged calls
 
     def start(self) -> None:
         self.loop.after(0.5, self.loop.world, self.patch, initial_configuration(self.timeout), "proper")
@@ -217,7 +218,9 @@
         elif draw < 0.25:
             self.race(number)
         elif draw < 0.32 and self.taken:
-            self.patch(self.random.choice(self.taken), "proper")  # an old one once more: it changes nothing
+            self.patch(
+                self.random.choice(self.taken), "proper"
+            )  # repeats an old call, which must change nothing
         else:
             self.change(number, drop=draw > 0.9)
 
@@ -230,13 +233,13 @@
             self.patch(self._upsert(number, ver, 1.0 + ver), "proper")
 
     def race(self, number: int) -> None:
-        """Two operators, the same version, other content, at two control nodes at once."""
+        """Sends the same version with different content twice at once, each to a random control node."""
         self.versions[number] += 1
         for timeout in (1.25, 1.75):
             self.patch(self._upsert(number, self.versions[number], timeout + self.versions[number]), "race")
 
     def twins(self, number: int) -> None:
-        """The identical call at every control node in the same moment."""
+        """Sends the identical call to every control node at the same time."""
         self.versions[number] += 1
         call = self._upsert(number, self.versions[number], 1.0 + self.versions[number])
         for control in self.site.controls:
@@ -257,7 +260,7 @@
         self._patch(call, sort, self.random.choice(self.site.controls), [False])
 
     def _patch(self, call: dict[str, Any], sort: str, control: ControlNode, ended: list[bool]) -> None:
-        """`ended[0]`: it has had a clear answer."""
+        """Sends the call to one node; `ended[0]` is true once the call has a definite answer."""
         gave_up = [False]
 
         def again() -> None:
@@ -285,7 +288,7 @@
         self.loop.after(OPERATOR_TIMEOUT_S if control.machine.running else 0.1, self.loop.world, again)
 
     def read_back(self, place: int | None = None) -> None:
-        """From one control node after the other, until one answers."""
+        """Reads the configuration from one control node after another until one answers."""
         controls = self.site.controls
         place = self.random.randrange(len(controls)) if place is None else place
         control = controls[place % len(controls)]
@@ -307,7 +310,7 @@
 
 
 def _call_at(control: ControlNode, name: str, *args: Any) -> None:
-    if control.leaving:  # its handlers answer 503
+    if control.leaving:  # during shutdown its handlers answer 503
         args[-1](None)
     else:
         getattr(control.server, name)(*args)
--- a/rigs/simulation/control_client.py
+++ b/rigs/simulation/control_client.py
@@ -1,7 +1,9 @@
-"""Callers of control nodes: each waits a second at most, then goes on to another node with a growing pause.
+"""Clients of control nodes: each attempt waits a second at most, then another node is tried with a growing
+delay.
 
-Every attempt and every read goes into the history with its begin and end (`order`, `read`), for
-`linearizability`; each order's first call and clear answer as `sent` and `verdict`, for the other checks.
+An order is a configuration change, repeated until its answer is definite. Every attempt and every read is
+recorded with its start and end (`order`, `read`) for `linearizability`; the first call and the definite
+answer of each order are recorded as `sent` and `verdict` for the other checks.
 """
 
 from __future__ import annotations
@@ -12,19 +14,19 @@
 
 from rigs.simulation.mesh import ControlNode, Site
 
-ATTEMPT_TIMEOUT_S = 1.0  # seconds without an answer after which a caller goes on to another node
-RETRY_DELAYS_S = (0.05, 0.1, 0.2, 0.4)  # seconds between two attempts, in turn; the last one from then on
-ONE_WAY_DELAY_S = 0.001  # seconds between a caller and a node, one way
-REFUSAL_DELAY_S = 0.002  # seconds until a node that does not run refuses the connection
-MAX_READS_IN_FLIGHT = 3  # reads under way at once
-LOST_ANSWER_RATE = 0.0  # chance that an answer is lost on its way
+ATTEMPT_TIMEOUT_S = 1.0  # without an answer; the client then tries another node
+RETRY_DELAYS_S = (0.05, 0.1, 0.2, 0.4)  # between successive attempts; the last one repeats
+ONE_WAY_DELAY_S = 0.001  # between a client and a node
+REFUSAL_DELAY_S = 0.002  # until the machine of a stopped node refuses the connection
+MAX_READS_IN_FLIGHT = 3  # of one client
+LOST_ANSWER_RATE = 0.0  # probability that an answer is lost in transit
 
 Result = tuple[Any, ...] | None
 OnStatus = Callable[[int], None]
 
 
 class ControlClient:
-    """Sends orders and reads; `lost` is the chance that an answer does not come back."""
+    """Sends orders and reads; `lost` is the probability that an answer is lost in transit."""
 
     def __init__(self, site: Site, lost: float = LOST_ANSWER_RATE) -> None:
         self.site, self.loop, self.random, self.lost = site, site.loop, site.random, lost
@@ -37,14 +39,17 @@
         node: int | None = None,
         done: OnStatus | None = None,
     ) -> None:
-        """Sends it to one node after another until the answer is clear; `sort` as for operators' calls."""
+        """Sends an order to one node after another until the answer is definite.
+
+        `sort` is "proper", "race" or "invalid", as for operators' calls.
+        """
         self.orders += 1
         self.site.record("sent", "operator", call=call, sort=sort, order=self.orders)
         place = self.random.randrange(len(self.site.controls)) if node is None else node
         _Order(self, call, sort, self.orders, done).send(place)
 
     def read(self, node: int | None = None) -> None:
-        """One try at one node."""
+        """Sends one read to one node, without a retry."""
         place = self.random.randrange(len(self.site.controls)) if node is None else node
         begin = self.loop.now
 
@@ -59,7 +64,7 @@
         _Attempt(self, self.site.controls[place], "fetch", (), on_result)
 
     def read_repeatedly(self, every: float, until: float) -> None:
-        """Reads again and again, at any node."""
+        """Reads at random nodes at random intervals around `every` seconds."""
         if self.loop.now < until:
             self.read()
             self.loop.after(
@@ -68,7 +73,7 @@
 
 
 class _Order:
-    """One order until its answer is clear."""
+    """One order, sent again until its answer is definite."""
 
     def __init__(
         self, client: ControlClient, call: dict[str, Any], sort: str, number: int, done: OnStatus | None
@@ -107,7 +112,9 @@
 
 
 class _Attempt:
-    """One call at one node. `on_result` is called once: with its answer, or None once that is lost or late."""
+    """One call at one node. `on_result` is called once, with the answer, or with None if it is lost or
+    late.
+    """
 
     def __init__(
         self,
@@ -132,13 +139,15 @@
             getattr(self.control.server, method)(*args, self._answered)
 
     def _answered(self, result: Result) -> None:
-        """At the node."""
+        """Runs at the node when it has answered."""
         site, loop = self.client.site, self.client.loop
         if self.control.machine.life != self.life:
             return
         site.record("waited", self.control.ip, seconds=loop.now - self.begin, clear=result is not None)
         if self.client.random.random() < self.client.lost:
-            if self.client.random.random() < 0.5:  # the connection breaks; else there is silence
+            if (
+                self.client.random.random() < 0.5
+            ):  # the connection breaks; otherwise nothing arrives and the attempt times out
                 loop.after(ONE_WAY_DELAY_S, loop.world, self._end, None)
             return
         loop.after(ONE_WAY_DELAY_S, loop.world, self._end, result)
@@ -150,7 +159,7 @@
 
 
 def _voters(site: Site) -> list[ControlNode]:
-    """By the table of whoever led last."""
+    """The voters according to the leader, or to the node with the newest term and log if there is none."""
     cores = [node.server.raft for node in site.controls if node.server is not None]
     newest = max(cores, key=lambda core: (core.role == "leader", core.term, core.last_index), default=None)
     table = newest.voters if newest is not None else tuple(node.disk.voters for node in site.controls)[0]
@@ -158,7 +167,7 @@
 
 
 def is_on_disk(control: ControlNode, call: dict[str, Any]) -> bool:
-    """Whether the call is on the disk of this node: as an entry, or in its snapshot."""
+    """Whether the call is stored on the disk of this node, as a log entry or in its snapshot."""
     saved = control.disk.saved
     if saved is None:
         return False
--- a/rigs/simulation/cuts.py
+++ b/rigs/simulation/cuts.py
@@ -1,4 +1,4 @@
-"""A machine cut off from all others: in one direction or both, silently, with refusals, or with resets."""
+"""Partitions of one machine from all others: one-way or both, silent, with refusals or with resets."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from rigs.simulation.mesh import ControlNode, Site
 from rigs.simulation.network import End, Network
 
-DIRECTIONS = ("in", "out", "both")  # what does not arrive
+DIRECTIONS = ("in", "out", "both")  # of the traffic that is blocked, as seen from the machine
 MODES = ("silent", "refuse", "reset")
-RESET_INTERVAL_S = 0.5  # seconds between two resets of a cut-off machine's connections
+RESET_INTERVAL_S = 0.5  # between two resets of the isolated machine's connections
 
 
 class RefusingNetwork(Network):
-    """New connections across some cuts are refused at once, in place of silence."""
+    """A network that refuses new connections across some cuts at once instead of dropping them silently."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         super().__init__(loop)
@@ -29,7 +29,7 @@
 
 
 class Cut(NamedTuple):
-    """From `at` for `seconds`; the machine's process is restarted at each of `restarts` (seconds into it)."""
+    """A partition from `at` for `seconds`; its process restarts at each of `restarts`, counted from `at`."""
 
     at: float
     seconds: float
@@ -39,7 +39,7 @@
 
 
 def isolate(site: Site, control: ControlNode, cut: Cut) -> None:
-    """Strikes now."""
+    """Starts the partition now and schedules its end."""
     network, loop = site.network, site.loop
     others = [ip for ip in site.machines if ip != control.ip]
     pairs = [(ip, control.ip) for ip in others if cut.direction != "out"]
@@ -74,7 +74,7 @@
 
 
 def restart(site: Site, control: ControlNode, power: bool = False, downtime_s: float = 0.3) -> None:
-    """Its process ends and is started again."""
+    """Stops the node's process, and starts it again after `downtime_s`."""
     if not control.machine.running:
         return
     site.record("struck", control.ip, kind="restart", state=control.state)
--- a/rigs/simulation/disk.py
+++ b/rigs/simulation/disk.py
@@ -1,4 +1,4 @@
-"""A control node's disk in memory: synced late, hung, full, without power, torn, foreign, lost."""
+"""A control node's disk in memory, which may be slow, hung, full, lost, torn, or hold another node's data."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 from minthitch.mesh.storage.store import Condition
 from rigs.simulation.loop import Machine, VirtualLoop
 
-WRITE_RETRY_S = 0.2  # seconds between two tries of a write that is refused
+WRITE_RETRY_S = 0.2  # between two attempts of a write that a full disk refuses
 
 
 class SimDisk:
-    """What stays when the process ends."""
+    """The state that outlives the process."""
 
     def __init__(self, sync: tuple[float, float]) -> None:
-        self.sync_s = sync  # seconds of a write, from and to
+        self.sync_s = sync  # range of the duration of a write
         self.name = ""
         self.saved: PersistedState | None = None
-        self.condition_after_loss = Condition.EMPTY  # what a start finds where nothing of ours is whole
+        self.condition_after_loss = Condition.EMPTY  # what a start finds if there is no intact data
         self.hung = self.full = False
 
     @property
     def voters(self) -> tuple[str, ...]:
-        """By the newest table that is on it."""
+        """The voters in the newest membership entry on the disk, else in the snapshot."""
         if self.saved is None:
             return ()
         tables = [entry.data for entry in self.saved.entries if entry.kind == MEMBERS]
@@ -44,17 +44,17 @@
         kept = tuple(entries[i] for i in sorted(entries) if i > snapshot.index)
         if kept and [kept[0].index, kept[-1].index] != [snapshot.index + 1, snapshot.index + len(kept)]:
             raise ValueError(
-                f"a hole on the disk: {kept[0].index} to {kept[-1].index} after {snapshot.index}"
+                f"gap in the log on disk: entries {kept[0].index} to {kept[-1].index} after {snapshot.index}"
             )
         self.saved = PersistedState(persist.term, persist.voted_for, snapshot, kept)
 
     def wipe(self, condition_after_loss: Condition = Condition.EMPTY) -> None:
-        """Nothing is left, or what is left is torn or another's."""
+        """Loses all data; a start then finds `condition_after_loss`: empty, torn, or another node's data."""
         self.name, self.saved, self.condition_after_loss = "", None, condition_after_loss
 
 
 class SimStore:
-    """What a control server asks of a store."""
+    """The `Store` interface that a control server uses."""
 
     def __init__(self, disk: SimDisk) -> None:
         self.disk = disk
@@ -79,7 +79,7 @@
 
 
 class SimWriter:
-    """What a control server asks of a writer: one write at a time, each told once it is synced."""
+    """The `StorageWriter` interface: one write at a time, each reported once it is durable."""
 
     def __init__(
         self,
@@ -91,7 +91,7 @@
         on_begin: Callable[[], None] = lambda: None,
     ) -> None:
         self.loop, self.machine, self.disk, self.done, self.on_trouble = loop, machine, disk, done, on_trouble
-        self.on_begin = on_begin  # hears of each write that is under way
+        self.on_begin = on_begin  # called when a write starts
         self.life = machine.life
         self.queue: deque[Persist] = deque()
         self.write_started_at: float | None = None
@@ -118,7 +118,7 @@
         self.on_begin()
 
     def _complete(self) -> None:
-        """In the system, not in the process: it goes on while that is frozen."""
+        """Completes the write. It runs in the operating system, so it goes on while the process is frozen."""
         if self.machine.life != self.life or not self.queue:
             return
         if self.disk.hung:
@@ -138,9 +138,9 @@
         self.done(persist.write_id)
 
     def abort(self, survival_probability: float) -> None:
-        """The process ends, or power is lost: with chance `survival_probability` a write under way has come to the disk.
+        """Ends the process: a write in flight reached the disk with this probability.
 
-        One that was torn by the loss of power is condition_after_loss out by its meta page, and the one before stands.
+        A write that the loss of power tore is detected by its meta page, and the state before it remains.
         """
         takes = not self.disk.hung and not self.disk.full
         if self.queue and takes and self.loop.random.random() < survival_probability:
--- a/rigs/simulation/fault_injector.py
+++ b/rigs/simulation/fault_injector.py
@@ -106,7 +106,7 @@
             node.stop(power=power)
 
     def _break_disks(self, fault: Fault, scope: str, name: str, controls: list[ControlNode]) -> None:
-        """Disks hang or are full."""
+        """Sets the flag `name` of the disks, `hung` or `full`, until the fault ends."""
         for control in controls:
             setattr(control.disk, name, True)
 
@@ -122,7 +122,7 @@
                 node.start()
 
     def _inject_at_event(self, fault: Fault) -> None:
-        """Waits for the event that triggers the fault, and injects it just then."""
+        """Injects the fault when its triggering event is recorded."""
         trigger = TRIGGERS[fault.kind]
 
         def listener(event: Event) -> None:
@@ -152,11 +152,11 @@
         self.loop.after(EVENT_TIMEOUT_S, self.loop.world, unsubscribe)
 
     def _call_soon(self, call: Callable[..., None], *args: object) -> None:
-        """At once, or within 4 ms."""
+        """Schedules a call at once, or after 1 or 4 ms."""
         self.loop.after(self.loop.random.choice((0.0, 0.001, 0.004)), self.loop.world, call, *args)
 
     def _sender(self, event: Event) -> SidecarNode:
-        """The sidecar that has claimed, or that sent what arrived."""
+        """The sidecar that made the claim, or that sent the request that arrived."""
         ip = event.who if event.what == "claim" else self.sender_of[event.data["id"]]
         return next(sidecar for sidecar in self.site.sidecars if sidecar.ip == ip)
 
@@ -199,7 +199,7 @@
             self._partition(fault, node, kind, scope)
 
     def _lose_disk(self, fault: Fault, control: ControlNode, kind: str) -> None:
-        """Its disk is lost with its power, but only while all replicas are up to date."""
+        """Cuts the power and loses the disk, but only while all replicas are up to date."""
         if not self.site.replicas_up_to_date():
             self.site.record("unsynced", control.ip)
             return
@@ -215,7 +215,7 @@
             self._power_loss_in_snapshot(fault, control, self.loop.now + EVENT_TIMEOUT_S)
 
     def _power_loss_in_snapshot(self, fault: Fault, control: ControlNode, until: float) -> None:
-        """Power is lost at either end while a snapshot is half sent."""
+        """Cuts the power of the sender or the receiver while a snapshot is partly transferred."""
         if control.has_partial_snapshot:
             node = self.loop.random.choice((control, self.site.leader()))
             self._fail_one(fault._replace(kind="power-control"), node, "core")
@@ -223,8 +223,8 @@
             self.loop.after(0.002, self.loop.world, self._power_loss_in_snapshot, fault, control, until)
 
     def _inject_at_write(self, fault: Fault) -> None:
-        """While the leader has a write in flight it freezes, and the write is done before or after it wakes;
-        or its power is lost.
+        """Freezes the leader during a disk write, which completes before or after it wakes, or cuts its
+        power.
         """
         writes, until = self.site.writes, self.loop.now + EVENT_TIMEOUT_S
 
@@ -244,7 +244,7 @@
     def _leave_one_replica(self, fault: Fault) -> None:
         """One control node is isolated; of the two that acknowledge a change one loses its disk.
 
-        That one is back at once. The other loses its power, and what comes back has to wait for its replica.
+        That one is back at once. The other loses its power, and the rest have to wait for its replica.
         `hung-copy`: the leader's disk hangs instead, and nothing may be acknowledged at all.
         """
         leader = self.site.leader()
@@ -284,7 +284,7 @@
         self._subscribe(listener)
 
     def _shut_down(self, fault: Fault, node: ControlNode | SidecarNode, scope: str) -> None:
-        """SIGTERM, and the end of its process as soon as it may; it starts again after that."""
+        """Sends SIGTERM, ends the process as soon as it may end, and starts it again."""
         began, life = self.loop.now, node.machine.life
         self.site.record("sigterm", node.ip)
         node.leave()
@@ -298,7 +298,7 @@
                     self.loop.after(0.1, self.loop.world, end_when_idle)
 
         def ended() -> None:
-            if node.machine.life == life and node.machine.running:  # all is healed early
+            if node.machine.life == life and node.machine.running:  # all faults are ended early
                 node.stop()
             self._start(node)
 
--- a/rigs/simulation/fault_spans.py
+++ b/rigs/simulation/fault_spans.py
@@ -1,4 +1,4 @@
-"""When which machine was free of trouble, from a history."""
+"""Periods in which each machine was affected by a fault, read from a history."""
 
 from __future__ import annotations
 
@@ -6,12 +6,15 @@
 
 from rigs.simulation.history import History
 
-CONTACT_S = 3.0  # seconds without trouble after which a machine is in touch
-PLANNED = ("leave-sidecar", "leave-control")  # kinds of trouble that are planned work
+CONTACT_S = 3.0  # seconds without a fault after which a machine counts as in contact
+PLANNED = ("leave-sidecar", "leave-control")  # kinds of faults that are planned maintenance
 
 
 class FaultSpans:
-    """When which machine and the core were free of trouble (`ignored`: of all except these kinds)."""
+    """The periods with an active fault, by machine address, or "core" for the control nodes.
+
+    Kinds in `ignored` do not count.
+    """
 
     def __init__(self, history: History, ignored: tuple[str, ...] = ()) -> None:
         self.spans: dict[str, list[tuple[float, float]]] = defaultdict(list)
@@ -28,8 +31,9 @@
             self.spans[who] += [(at, float("inf")) for at in since]
 
     def is_calm(self, who: str, since: float, until: float) -> bool:
+        """Whether no fault was active at any time from `since` to `until`."""
         return all(end < since or start > until for start, end in self.spans.get(who, ()))
 
     def in_contact(self, who: str, at: float) -> bool:
-        """In touch: it and the core have been calm for CONTACT_S."""
+        """Whether neither the machine nor the core had a fault within the last CONTACT_S."""
         return self.is_calm(who, at - CONTACT_S, at) and self.is_calm("core", at - CONTACT_S, at)
--- a/rigs/simulation/history.py
+++ b/rigs/simulation/history.py
@@ -1,4 +1,4 @@
-"""What happened, in the order in which it did: the only thing that the checks read."""
+"""The recorded events of a run in order; checks read nothing else."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Event(NamedTuple):
-    """One thing that happened, at whom, with its values by name."""
+    """An event: its time, kind, the machine or program concerned, and its data by name."""
 
     at: float
     what: str
@@ -16,7 +16,9 @@
 
 
 class History:
-    """Events in their order. Listeners are called with each as it comes: faults that strike just then."""
+    """Events in order. Listeners are called with each event as it is added, so that faults can be triggered
+    by it.
+    """
 
     def __init__(self) -> None:
         self.events: list[Event] = []
@@ -34,7 +36,7 @@
         return (event for event in self.events if event.what in kinds)
 
     def shown(self, word: str = "") -> str:
-        """A line for each event that has this word in it."""
+        """One line for each event whose kind, machine or data contains `word`."""
         return "\n".join(
             f"{e.at:9.4f} {e.what:10s} {e.who:12s} {e.data}"
             for e in self.events
@@ -43,5 +45,5 @@
 
 
 def asked_requests(history: History) -> dict[str, Event]:
-    """What clients asked, by request id."""
+    """The requests that clients sent, by request id."""
     return {e.data["id"]: e for e in history.of("asked")}
--- a/rigs/simulation/linearizability.py
+++ b/rigs/simulation/linearizability.py
@@ -1,9 +1,10 @@
-"""Linearizability of configuration items: real-time order of orders and reads, judged from a history alone.
+"""Checks linearizability of configuration changes (orders) and reads, on a history alone.
 
-An item is a register that only rises: a call that brings a higher version replaces what stands, an equal one
-is acknowledged again, an equal version with other content is refused, a lower one changes nothing. Versions
-thus order all writes to one item, so that the checks below need no search. Each attempt of an order is an
-operation of its own; one without a clear answer (`status` is None) may take effect at any later time.
+An item is a register whose version only rises: a higher version replaces the item, an equal version with
+equal content is acknowledged again, an equal version with other content is refused, and a lower one changes
+nothing. Versions thus order all writes to an item, so that the checks need no search. Each attempt of an
+order is an operation of its own; one without a definite answer (`status` is None) may take effect at any
+later time.
 
 Events read: `order` (an attempt's end: `begin`, `call`, `status`) and `read` (`begin`, `body`).
 """
@@ -32,7 +33,7 @@
 
 
 class Order(NamedTuple):
-    """One attempt to make a change. `status` is None where no clear answer came in time."""
+    """One attempt to make a change. `status` is None if no definite answer came in time."""
 
     begin: float
     end: float
@@ -42,7 +43,7 @@
 
 
 class Read(NamedTuple):
-    """The whole configuration as one node gave it out."""
+    """The whole configuration as returned by one node."""
 
     begin: float
     end: float
@@ -51,7 +52,7 @@
 
 
 class _Floor(NamedTuple):
-    """A version that every read that begins after `at` must show, or a higher one."""
+    """A lower bound: every read that begins after `at` must show this version or a higher one."""
 
     at: float
     ver: int
@@ -76,8 +77,8 @@
 
 
 def operations(history: History) -> tuple[list[Order], list[Read]]:
-    """What the callers of a simulated day did. Orders of callers whose attempts are not noted one by one may
-    take effect at any time after they were sent.
+    """The operations in a history. Orders whose attempts were not recorded one by one may take effect at any
+    time after they were sent.
     """
     orders = [
         Order(event.at, float("inf"), rows_of(event.data["call"]), None, event.who)
@@ -97,12 +98,12 @@
 
 
 def violations(orders: Iterable[Order], reads: Iterable[Read]) -> list[str]:
-    """Every breach of linearizability, each as one line that starts with its kind."""
+    """Every violation of linearizability, each as one line that starts with its kind."""
     return _Checker(list(orders), sorted(reads, key=lambda read: read.begin)).run()
 
 
 def check(history: History) -> list[str]:
-    """The same for a simulated day."""
+    """Every violation of linearizability in the history of a simulated day."""
     return violations(*operations(history))
 
 
@@ -115,7 +116,7 @@
             for row in order.rows:
                 self.attempts[row].append(order)
                 self.versions[row.key][row.ver].add(row)
-        self.floors: dict[Key, list[_Floor]] = defaultdict(list)  # each higher than the one before
+        self.floors: dict[Key, list[_Floor]] = defaultdict(list)  # by item; rising in time and version
         self._raise_floors()
 
     def run(self) -> list[str]:
@@ -135,7 +136,7 @@
     def _raise_floors(self) -> None:
         for order in self.orders:
             answered = order.status == OK or (order.status == CONFLICT and len(order.rows) == 1)
-            if answered:  # a conflict says that this version is taken
+            if answered:  # a conflict shows that this version exists
                 word = "acknowledged" if order.status == OK else "said to be taken"
                 for row in order.rows:
                     why = f"{word} at {order.end:.3f} by {order.node}"
@@ -170,9 +171,10 @@
                 yield f"CONFLICT: {_label(key, ver)} taken with {len(contents)} contents, at {ends}"
 
     def _overtaken(self, row: Row, order: Order) -> bool:
-        """A higher version may have stood when it was judged: then it changes nothing, and that is said.
+        """Whether a higher version may have been in force when the order was processed.
 
-        Told apart only where the other content was taken before.
+        Such an order is acknowledged without effect; this can be told only if the other content was in
+        force before.
         """
         return any(
             other.begin <= order.end and other.status in (OK, None)
@@ -183,7 +185,7 @@
         )
 
     def _refused_again(self) -> Iterator[str]:
-        """An order that was taken is refused when it is sent again."""
+        """An order that had taken effect is refused when it is sent again."""
         for order in self.orders:
             if order.status in (OK, None) or not order.rows:
                 continue
@@ -195,13 +197,13 @@
                 )
 
     def _taken_since(self, rows: tuple[Row, ...]) -> float:
-        """When it was first acknowledged, or could first be read in full."""
+        """When the rows were first acknowledged or first read in full."""
         acked = [o.end for o in self.attempts[rows[0]] if o.status == OK and o.rows == rows]
         shown = [r.end for r in self.reads if all(r.items.get(row.key) == row for row in rows)]
         return min(acked + shown, default=float("inf"))
 
     def _refused_without_rival(self) -> Iterator[str]:
-        """A conflict is claimed where nobody sent other content under any of these versions."""
+        """A conflict is reported although no other content was sent under any of these versions."""
         for order in self.orders:
             if order.status != CONFLICT:
                 continue
@@ -216,14 +218,14 @@
                 yield f"GROUNDLESS: {_labels(order.rows)} refused at {order.end:.3f}, nobody sent another"
 
     def _phantoms(self) -> Iterator[str]:
-        """What is read was sent before."""
+        """Everything that is read was sent before."""
         for read in self.reads:
             for row in read.items.values():
                 if not any(order.begin <= read.end for order in self.attempts.get(row, ())):
                     yield f"PHANTOM: {_label(row.key, row.ver)} read at {read.end:.3f}, never sent before"
 
     def _refused_in_force(self) -> Iterator[str]:
-        """What is read may have been taken: at least one attempt to send it was not refused."""
+        """For everything that is read, at least one attempt to send it was not refused."""
         for read in self.reads:
             for row in read.items.values():
                 sent = [order for order in self.attempts.get(row, ()) if order.begin <= read.end]
@@ -231,7 +233,9 @@
                     yield f"REVIVED: {_label(row.key, row.ver)} read at {read.end:.3f}, was refused"
 
     def _unacknowledged_rival(self) -> Iterator[str]:
-        """Of several contents under one version all are refused, and each refusal says that one stands."""
+        """All contents sent under one version are refused, although each refusal implies that another is in
+        force.
+        """
         for key, versions in self.versions.items():
             for ver, rows in versions.items():
                 attempts = [order for row in rows for order in self.attempts[row]]
@@ -240,7 +244,7 @@
                     yield f"NEITHER: {_label(key, ver)}: {len(rows)} contents sent, each refused for another"
 
     def _stale(self) -> Iterator[str]:
-        """A read shows at least all that had ended before it began; a node in turn never goes back."""
+        """A read shows at least everything that was acknowledged or read before it began."""
         for read in self.reads:
             for key, floors in self.floors.items():
                 place = bisect_left(floors, read.begin, key=lambda floor: floor.at)
@@ -265,7 +269,7 @@
         )
 
     def _torn(self) -> Iterator[str]:
-        """A call takes effect in full or not at all."""
+        """A call takes effect completely or not at all."""
         for read in self.reads:
             for rows in self._calls_shown(read):
                 for row in rows:
@@ -275,7 +279,7 @@
                         yield f"TORN: {_labels(rows)}: without {row.key[1]} in {_named(read)}"
 
     def _calls_shown(self, read: Read) -> set[tuple[Row, ...]]:
-        """Calls with several items, one of which is shown and came with no other call."""
+        """Calls with several items that the read proves: it shows an item that only this call contains."""
         shown = set()
         for row in read.items.values():
             calls = {order.rows for order in self.attempts.get(row, ())}
@@ -284,10 +288,12 @@
         return {rows for rows in shown if len(rows) > 1}
 
     def _crossed(self) -> Iterator[str]:
-        """Of two reads one is the newer in all items: each shows one moment."""
+        """Of two concurrent reads, one is at least as new in all items, since each is a consistent
+        snapshot.
+        """
         for place, one in enumerate(self.reads):
             for other in self.reads[place + 1 :]:
-                if other.begin > one.end:  # that one follows it: `_stale` compares them
+                if other.begin > one.end:  # not concurrent: `_stale` compares them
                     break
                 keys = one.items.keys() & other.items.keys()
                 shared = [(one.items[key].ver, other.items[key].ver) for key in keys]
--- a/rigs/simulation/loop.py
+++ b/rigs/simulation/loop.py
@@ -1,8 +1,8 @@
-"""An event loop in virtual time that all simulated machines share: one heap, the same run for the same seed.
+"""An event loop in virtual time that all simulated machines share; equal seeds give equal runs.
 
-Every callback belongs to the machine (and its life) in whose callback it was asked for. A frozen machine's
-callbacks wait, a killed one's are dropped, a slow one's come later. Each machine has a clock of its
-own, which starts anywhere.
+Every callback belongs to the machine, and to the incarnation of its process, whose callback scheduled it.
+The callbacks of a frozen machine wait, those of a killed one are dropped, and those of a slow one are
+delayed. Each machine has its own clock with an arbitrary offset.
 """
 
 from __future__ import annotations
@@ -18,15 +18,18 @@
 
 
 class Machine:
-    """One simulated machine (or the world around them: servers' processes, clients)."""
+    """A simulated machine, or `world`, which runs everything else: servers' processes, clients and faults."""
 
     def __init__(self, name: str, offset: float = 0.0) -> None:
         self.name, self.offset = name, offset
-        self.life = 0  # of its process; what an earlier one asked for never comes
+        self.life = 0  # incarnation of its process; callbacks of earlier ones are dropped
         self.running = True
         self.powered = True
         self.frozen = False
-        self.lag, self.earliest = 0.0, 0.0  # seconds by which callbacks come later; none before the last one
+        self.lag, self.earliest = (
+            0.0,
+            0.0,
+        )  # delay of callbacks, in seconds, and the time of the last one, to keep order
         self.waiting: list[_Scheduled] = []
         self.tasks: list[asyncio.Task[Any]] = []
 
@@ -41,7 +44,7 @@
 
 
 class VirtualLoop(asyncio.BaseEventLoop):
-    """`machine` is the one whose callback runs now; `now` the world's time."""
+    """`machine` is the machine whose callback is running; `now` is the global virtual time."""
 
     def __init__(self, seed: int) -> None:
         super().__init__()
@@ -49,7 +52,7 @@
         self.now, self.order, self.steps = 0.0, 0, 0
         self.heap: list[_Scheduled] = []
         self.world = self.machine = Machine("world")
-        self.step_machine, self.step_life = self.world, 0  # whose callback runs, and of which of its lives
+        self.step_machine, self.step_life = self.world, 0  # machine and incarnation of the running callback
         self.network: Any = None
         self.failures: Callable[[str, str], None] = lambda who, what: None
 
@@ -60,7 +63,7 @@
 
     def _push(self, when: float, handle: asyncio.Handle, machine: Machine, timer: bool) -> None:
         self.order += 1
-        # What a life that was ended in this very callback still asks for never comes.
+        # If this callback ended its own process, whatever it still schedules is dropped.
         life = self.step_life if machine is self.step_machine else machine.life
         if machine.lag and when - self.now < machine.lag:
             when = max(when + machine.lag, machine.earliest)
@@ -91,11 +94,11 @@
         return timer
 
     def after(self, delay: float, machine: Machine, callback: Callable[..., object], *args: Any) -> None:
-        """Runs it on that machine, in the life that it has now."""
+        """Schedules a callback on a machine; it is dropped if the machine's process ends before."""
         self._push(self.now + delay, asyncio.Handle(callback, args, self, None), machine, False)
 
     def on(self, machine: Machine, callback: Callable[..., Any], *args: Any) -> Any:
-        """Runs it now, as that machine."""
+        """Calls `callback` at once, as that machine."""
         before, self.machine = self.machine, machine
         try:
             return callback(*args)
@@ -121,7 +124,7 @@
         machine.frozen = True
 
     def thaw(self, machine: Machine) -> None:
-        """All that came due comes now: timers first or what was received first, as it may fall."""
+        """Schedules all callbacks that became due meanwhile; with probability 0.5 timers come first."""
         machine.frozen = False
         waiting, machine.waiting = machine.waiting, []
         if self.random.random() < 0.5:
@@ -131,7 +134,7 @@
             heapq.heappush(self.heap, due._replace(when=self.now, order=self.order))
 
     def end(self, machine: Machine) -> None:
-        """Its process is gone."""
+        """Ends the process of a machine: its callbacks and tasks are dropped."""
         machine.life += 1
         machine.running = machine.frozen = False
         machine.waiting.clear()
--- a/rigs/simulation/mesh.py
+++ b/rigs/simulation/mesh.py
@@ -1,4 +1,4 @@
-"""The machines of a small site with their real programs: three control nodes, six sidecars with a server
+"""A small simulated site that runs the real programs: three control nodes, and six sidecars with one server
 each.
 """
 
@@ -34,15 +34,15 @@
 
 PORT = 9000
 ZONES = ("a", "b", "c")
-CONTROLS = tuple(f"10.0.{zone}.1" for zone in range(3))  # the seeds, which found the group
-SPARES = ("10.0.0.2", "10.0.1.2")  # further control nodes, which wait for a seat
+CONTROLS = tuple(f"10.0.{zone}.1" for zone in range(3))  # the seeds, which form the initial group
+SPARES = ("10.0.0.2", "10.0.1.2")  # further control nodes, which wait to replace a voter
 SIDECARS = tuple(f"10.0.{zone}.{place}" for place in (11, 12) for zone in range(3))
-SERVICES = ("shop", "bank")  # of the first sidecar in each zone, of the second
+SERVICES = ("shop", "bank")  # of the first and of the second sidecar in each zone
 HOST = "mesh.test"
 RETRY_RATIO, RETRY_SLACK, RETRY_WINDOW_S = 0.2, 6.0, 10.0
-KEY_WINDOW_S = 3.0  # so short that claims grow old more than once in a day
+KEY_WINDOW_S = 3.0  # short enough that claims expire more than once in a day
 GRACE_S = 6.0
-CLAIM_MARGIN_S = 3.0  # seconds: as much as a client waits, and a little
+CLAIM_MARGIN_S = 3.0  # slightly longer than a client waits
 BOUNDS = Bounds(
     retry_ratio=RETRY_RATIO,
     retry_slack=RETRY_SLACK,
@@ -57,7 +57,7 @@
 
 
 class Node:
-    """A machine and its program."""
+    """A machine and the program that it runs."""
 
     def __init__(self, site: Site, ip: str) -> None:
         self.site, self.loop, self.ip = site, site.loop, ip
@@ -84,7 +84,7 @@
         raise NotImplementedError
 
     def stop(self, power: bool = False) -> None:
-        """Its process is killed, or its power is lost."""
+        """Kills the process, or cuts the power of the machine."""
         self.on_stopped(power)
         self.machine.powered = not power
         self.loop.end(self.machine)
@@ -95,13 +95,13 @@
 
 
 class ControlNode(Node):
-    shutdown_s = 1.3  # until it has ended after SIGTERM, at the latest
+    shutdown_s = 1.3  # maximum duration of a shutdown after SIGTERM
 
     def __init__(self, site: Site, ip: str) -> None:
         super().__init__(site, ip)
         self.disk = SimDisk(site.sync_s)
         self.server: ControlServer | None = None
-        self.leaving = False  # its calls are refused then
+        self.leaving = False  # after SIGTERM: calls are refused
         self.writer: SimWriter | None = None
 
     def begin(self) -> None:
@@ -120,7 +120,7 @@
         return cast(StorageWriter, self.writer)
 
     def _watch_state(self, state: StateMachine) -> None:
-        """Says when an image was taken in, and when claims grew old."""
+        """Records when a snapshot was restored, and when the leader expired claims."""
         restore, rotate = state.restore, state.claims.rotate
 
         def restored(snapshot: bytes) -> None:
@@ -139,7 +139,7 @@
             listener(self)
 
     def _poll_stop_requested(self, server: ControlServer) -> None:
-        """As its program does: it ends where it has found a promise broken."""
+        """Ends the process once the server has found an invariant violated, as the real program does."""
         if server.stop_requested.is_set():
             self.site.record("fault", self.ip, why=f"ended by itself: {server.failure!r}")
             self.loop.after(0.0, self.loop.world, self.stop)
@@ -148,7 +148,7 @@
         self.loop.call_later(0.05, self._poll_stop_requested, server)
 
     def leave(self) -> None:
-        """As its program does after SIGTERM; a second one changes nothing."""
+        """Starts the shutdown as the real program does on SIGTERM; a second signal has no effect."""
         if self.server is not None and not self.leaving:
             self.leaving = True
             self.loop.after(0.0, self.machine, self.server.begin_shutdown)
@@ -168,7 +168,7 @@
 
     @property
     def state(self) -> str:
-        """What a fault that strikes now strikes."""
+        """The role or condition of the node, which is recorded when a fault hits it."""
         if self.server is None:
             return "down"
         core = self.server.raft
@@ -184,7 +184,7 @@
 
     @property
     def has_partial_snapshot(self) -> bool:
-        """It has a part of a leader's image."""
+        """Whether it has received a part of a leader's snapshot."""
         return self.server is not None and self.server.raft.follower.incoming_snapshot is not None
 
 
@@ -196,7 +196,7 @@
         self.service = service
         self.front: Sidecar | None = None
         self.server = Server(site, self)
-        self.clients: dict[Any, None] = {}  # in the order in which they came
+        self.clients: dict[Any, None] = {}  # in order of arrival
 
     def begin(self) -> None:
         own = SelfSettings(
@@ -210,7 +210,9 @@
         )
         server_pool = SimServerPool(self.loop, self.server, self.machine)
         front = self.front = self.site.make_front(self.boot(own), 1_000 + self.starts, server_pool)
-        front.random.seed(self.loop.random.getrandbits(32))  # its own seed has Python's hash of a text in it
+        front.random.seed(
+            self.loop.random.getrandbits(32)
+        )  # its default seed depends on Python's randomized string hash
         told = front.on_update
 
         def changed(config: bool, records: bool) -> None:
@@ -229,7 +231,7 @@
         def watched(body: tuple[Any, ...], deadline: float, done: OnClaimed) -> None:
             def told(verdict: str, owner: str, name: bytes, digest: bytes) -> None:
                 self.site.record("claim", self.ip, key=body[0].hex(), verdict=verdict, owner=owner)
-                if self.machine.life == life:  # else it was killed right here
+                if self.machine.life == life:  # otherwise the recorded event triggered a kill
                     done(verdict, owner, name, digest)
 
             claim(body, deadline, told)
@@ -245,7 +247,7 @@
         self.site.record("table", self.ip, life=self.starts, index=front.controls.replica.index, rows=rows)
 
     def leave(self) -> None:
-        """As its program does after SIGTERM; a second one changes nothing."""
+        """Starts the shutdown as the real program does on SIGTERM; a second signal has no effect."""
         if self.front is not None and not self.front.leaving:
             schedule = ShutdownSchedule(self.loop.now + self.machine.offset, GRACE_S)
             self.loop.after(0.0, self.machine, self.front.begin_shutdown, schedule)
@@ -267,7 +269,7 @@
 
 
 class Site:
-    """All of it, on one loop."""
+    """All machines, the network and the history, on one loop."""
 
     def __init__(
         self,
@@ -283,15 +285,17 @@
         self.loop.failures = lambda who, what: self.record("fault", who, why=what)
         self.network = make_network(self.loop)
         self.make_control, self.make_front = make_control, make_front
-        self.sync_s = self.random.choice(((0.002, 0.012), (0.01, 0.06)))  # seconds of a write at its disks
+        self.sync_s = self.random.choice(
+            ((0.002, 0.012), (0.01, 0.06))
+        )  # range of the duration of a disk write
         self.write_survival_probability = self.random.choice(
             (0.0, 0.0, 0.5, 1.0)
-        )  # chance of a write when power is lost
+        )  # of a write in flight at a power loss
         self.controls = [ControlNode(self, ip) for ip in controls]
         self.sidecars = [SidecarNode(self, ip, SERVICES[n // 3]) for n, ip in enumerate(SIDECARS)]
         nodes: list[ControlNode | SidecarNode] = [*self.controls, *self.sidecars]
         self.machines = {node.ip: node for node in nodes}
-        # Called when a write begins at a control node.
+        # Listeners that are called when a control node starts a disk write.
         self.writes: list[Callable[[ControlNode], None]] = []
 
     def record(self, what: str, who: str, **data: Any) -> None:
@@ -310,9 +314,10 @@
         return next((f for f in self.controls if f.leads and not f.machine.frozen), self.controls[0])
 
     def replicas_up_to_date(self) -> bool:
-        """Each voter runs under the name of its disk, that is agreed, and it is on each voter's disk.
+        """Whether every voter runs with its own disk, and the membership is committed and on every voter's
+        disk.
 
-        Where there are spares, as many vote as founded the group.
+        The number of voters must equal the initial one, also if there are spare nodes.
         """
         core = next(
             (
--- a/rigs/simulation/network.py
+++ b/rigs/simulation/network.py
@@ -1,7 +1,7 @@
-"""Streams between machines: in order, with delays, silent cuts in one direction or both, and resets.
+"""Simulated TCP streams between machines: ordered, delayed, with silent partitions in one or both directions.
 
-A reset lets through any prefix of the bytes that were under way, to each end by itself: none, all, or up to a
-byte in the middle of a write. No byte comes twice, and none after the reset.
+A connection reset delivers an arbitrary prefix of the bytes in flight, drawn for each end separately: none,
+all, or up to a byte in the middle of a write. No byte is delivered twice, and none after the reset.
 """
 
 from __future__ import annotations
@@ -15,16 +15,12 @@
 
 from rigs.simulation.loop import Machine, VirtualLoop
 
-KERNEL_BUFFER_BYTES = 256 * 1024  # bytes that the systems at both ends hold beyond the transport's own buffer
-RETRANSMIT_DELAY_S = 0.05, 0.4  # seconds from a cut's end until what was lost is sent again
-USER_TIMEOUT_S = 2.0  # seconds for which a system tries to send: the programs set it (TCP_USER_TIMEOUT)
-LATE_DATA_PROBABILITY = (
-    0.5  # chance that what an end had written before it was closed still comes after a cut
-)
-NO_DATA_PROBABILITY, ALL_DATA_PROBABILITY = (
-    0.25,
-    0.5,
-)  # chances (the second counted up) of what a reset lets through; else a drawn part
+KERNEL_BUFFER_BYTES = 256 * 1024  # in the kernels of both ends, beyond the transport's own buffer
+RETRANSMIT_DELAY_S = 0.05, 0.4  # from the end of a partition until lost data is sent again
+USER_TIMEOUT_S = 2.0  # a kernel retries for this long; the programs set TCP_USER_TIMEOUT
+LATE_DATA_PROBABILITY = 0.5  # that data written before a close still arrives after a partition
+# Cumulative probabilities that a reset delivers none or all of the data in flight; otherwise a random prefix.
+NO_DATA_PROBABILITY, ALL_DATA_PROBABILITY = 0.25, 0.5
 SAME_ZONE_DELAY_S, CROSS_ZONE_DELAY_S = (
     (0.0002, 0.0008),
     (0.003, 0.012),
@@ -47,13 +43,13 @@
         self.peer: End = self
         self.closed = False
         self.high_water, self.paused = 64 * 1024, False
-        self.pending = 0  # bytes written that the other end has not taken
-        self.queue: deque[Any] = deque()  # on its way to the other end
-        self.earliest_arrival = 0.0  # nothing arrives before this
-        self.stuck = False  # the first of the queue waits for the cut's end
-        self.stuck_at = 0.0  # since when
+        self.pending = 0  # bytes written that the other end has not received
+        self.queue: deque[Any] = deque()  # in flight to the other end
+        self.earliest_arrival = 0.0  # no item arrives earlier, to keep order
+        self.stuck = False  # delivery waits for the end of a partition
+        self.stuck_at = 0.0  # when that began
 
-    # As the protocol sees it
+    # Transport interface for the protocol
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
         return _Socket() if name == "socket" else default
@@ -90,7 +86,7 @@
         if self.protocol is not None:
             network.loop.after(0.0, self.machine, self.protocol.connection_lost, None)
 
-    # As the network sees it
+    # Interface for the network
 
     @property
     def alive(self) -> bool:
@@ -109,7 +105,7 @@
             self.protocol.data_received(data)
 
     def bytes_in_flight(self) -> bytes:
-        """The bytes on their way to this end, up to an end of the stream. None where they can't arrive."""
+        """The bytes in flight to this end, up to the end of the stream; empty if they cannot arrive."""
         if self.protocol is None or self.peer.stuck or self.network.blocked(self.peer.ip, self.ip):
             return b""
         return b"".join(takewhile(lambda item: isinstance(item, bytes), self.peer.queue))
@@ -144,8 +140,8 @@
         self.listeners: dict[tuple[str, int], _Listener] = {}
         self.cuts: set[tuple[str, str]] = set()
         self.ends: list[End] = []
-        self.extra_delay_s: dict[str, float] = {}  # further seconds for what goes to or comes from it
-        # Its own generator, so that what a reset lets through shifts no other draw of the same seed.
+        self.extra_delay_s: dict[str, float] = {}  # additional delay of traffic from and to a machine
+        # A separate generator, so that resets do not shift the other draws of the same seed.
         self.prefix_random = random.Random(repr(loop.random.getstate()))
 
     def add(self, ip: str, zone: str, machine: Machine) -> None:
@@ -194,7 +190,7 @@
     def _on_connect_request(
         self, machine: Machine, life: int, ip: str, port: int, established: asyncio.Future[End]
     ) -> None:
-        """The first packet has come to the other machine."""
+        """The connection request has reached the other machine."""
         src = machine.name
         if self.blocked(src, ip) or machine.life != life:
             return
@@ -219,7 +215,7 @@
         listener: _Listener | None,
         established: asyncio.Future[End],
     ) -> None:
-        """Its answer has come back."""
+        """The reply to the connection request has arrived."""
         if self.blocked(ip, machine.name) or machine.life != life:
             return
         self.loop.after(0.0, machine, self._establish, machine, ip, listener, established)
@@ -241,7 +237,7 @@
         if len(self.ends) > 500:
             self.ends = [end for end in self.ends if not end.closed or not end.peer.closed]
 
-    # What travels: bytes, a protocol's factory (to be accepted), None (closed)
+    # Items in flight: bytes, a protocol factory (to be accepted), or None (closed)
 
     def send(self, end: End, item: Any) -> None:
         end.earliest_arrival = max(end.earliest_arrival, self.loop.now + self.delay(end.ip, end.peer.ip))
@@ -275,7 +271,9 @@
         end.protocol.connection_made(end)
 
     def _refuse(self, end: End) -> None:
-        """The other end is gone: its machine says so, if that can be heard."""
+        """The other end no longer exists: its machine resets the connection, unless the reset cannot
+        arrive.
+        """
         if not self.blocked(end.peer.ip, end.ip) and end.peer.machine.powered and end.alive:
             delay = self.delay(end.peer.ip, end.ip)
             self.loop.after(delay, end.machine, end.reset)
@@ -286,7 +284,7 @@
         self.cuts.add((src, dst))
 
     def partition(self, pairs: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
-        """Cuts the pairs that are not cut yet, and returns them: to heal them leaves earlier cuts alone."""
+        """Cuts the pairs that are not cut yet, and returns them, so that healing them keeps earlier cuts."""
         new = [pair for pair in pairs if pair not in self.cuts]
         self.cuts.update(new)
         return new
@@ -296,7 +294,10 @@
         self.resume_stuck()
 
     def resume_stuck(self) -> None:
-        """What was held up by cuts that are gone goes on."""
+        """Resumes delivery on connections that are no longer cut.
+
+        If the partition lasted longer than USER_TIMEOUT_S, they are reset instead.
+        """
         for end in list(self.ends):
             if end.stuck and not self.blocked(end.ip, end.peer.ip):
                 end.stuck = False
@@ -309,7 +310,7 @@
                     self.loop.after(end.earliest_arrival - self.loop.now, self.loop.world, self._arrive, end)
 
     def close_connections(self, machine: Machine) -> None:
-        """Its process has ended: its system closes what it had, unless it has no power."""
+        """Closes the connections of an ended process; a machine without power sends nothing."""
         for end in list(self.ends):
             if end.machine is machine and not end.closed:
                 end.closed = True
@@ -317,7 +318,9 @@
                     self.send(end, None)
 
     def reset(self, machine: Machine) -> None:
-        """All connections of a machine are reset; each end hears a part of what was under way before that."""
+        """Resets all connections of a machine; each end first receives a prefix of the data in flight to
+        it.
+        """
         affected = [end for end in self.ends if machine in (end.machine, end.peer.machine) and not end.closed]
         arriving = [(end, self._prefix(end.bytes_in_flight())) for end in affected]
         for end, data in arriving:
--- a/rigs/simulation/order_checks.py
+++ b/rigs/simulation/order_checks.py
@@ -1,5 +1,7 @@
-"""Checks of orders at control nodes that hold during a fault, too: acknowledged in time, kept by a majority,
-in force where a sidecar is in touch, and how long one call was kept waiting.
+"""Checks of orders (configuration changes sent to control nodes) that must hold even during a fault.
+
+Orders are acknowledged in time, stored by a majority and applied by sidecars in contact, and no call waits
+too long for its answer.
 """
 
 from __future__ import annotations
@@ -13,14 +15,18 @@
 from rigs.simulation.history import Event, History
 from rigs.simulation.mesh import SIDECARS
 
-ACK_S = 4.0  # seconds in one settled stretch within which a proper order is acknowledged
-MAX_WAIT_S = 0.95  # seconds that a node may keep a caller, who leaves after one
-MIN_COPIES = 2  # of what is acknowledged, whatever the table of voters: one machine may be lost
-CORE_STARTED_S = 2.0  # seconds from which on the core is expected to stand
+ACK_S = 4.0  # within one settled period a valid order is acknowledged in this time
+MAX_WAIT_S = 0.95  # a node must answer in this time: callers give up after 1 s
+MIN_COPIES = 2  # of an acknowledged order, whatever the set of voters: the loss of one machine is tolerated
+CORE_STARTED_S = 2.0  # the core must have a leader from then on
 
 
 class SettledPeriods:
-    """Stretches in which nothing has befallen the core for CONTACT_S, a lasting cut of a minority included."""
+    """Periods that start CONTACT_S after the last start or end of a fault of the core and last until the
+    next.
+
+    A minority that stays partitioned does not interrupt such a period.
+    """
 
     def __init__(self, history: History) -> None:
         times = sorted(e.at for e in history.of("trouble", "well") if e.who == "core")
@@ -29,7 +35,7 @@
         self.periods = [(begin, end) for begin, end in zip(begins, ends, strict=True) if begin < end]
 
     def longest(self, since: float, until: float) -> float:
-        """Seconds of the longest settled stretch between the two."""
+        """Seconds of the longest settled period between the two times."""
         return max((min(end, until) - max(begin, since) for begin, end in self.periods), default=0.0)
 
     def covers(self, since: float, until: float) -> bool:
@@ -37,13 +43,13 @@
 
 
 def violations(history: History) -> list[str]:
-    """All of this module but `waits`, with linearizability."""
+    """All checks of this module except `waits`, and linearizability."""
     checks = (linearizability.check, acknowledged, kept_by_majority, in_force)
     return [text for check in checks for text in check(history)]
 
 
 def acknowledged(history: History) -> list[str]:
-    """An order has a clear answer within ACK_S of settled time in one stretch."""
+    """An order gets a definite answer within ACK_S of one settled period."""
     settled = SettledPeriods(history)
     answered = {e.data["order"]: e.at for e in history.of("verdict") if "order" in e.data}
     end = history.events[-1].at
@@ -61,8 +67,8 @@
 
 
 def kept_by_majority(history: History) -> list[str]:
-    """What is acknowledged is on the disks of a majority, unless a newer version has replaced it."""
-    newest: dict[linearizability.Key, int] = defaultdict(int)  # sent so far
+    """An acknowledged order is on the disks of a majority, unless a newer version has replaced it."""
+    newest: dict[linearizability.Key, int] = defaultdict(int)  # highest version sent so far
     calls = {e.data["order"]: e.data["call"] for e in history.of("sent") if "order" in e.data}
     found = []
     for event in history.of("sent", "copies"):
@@ -81,8 +87,8 @@
 
 
 def in_force(history: History) -> list[str]:
-    """Where the core is settled, a cut included, each sidecar without trouble has it APPLY_S after its
-    acknowledgement.
+    """While the core is settled, even if partitioned, each sidecar without a fault has an order APPLY_S after
+    its acknowledgement.
     """
     settled, spans, tables = SettledPeriods(history), FaultSpans(history), TableVersions(history)
     found = []
@@ -103,12 +109,12 @@
 
 
 def longest_wait(history: History) -> float:
-    """Seconds that one call at a control node was kept until any answer."""
+    """The longest time in seconds that a call at a control node waited for any answer."""
     return max((e.data["seconds"] for e in history.of("waited")), default=0.0)
 
 
 def waits(history: History) -> list[str]:
-    """A node answers before its caller leaves: with a 503, where it can't say more."""
+    """A node answers before its caller gives up, with a 503 if it has no other answer."""
     late = [e for e in history.of("waited") if e.data["seconds"] > MAX_WAIT_S]
     if not late:
         return []
@@ -117,7 +123,7 @@
 
 
 def struck_states(events: Iterable[Event]) -> dict[str, int]:
-    """How often a fault met a control node in which state."""
+    """How many faults hit a control node, by the state it was in."""
     states: dict[str, int] = defaultdict(int)
     for event in events:
         states[event.data["state"]] += 1
--- a/rigs/simulation/planned_work.py
+++ b/rigs/simulation/planned_work.py
@@ -1,7 +1,7 @@
-"""Days of planned work and nothing else.
+"""Days with planned shutdowns and no other faults.
 
-Many sidecars are shut down at once, under load, and control nodes in turn, while servers are slow or fall
-silent and the configuration changes. Some clients wait longer than a shutdown takes.
+Many sidecars are shut down at once under load, and control nodes in turn, while servers are slow or stop
+answering and the configuration changes. Some clients wait longer than a shutdown takes.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 from rigs.simulation.play import Action, Day, Played, play
 from rigs.simulation.schedule import SYNC_S, Fault
 
-FIRST_S, LAST_S = 3.0, 12.0  # of these days: the first SIGTERM, and the end of slow and silent servers
-DEADLINES_S = (1.5, 0.7 * GRACE_S, 1.2 * GRACE_S, 1.6 * GRACE_S)  # seconds: some end after the shutdown does
+FIRST_S, LAST_S = 3.0, 12.0  # the first SIGTERM, and the end of slow and silent servers
+DEADLINES_S = (1.5, 0.7 * GRACE_S, 1.2 * GRACE_S, 1.6 * GRACE_S)  # some are after the end of the shutdown
 TIMEOUT = 2.0 * GRACE_S
-CONTROL_RATE = 0.5  # of the days on which the control nodes are restarted, one after another
+CONTROL_RATE = 0.5  # share of days on which the control nodes are restarted, one after another
 
 
 def draw_planned_work(seed: int) -> tuple[list[Fault], Day]:
@@ -59,13 +59,13 @@
 
 
 def play_planned_work(seed: int) -> Played:
-    """Plays the day drawn from this seed."""
+    """Runs the day drawn from this seed."""
     schedule, day = draw_planned_work(seed)
     return play(seed, schedule, day)
 
 
 def main(argv: list[str]) -> None:
-    """`python -m rigs.simulation.planned_work FIRST COUNT`: what each of these days broke."""
+    """`python -m rigs.simulation.planned_work FIRST COUNT`: the rules that each of these days violated."""
     first, count = int(argv[0]), int(argv[1])
     broken = 0
     for seed in range(first, first + count):
--- a/rigs/simulation/planted.py
+++ b/rigs/simulation/planted.py
@@ -1,4 +1,4 @@
-"""Faults of programming put into the real code, each of which the model must find."""
+"""Programming errors planted in the real code, each of which the simulation must detect."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @contextmanager
 def planted(name: str) -> Iterator[None]:
-    """The code with this fault in it."""
+    """Runs the code with this error planted."""
     known = PLANTED | IN_PLANNED_WORK
     for plants in AT_POINTS.values():
         known |= plants
--- a/rigs/simulation/planted_drawn.py
+++ b/rigs/simulation/planted_drawn.py
@@ -1,4 +1,4 @@
-"""Planted faults that drawn days must find: `rigs.simulation.play`."""
+"""Planted programming errors that the drawn days of `rigs.simulation.play` must detect."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class RevotingNode(RaftNode):
-    """Votes for whoever asks, as often as it is asked."""
+    """Forgets its vote: votes for every candidate of a term."""
 
     def receive(self, now: float, source: str, message: Message) -> list[Action]:
         if isinstance(message, RequestVote) and message.term == self.term and not self.is_leader:
@@ -38,7 +38,7 @@
 
 
 class UnsyncedCountingLeader(Leader):
-    """Counts itself before its own disk has the entry."""
+    """Counts its own entries for the commit before its disk has them."""
 
     def update_commit_index(self, now: float) -> None:
         log = self._member.log
@@ -73,7 +73,7 @@
 
 
 def _initialize_as_founder(store: SimStore, incarnation: str) -> None:
-    """What lost its disk comes back as a founder that has voted for nobody."""
+    """A node that lost its disk returns as an initial member that has not voted."""
     _INITIALIZE(store, "0")
 
 
@@ -81,7 +81,7 @@
 
 
 def _snapshot_without_last(state: StateMachine) -> bytes:
-    """Without the changes of the last entries."""
+    """Omits the changes of the last entries from the snapshot."""
     short = StateMachine()
     short.restore(_SNAPSHOT(state))
     rows = short.items._rows
@@ -94,7 +94,7 @@
 
 
 def _expire_too_soon(server: ControlServer) -> None:
-    """Whoever leads lets claims grow old, though it doesn't know when that was done last."""
+    """Every leader expires claims at once, though it does not know when that was done last."""
     raft = server.raft
     if raft.has_committed_in_term and server.claim_expiry.clock.term != raft.term:
         server.propose(ROTATE, b"", lambda result: None)
@@ -136,7 +136,7 @@
 
 
 def _unknown_is_free(keys: IdempotencyKeys, ident: int, claim: bytes, reply: Any) -> None:
-    """What this life knows nothing of is said to be free."""
+    """Reports claims that this incarnation does not know as free."""
     if claim in keys.operations.by_claim_id:
         _ON_QUERY(keys, ident, claim, reply)
     else:
--- a/rigs/simulation/planted_points.py
+++ b/rigs/simulation/planted_points.py
@@ -1,7 +1,7 @@
-"""Planted faults that the schedules of `rigs.simulation.points` must find.
+"""Planted programming errors that the schedules of `rigs.simulation.points` must detect.
 
-They stand on what the core shows to its shell, not on the names of its steps: a step that is renamed would
-leave a planted fault without effect.
+They override the public interface of the Raft core, not its internal steps: if a step were renamed, an
+override of it would have no effect.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class EndlessLeaseNode(RaftNode):
-    """A leader that takes all voters to be in touch for ever, and so its lease to last."""
+    """A leader that considers all voters in contact at any time, so that its lease never ends."""
 
     def tick(self, now: float) -> list[Action]:
         for progress in self.leader_state.peers.values():
@@ -41,7 +41,7 @@
 
 
 class SentIsHeldNode(RaftNode):
-    """Counts what was sent to a voter as held by it."""
+    """Counts entries that were sent to a voter as stored by it."""
 
     def persisted(self, now: float, write_id: int) -> list[Action]:
         for progress in self.leader_state.peers.values():
@@ -50,7 +50,7 @@
 
 
 class VoteForAnyLogNode(RaftNode):
-    """Votes for whoever asks first, however short its log."""
+    """Votes for the first candidate, even if its log is out of date."""
 
     def receive(self, now: float, source: str, message: Message) -> list[Action]:
         if isinstance(message, (PreVote, RequestVote)):
@@ -59,7 +59,7 @@
 
 
 class KeepsLostVoterNode(RaftNode):
-    """Never gives the seat of a voter that is gone to another machine."""
+    """Never replaces a voter that is gone."""
 
     def __init__(self, *args: Any, **more: Any) -> None:
         super().__init__(*args, **more)
@@ -68,7 +68,7 @@
 
 
 class SilentVotersAgreeNode(RaftNode):
-    """Does not wait for voters that are silent: what it holds alone counts as agreed."""
+    """Does not wait for silent voters: entries that only it has stored are committed."""
 
     def persisted(self, now: float, write_id: int) -> list[Action]:
         self._count_silent_voters(now)
@@ -86,7 +86,7 @@
 
 
 class SuccessCoversAllNode(RaftNode):
-    """Takes any good answer of a voter for one to all that the leader holds."""
+    """Takes any successful response of a voter as an acknowledgement of the leader's whole log."""
 
     def receive(self, now: float, source: str, message: Message) -> list[Action]:
         if isinstance(message, AppendEntriesResponse) and message.success:
@@ -95,17 +95,17 @@
 
 
 def _fetch_anywhere(server: ControlServer, done: Any) -> None:
-    """Every node answers reads from what it holds itself."""
+    """Every node answers reads from its own state."""
     done((server.state.items.fetch(), server.state.items.index))
 
 
 def _ready_when_fed(front: Sidecar) -> bool:
-    """With whatever configuration it has, from whomever."""
+    """A sidecar is ready with any configuration from any source."""
     return front.table is not None and not front.leaving
 
 
 def _result_for_oldest(proposals: Proposals, message: ForwardedResult) -> None:
-    """Takes the answer for the oldest that waits."""
+    """Assigns a result to the oldest waiting call."""
     oldest = next(iter(proposals.forwarded), message.request_id)
     _ON_RESULT(proposals, structs.replace(message, request_id=oldest))
 
@@ -114,19 +114,19 @@
 
 
 def _conflicts_with_itself(items: Items, row: Any) -> bool:
-    """Takes the same order for a rival of itself."""
+    """Refuses a repeated order as a conflict with itself."""
     held = items._rows.get((row.section, row.name))
     return held is not None and row.version == held.version
 
 
 def _load_without_last(store: SimStore) -> Any:
-    """What a start finds lacks its last entries."""
+    """A restart loses the last log entries."""
     saved = store.disk.saved
     return None if saved is None else structs.replace(saved, entries=saved.entries[:-3])
 
 
 def _answer_for_oldest(copies: AttemptDispatcher, message: ops.Message) -> None:
-    """Takes a server's answer for that of the oldest call that is out."""
+    """Assigns a server's answer to the oldest outstanding call."""
     if message[0] == ops.ANSWER and copies.attempts:
         message = (message[0], next(iter(copies.attempts)), *message[2:])
     _ANSWER(copies, message)
--- a/rigs/simulation/planted_shutdowns.py
+++ b/rigs/simulation/planted_shutdowns.py
@@ -1,4 +1,4 @@
-"""Planted faults that the days of `rigs.simulation.planned_work` must find."""
+"""Planted programming errors that the days of `rigs.simulation.planned_work` must detect."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def _without_limit(shut_down: object, latest: float) -> None:
-    """What was accepted before SIGTERM keeps its own deadline."""
+    """Requests accepted before SIGTERM keep their own deadline."""
 
 
 IN_PLANNED_WORK: dict[str, Callable[[], list[Patch]]] = {
--- a/rigs/simulation/play.py
+++ b/rigs/simulation/play.py
@@ -1,4 +1,4 @@
-"""One day in virtual time: from a seed or a written schedule to what happened and what was broken."""
+"""Runs one simulated day from a seed or an explicit schedule, and checks its history."""
 
 from __future__ import annotations
 
@@ -27,20 +27,20 @@
 from rigs.simulation.network import Network
 from rigs.simulation.schedule import Fault, draw_schedule
 
-SNAPSHOT_INTERVALS = (10, 25, 60)  # entries between two images; a day has some 250
-RETAINED_ENTRY_COUNTS = (0, 6, 40)  # entries that are kept before an image
-CHUNK_SIZES_BYTES = (300, 2_000, 64 * 1024)  # bytes of entries or of an image in one message
+SNAPSHOT_INTERVALS = (10, 25, 60)  # log entries between two snapshots; a day has some 250
+RETAINED_ENTRY_COUNTS = (0, 6, 40)  # log entries retained before a snapshot
+CHUNK_SIZES_BYTES = (300, 2_000, 64 * 1024)  # of log entries or of a snapshot in one message
 Action = Callable[[Site, Clients, Operators], None]
 
 
 class Day(NamedTuple):
-    """How long, how busy, what else is done at which second, and whose programs."""
+    """Duration and load of a day, additional actions by time, and the programs to run."""
 
     seconds: float = 16.0
     rate: float = 4.0  # requests a second at each sidecar
     every: float = 0.8  # seconds between two changes of the configuration
-    quiet: float = 7.0  # seconds after the last fault, in which all comes right again
-    failure_rate: float | None = None  # share of requests that go wrong at their server; None: drawn
+    quiet: float = 7.0  # seconds after the last fault, for recovery
+    failure_rate: float | None = None  # of requests at servers; None: drawn
     deadlines: tuple[float, ...] = DEADLINES_S  # of clients, in seconds
     timeout: float = ROUTE_TIMEOUT_S  # of the routes, in seconds
     actions: tuple[tuple[float, Action], ...] = ()
@@ -57,7 +57,7 @@
 
 
 def play(seed: int, schedule: Sequence[Fault] | None = None, day: Day = Day()) -> Played:  # noqa: B008
-    """Plays it; without a schedule one is drawn from the seed."""
+    """Runs a day; without a schedule, one is drawn from the seed."""
     faults = draw_schedule(seed, day.seconds) if schedule is None else list(schedule)
     chance = random.Random(seed ^ 0x5EED)
     site: Site | None = None
@@ -80,7 +80,7 @@
 
 
 def _patch_small_limits(chance: random.Random) -> list[Any]:
-    """Figures so small that images, and claims that grow old, come in every day."""
+    """Patches limits to be so small that every day has snapshots and expiring claims."""
     return [
         mock.patch.object(consensus_module, "MAX_SNAPSHOT_ENTRIES", chance.choice(SNAPSHOT_INTERVALS)),
         mock.patch.object(server_module, "CLAIM_MARGIN_S", mesh.CLAIM_MARGIN_S),
@@ -113,7 +113,9 @@
 
 
 def shrink(seed: int, schedule: Sequence[Fault], day: Day = Day(), max_runs: int = 60) -> list[Fault]:  # noqa: B008
-    """A schedule with as few faults as may be that is still broken by the same rule."""
+    """Removes faults from a schedule as long as the same rule is still violated, in at most `max_runs`
+    runs.
+    """
     kept = list(schedule)
     rule = _rules(play(seed, kept, day).broken)
     tries, size = 0, max(len(kept) // 2, 1)
@@ -135,7 +137,7 @@
 
 
 def main(argv: list[str]) -> Any:
-    """`python -m rigs.simulation.play SEED [WORD]`: one drawn day, told."""
+    """`python -m rigs.simulation.play SEED [WORD]`: one drawn day."""
     played = play(int(argv[0]))
     if len(argv) > 1:
         print(played.history.shown(argv[1]))
--- a/rigs/simulation/points/__init__.py
+++ b/rigs/simulation/points/__init__.py
@@ -1,5 +1,5 @@
-"""Schedules of the hard points of the control plane, each drawn from a seed: `Point.play` gives the history
-with every rule that it breaks.
+"""Schedules for the hard cases of the control plane, each drawn from a seed. `Point.play` runs a day and
+returns its history with the violated rules.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 
 class Point(NamedTuple):
-    """One of the operators' points and the days that probe it."""
+    """One hard case and the function that runs a day for it."""
 
     name: str
     play: Callable[[int], Played]
 
 
 def isolation_or_stale_day(seed: int) -> Played:
-    """Of five days one plays a sidecar beside stale peers."""
+    """Every fifth day tests a sidecar with stale peers, the others the isolation of a control node."""
     return stale_sidecar_day(seed // 5) if seed % 5 == 4 else isolation_day(seed - seed // 5)
 
 
--- a/rigs/simulation/points/isolation.py
+++ b/rigs/simulation/points/isolation.py
@@ -1,4 +1,4 @@
-"""A control node that is partitioned for twenty seconds while orders go on."""
+"""Isolates a control node for twenty seconds while orders continue."""
 
 from __future__ import annotations
 
@@ -16,7 +16,10 @@
 
 
 def isolation_day(seed: int, waits: bool = False) -> Played:
-    """One control node is cut off for twenty seconds, and orders go on. `waits`: judges these, too."""
+    """Isolates one control node for twenty seconds while orders continue.
+
+    With `waits`, the time that calls wait for their answer is checked as well.
+    """
     draw = random.Random(seed ^ 0xC07)
     script = Script(seed, lost=draw.choice((0.0, 0.05)))
     at, target = FAULTS_FROM_S + draw.uniform(0.5, 1.0), TARGETS[seed % len(TARGETS)]
@@ -31,7 +34,7 @@
         isolate(site, control, cut)
 
     script.at(at, strike)
-    if draw.random() < 0.4:  # the one that returns may be the first to stand
+    if draw.random() < 0.4:  # the returning node may be the first candidate
         back = at + CUT_S + draw.choice((-0.05, 0.02, 0.1, 0.3))
         script.at(back, lambda site, client: restart(site, site.leader(), downtime_s=1.0))
     script.read_from(1.5, at + CUT_S + 4.0)
@@ -43,7 +46,7 @@
 
 
 def target_of(site: Site, target: str, draw: random.Random) -> ControlNode:
-    """The control node that bears this role now."""
+    """The control node that has this role now."""
     leader = site.leader()
     if target == "leader":
         return leader
@@ -58,7 +61,7 @@
 
 
 def moments_around(draw: random.Random, since: float, until: float) -> list[float]:
-    """Around the cut's begin and end, and between."""
+    """Draws times around the start and the end of the partition, and in between."""
     near = [end + draw.choice((-0.01, 0.001, 0.01, 0.1, 0.3)) for end in (since, since + CUT_S)]
     at, between = since + 0.5, list[float]()
     while at < until:
--- a/rigs/simulation/points/links.py
+++ b/rigs/simulation/points/links.py
@@ -25,7 +25,7 @@
 
 
 def links_day(seed: int) -> Played:
-    """Links between sidecars break, and keys are asked for again."""
+    """Breaks connections between sidecars while keyed requests are repeated."""
     draw = random.Random(seed ^ 0xCA11)
     faults, at = list[Fault](), FAULTS_FROM_S
     while at < 8.0:
--- a/rigs/simulation/points/many_changes.py
+++ b/rigs/simulation/points/many_changes.py
@@ -1,4 +1,6 @@
-"""Hundreds of changes of a big list; then a control node is restarted or replaced, or all power is lost."""
+"""Makes hundreds of changes to a large configuration, then restarts or replaces a control node or cuts all
+power.
+"""
 
 from __future__ import annotations
 
@@ -17,12 +19,12 @@
 
 FINAL_FAULTS = ("restart", "wipe", "replace", "power")
 CHANGES, CHANGE_INTERVAL_S = 120, 0.04
-LIST_ROUTES = 40  # each change brings all of them
+LIST_ROUTES = 40  # each change contains all of them
 
 
 def many_changes_day(seed: int, changes: int = CHANGES, routes: int = LIST_ROUTES) -> Played:
-    """Many changes of a big list of routes; then a member is restarted, wiped or replaced, or all power
-    is lost. `caught up` in the history: when each node has the newest again.
+    """Changes a large list of routes many times; then a member is restarted, wiped or replaced, or all
+    power is lost. The event `caught up` records when a node has the newest state again.
     """
     draw = random.Random(seed ^ 0x4C0)
     script = Script(seed, lost=0.0)
@@ -61,13 +63,13 @@
 
 
 def big_list(routes: int, ver: int) -> dict[str, Any]:
-    """All routes of a big list in a new version."""
+    """A call that sets all routes of the large list to this version."""
     items = [route(f"big-{n}", ver, f"/big-{n}/", "idempotent", "shop", 1.0 + ver) for n in range(routes)]
     return {"Upsert": {"Routes": items}}
 
 
 def _check_caught_up(history: History) -> list[str]:
-    """Each machine that was struck has the newest within SYNC_S, and votes."""
+    """Each machine that had a fault votes and has the newest state within SYNC_S."""
     caught = {event.who: event.data["took"] for event in history.of("caught up")}
     struck = {event.who for event in history.of("struck")}
     return [
@@ -78,7 +80,7 @@
 
 
 def _poll_until_serving(site: Site, control: ControlNode, since: float) -> None:
-    """Records `caught up` once its state is as new as what was acknowledged, and it votes."""
+    """Records `caught up` once the node's state is up to date and it is a voter."""
     server = control.server
     if (
         server is not None
--- a/rigs/simulation/points/orders.py
+++ b/rigs/simulation/points/orders.py
@@ -1,4 +1,4 @@
-"""Orders that meet under one version while leaders change: races, repeats, and orders through a follower."""
+"""Orders with the same version while leaders change: races, repeats, and orders through a follower."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def two_operators(script: Script, at: float) -> None:
-    """Other content under one version, at two nodes in the same moment or nearly."""
+    """Sends different content with one version to two nodes at nearly the same time."""
     draw, name = script.draw, script.draw.randrange(ROUTE_COUNT)
     ver = script.next(name)
     for number, timeout in enumerate((1.25, 1.75)):
@@ -33,7 +33,7 @@
 
 
 def drop_and_upsert(script: Script, at: float) -> None:
-    """A removal and a change under one version."""
+    """Sends a deletion and a change with one version."""
     name = script.draw.randrange(ROUTE_COUNT)
     ver = script.next(name)
     for number, call in enumerate((upsert(name, ver), drop(name, ver))):
@@ -42,7 +42,7 @@
 
 
 def one_order_everywhere(script: Script, at: float) -> None:
-    """The same order at all nodes."""
+    """Sends the same order to all nodes."""
     name = script.draw.randrange(ROUTE_COUNT)
     call = upsert(name, script.next(name))
     for node in range(3):
@@ -50,7 +50,7 @@
 
 
 def repeated(script: Script, at: float) -> None:
-    """An order, and the same again later at other nodes: after restarts, snapshots and overtaking changes."""
+    """Sends an order and repeats it later at other nodes, after restarts, snapshots and newer changes."""
     draw, name = script.draw, script.draw.randrange(ROUTE_COUNT)
     other = (name + 1) % ROUTE_COUNT
     if draw.random() < 0.3:
@@ -68,7 +68,7 @@
 
 
 def eight_at_once(script: Script, at: float) -> None:
-    """As many orders as may be in flight, each at another node or route."""
+    """Sends ORDERS_IN_FLIGHT orders at once, spread over nodes and routes."""
     for number in range(ORDERS_IN_FLIGHT):
         name = number % ROUTE_COUNT
         call = upsert(name, script.next(name))
@@ -76,7 +76,7 @@
 
 
 def through_a_follower(script: Script, at: float) -> None:
-    """Orders that a follower forwards, while the leader changes in between."""
+    """Sends an order through a follower, and restarts the leader meanwhile."""
     name = script.draw.randrange(ROUTE_COUNT)
     call = upsert(name, script.next(name))
     lead = script.draw.uniform(0.0, 0.03)
@@ -110,7 +110,7 @@
 
 
 def orders_day(seed: int) -> Played:
-    """Orders under one version while leaders change."""
+    """Sends orders with the same version while leaders change."""
     draw = random.Random(seed ^ 0x0DDE)
     script = Script(seed, lost=draw.choice((0.0, 0.1, 0.3)))
     script.read_from(1.5, 15.0)
--- a/rigs/simulation/points/script.py
+++ b/rigs/simulation/points/script.py
@@ -1,4 +1,4 @@
-"""What callers of `Ctl` do in one scheduled day, and how such a day is played and judged."""
+"""Scripts of control plane calls for one day, and a function that runs and checks such a day."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from rigs.simulation.play import Action, Day, Played, play
 from rigs.simulation.schedule import Fault
 
-FAULTS_FROM_S = 3.0  # when the first fault strikes
+FAULTS_FROM_S = 3.0  # time of the first fault
 READ_INTERVAL_S = 0.12
-ROUTE_COUNT = 5  # routes that are changed
+ROUTE_COUNT = 5  # number of routes that are changed
 CUT_S = 20.0
 ORDERS_IN_FLIGHT = 8
 Check = Callable[[History], list[str]]
 
 
 class Script:
-    """What callers do in one day; it learns its site with the first action."""
+    """The calls of one day by time; the client is created with the first action."""
 
     def __init__(self, seed: int, lost: float = 0.1) -> None:
         self.draw = random.Random(seed)
@@ -36,7 +36,7 @@
         self.last_read = 0  # number of the node that was last asked for the configuration
 
     def at(self, when: float, act: Callable[[Site, ControlClient], None]) -> None:
-        """`act` runs `when` seconds into the day."""
+        """Runs `act` at `when`, in seconds from the start of the day."""
 
         def action(site: Site, clients: Clients, operators: Operators) -> None:
             if self.client is None:
@@ -54,7 +54,7 @@
         self.at(when, lambda site, client: restart(site, site.controls[number]))
 
     def read_from(self, when: float, until: float) -> None:
-        """Reads the configuration again and again between these times."""
+        """Reads the configuration repeatedly between these times."""
         self.at(when, lambda site, client: client.read_repeatedly(READ_INTERVAL_S, until))
 
     def next(self, name: int) -> int:
@@ -87,7 +87,7 @@
     checks: tuple[Check, ...] = (),
     controls: tuple[str, ...] = CONTROLS,
 ) -> Played:
-    """Plays it with `Ctl` callers as the main load; `checks` judge its history in addition."""
+    """Runs a day whose main load are control plane calls; `checks` are run in addition to the usual ones."""
     day = Day(
         seconds=seconds,
         rate=0.2,
--- a/rigs/simulation/points/second_loss.py
+++ b/rigs/simulation/points/second_loss.py
@@ -1,4 +1,4 @@
-"""A second machine is lost after the first one was repaired, or during a rolling restart."""
+"""Loses a second machine after the first one was repaired, or after a rolling restart."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def second_loss_day(seed: int) -> Played:
-    """One machine is lost for good or comes back empty, or all restart in turn; then another is lost."""
+    """Loses one machine for good or only its disk, or restarts all in turn; then another machine is lost."""
     draw = random.Random(seed ^ 0x10557)
     script = Script(seed, lost=0.0)
     kind, at = REPAIRS[seed % len(REPAIRS)], FAULTS_FROM_S
@@ -65,18 +65,18 @@
 
 
 def is_voter(control: ControlNode) -> bool:
-    """It runs and is a member that may vote."""
+    """Whether the node runs and is a voting member."""
     return control.server is not None and control.server.raft.name in control.server.raft.voters
 
 
 def _voter(site: Site, number: int) -> ControlNode:
-    """One of the voters by its number, or the leader."""
+    """A voter by its number, or the leader if there are no voters."""
     voters = [control for control in site.controls if is_voter(control)]
     return voters[number % len(voters)] if voters else site.leader()
 
 
 def lose_disk(site: Site, control: ControlNode, for_good: bool) -> None:
-    """Its machine ends with its disk; it is back empty at once, or never."""
+    """Stops the machine and loses its disk; it starts again empty after 0.5 s, or never."""
     site.record("struck", control.ip, kind="gone" if for_good else "wipe", state=control.state)
     site.record("trouble", "core", kind="first")
     control.stop(power=True)
@@ -91,7 +91,7 @@
 
 
 def _rolling_restart(script: Script, at: float, every: float = 2.0) -> float:
-    """All founders are restarted in turn; gives how long that takes."""
+    """Restarts all initial members in turn, and returns how long that takes."""
     for number in range(len(CONTROLS)):
         script.restart(at + number * every, number)
     return every * len(CONTROLS)
--- a/rigs/simulation/points/stale_sidecar.py
+++ b/rigs/simulation/points/stale_sidecar.py
@@ -1,4 +1,4 @@
-"""A sidecar that restarts while it sees stale peers only."""
+"""Restarts a sidecar that can reach only stale peers."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from rigs.simulation.points.script import Script, play_script, upsert
 
 PARTITION_AT_S, ISOLATION_AT_S, HEALED_AT_S = 3.0, 6.0, 9.0
-STALE_PAIR = 0, 3  # numbers of the sidecar that restarts, and of the one that feeds it something old
+STALE_PAIR = 0, 3  # the sidecar that restarts, and the one that sends it stale state
 
 
 def stale_sidecar_day(seed: int) -> Played:
-    """A sidecar restarts, sees only a control node that is cut off from the others, then none at all, and is
-    fed by other sidecars, some of them as stale as that node.
+    """A sidecar restarts while it reaches only a control node that is isolated from the others, then none
+    at all. It receives state from other sidecars, some of them as stale as that node.
 
-    `ready` in the history: with which version it became ready, and which was acknowledged by then.
+    The event `ready` records the version with which it became ready, and the version acknowledged by then.
     """
     draw = random.Random(seed ^ 0xFED)
     script = Script(seed, lost=0.0)
@@ -38,7 +38,7 @@
     def leave_alone(site: Site, client: ControlClient) -> None:
         alone = site.sidecars[STALE_PAIR[0]].ip
         others = [stale[0].ip]
-        if seed % 4 < 2:  # only the stale sidecar can feed it
+        if seed % 4 < 2:  # only the stale sidecar can send it state
             others += [s.ip for n, s in enumerate(site.sidecars) if n not in STALE_PAIR]
         _partition_pairs(
             site, [alone], others, HEALED_AT_S - ISOLATION_AT_S + draw.choice((0.0, 1.0)), [alone]
@@ -64,7 +64,7 @@
 def _partition_pairs(
     site: Site, ips: list[str], others: list[str], seconds: float, scopes: list[str]
 ) -> None:
-    """Each of `ips` from each of `others`, both ways."""
+    """Partitions each of `ips` from each of `others`, in both directions."""
     pairs = [pair for ip in ips for other in others for pair in ((ip, other), (other, ip))]
     new = site.network.partition(pairs)
     for scope in scopes:
--- a/rigs/simulation/schedule.py
+++ b/rigs/simulation/schedule.py
@@ -1,4 +1,4 @@
-"""Schedules of faults, written down or drawn from a seed, within what the system has to tolerate."""
+"""Schedules of faults, explicit or drawn from a seed, within what the system must tolerate."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 from minthitch.mesh.storage.store import Condition
 
-RESTART_S = 0.3  # until a killed process is started again, at least
-SYNC_S = 4.0  # a control node without its disk has caught up by then
+RESTART_S = 0.3  # minimum time until a killed process is started again
+SYNC_S = 4.0  # time for a control node that lost its disk to catch up
 DISK_SWAP_S = 0.02  # a machine is down while its disk is swapped; too short for any timeout
-EVENT_TIMEOUT_S = 2.0  # a fault waits that long for its event
+EVENT_TIMEOUT_S = 2.0  # maximum wait of a fault for its triggering event
 SECOND_LOSS_DELAYS_S = (
     0.1,
     0.25,
@@ -18,11 +18,11 @@
     0.6,
     0.9,
     1.3,
-)  # after all have power again
+)  # after power is restored everywhere
 
 
 class Fault(NamedTuple):
-    """`target`: number of the control node or sidecar, -1 for the control node that leads then."""
+    """One fault. `target` is the number of the control node or sidecar, or -1 for the leader at that time."""
 
     at: float
     kind: str
@@ -30,7 +30,7 @@
     duration: float = 1.0
 
 
-LOSSES = {  # what a disk has after the fault
+LOSSES = {  # condition of the disk after the fault
     "wipe": Condition.EMPTY,
     "swap": Condition.EMPTY,
     "tear": Condition.TORN,
@@ -48,7 +48,7 @@
     "full-disk",
     "reset-control",
     "pair-control",
-)  # no disk is lost: any may follow any other
+)  # no disk is lost, so these may be combined freely
 CORE = (
     *DISK_KEEPING,
     *(f"{kind}-control" for kind in LOSSES),
@@ -61,7 +61,7 @@
     "lone-copy",
     "hung-copy",
 )
-CONTROL_WORK = ("leave-control",)  # planned; drawn by `rigs.simulation.planned_work` only
+CONTROL_WORK = ("leave-control",)  # planned shutdowns; drawn by `rigs.simulation.planned_work` only
 ALL = ("all-killed", "all-power", "all-spread", "ack-power", "ack-power", "twice-power", "full-disks")
 SIDECAR = (
     "kill-sidecar",
@@ -86,7 +86,7 @@
 
 
 class Trigger(NamedTuple):
-    """The event at which a fault strikes, a text in its data, and the kind of fault that strikes then."""
+    """The event that triggers a fault, a text that its data must contain, and the kind of fault to inject."""
 
     event: str
     text: str
@@ -107,8 +107,8 @@
 def draw_schedule(seed: int, until: float, first: float = 3.0) -> list[Fault]:
     """Draws faults between `first` and `until` (seconds).
 
-    In the core one disk is lost at a time, with other faults on top of it or during its recovery. Faults of
-    sidecars come beside them.
+    In the core at most one disk is lost at a time, with other faults during the loss or its recovery.
+    Faults of sidecars are drawn independently.
     """
     draw = random.Random(seed)
     faults: list[Fault] = []
@@ -139,7 +139,7 @@
 
 
 def latest_end(fault: Fault) -> float:
-    """The latest time at which all that it broke runs again."""
+    """The latest time at which everything affected by the fault runs again."""
     waits = EVENT_TIMEOUT_S if fault.kind in (*TRIGGERS, "image-power", "lone-copy", "hung-copy") else 0.0
     more = (
         SECOND_LOSS_DELAYS_S[-1] + RESTART_S
--- a/rigs/simulation/servers.py
+++ b/rigs/simulation/servers.py
@@ -1,4 +1,6 @@
-"""The application servers beside the sidecars: they answer late, badly or never, and send heartbeats."""
+"""Simulated application servers beside the sidecars: they may answer late, wrongly or never, and send
+heartbeats.
+"""
 
 from __future__ import annotations
 
@@ -16,11 +18,11 @@
 HEARTBEAT_INTERVAL_S = 0.5
 SIDECAR_DELAY_S = 0.0005  # between a sidecar and its server
 KEY = b"x-idempotency-key"
-SILENT = -1  # in place of a status: it ran, and nothing is ever said of it
+SILENT = -1  # in place of a status: the request ran and is never answered
 
 
 class Surroundings(Protocol):
-    """What a server needs of its site: the loop, chance, and the history."""
+    """What a server needs from its site: the loop, random numbers and the history."""
 
     @property
     def loop(self) -> VirtualLoop: ...
@@ -33,7 +35,7 @@
 
 
 class Sidecar(Protocol):
-    """What a server needs of the sidecar beside it."""
+    """What a server needs from the sidecar beside it."""
 
     @property
     def ip(self) -> str: ...
@@ -52,7 +54,7 @@
 
 
 class _Wire:
-    """The connection of a call that is at the server; dropping it closes the connection."""
+    """The connection of a call at the server; `drop` closes it."""
 
     def __init__(self) -> None:
         self.dropped = False
@@ -85,7 +87,7 @@
             self.loop.after(SIDECAR_DELAY_S, self.loop.world, self.server.take, self, call, wire, left)
 
     def ended(self, call: UpstreamCall, outcome: Outcome | None) -> None:
-        """The server's answer, or the connection's end, as its sidecar comes to see it."""
+        """Delivers the server's answer, or None for the end of the connection, to its sidecar."""
         if self.machine.life == self.life:
             self.loop.after(SIDECAR_DELAY_S, self.machine, self._ended, call, outcome)
 
@@ -113,9 +115,9 @@
         self.up = False
         self.state, self.seq = "up", 0
         self.running: dict[UpstreamCall, SimServerPool] = {}
-        self.failure_rate = 0.02  # of answers that are lost, broken off, late or failures
-        self.silent_rate = 0.0  # of requests that run and are never answered: the connection stays open
-        self.keeps_deadlines = False  # whether it answers 504 at the deadline that it is told
+        self.failure_rate = 0.02  # share of requests that are unanswered, broken off, late or failed
+        self.silent_rate = 0.0  # share of requests that run and are never answered; the connection stays open
+        self.keeps_deadlines = False  # whether it answers 504 at the deadline that it was given
         self.stalled_until = 0.0
         self.slowdown = 1.0  # factor on the time that a request takes
         self.nested_call: NestedCall | None = None  # runs first in each request: (sidecar, id, continuation)
@@ -180,7 +182,7 @@
     # Requests
 
     def take(self, pool: SimServerPool, call: UpstreamCall, wire: _Wire, left: float) -> None:
-        """`left`: seconds to the deadline that it is told."""
+        """Handles a request; `left` is the time in seconds until the deadline that it was given."""
         if not self.up:
             pool.ended(call, None)
             return
--- a/rigs/simulation/shutdown_checks.py
+++ b/rigs/simulation/shutdown_checks.py
@@ -1,4 +1,4 @@
-"""What a history shows to be broken around the planned end of sidecars. Reads nothing else."""
+"""The rules for the planned shutdown of sidecars, checked on a history alone."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from rigs.simulation.history import Event, History, asked_requests
 from rigs.simulation.mesh import GRACE_S, SERVICES, SIDECARS
 
-LOST_S = 0.2  # seconds in which a request that has come may still cross the close of its connection
-AFTER_GRACE_S = 1.0  # for which a shutdown still counts after GRACE_S
-EARLY_S = 3.0  # after SIGTERM until which a request that came may be cut off in the end,
-CUT_OFF_FROM_S = 5 / 6 * GRACE_S  # where its server is at work so long after SIGTERM
-DEADLINE_SLACK_S = 0.05  # around its deadline a request may end without its server
+LOST_S = 0.2  # a request read this shortly before the connection closes may still be lost
+AFTER_GRACE_S = 1.0  # a shutdown is still considered this long after GRACE_S
+EARLY_S = 3.0  # a request that arrived up to this long after SIGTERM may be cut off at the end,
+CUT_OFF_FROM_S = 5 / 6 * GRACE_S  # if its server is still working on it this long after SIGTERM
+DEADLINE_SLACK_S = 0.05  # a request may end without its server's answer this close to its deadline
 
 
 def servers_of(service: str) -> list[str]:
@@ -21,16 +21,16 @@
 
 
 def _is_calm(spans: FaultSpans, ask: Event, answer: Event) -> bool:
-    """Whether no unplanned trouble came near a request and its answer.
+    """Whether no unplanned fault was active around a request and its answer.
 
-    Neither at its sidecar, nor at the core, nor at the machines that it may have gone to.
+    Covers its sidecar, the core and the machines that it may have been sent to.
     """
     machines = ("core", answer.who, *servers_of(ask.data["service"]))
     return all(spans.is_calm(who, ask.at - CONTACT_S, answer.at) for who in machines)
 
 
 def lost(history: History) -> list[str]:
-    """A sidecar that leaves in order answers what it has read, beside planned work only."""
+    """A sidecar that shuts down answers all requests that it has read, unless an unplanned fault occurs."""
     asked, left = asked_requests(history), {(e.who, e.at) for e in history.of("left")}
     spans, found = FaultSpans(history, PLANNED), []
     for event in history.of("unheard"):
@@ -41,11 +41,13 @@
 
 
 def broken_off(history: History) -> list[str]:
-    """A sidecar that leaves does not answer itself while a server is at work on the request."""
+    """A sidecar that shuts down does not answer a request itself while a server is still working on it."""
     asked, spans = asked_requests(history), FaultSpans(history, PLANNED)
     answers: dict[str, list[Event]] = defaultdict(list)
     for event in history.of("told"):
-        if event.data["status"] >= 500 and not event.data["body"]:  # servers' answers have a body
+        if (
+            event.data["status"] >= 500 and not event.data["body"]
+        ):  # answers of servers have a body, those of the sidecar have none
             answers[event.who].append(event)
     mishaps = [event.at for event in history.of("server trouble")]
     work = Work(history)
@@ -70,7 +72,7 @@
 
 
 class Work:
-    """From when to when servers were at work on which request."""
+    """The times at which servers started and finished work on each request."""
 
     def __init__(self, history: History) -> None:
         self.begun: dict[str, list[float]] = defaultdict(list)
@@ -82,7 +84,7 @@
                 self.begun[event.data["id"]].append(event.at)
 
     def goes_on(self, answer: Event) -> bool:
-        """Whether a server is still at work on the request as it is answered."""
+        """Whether a server is still working on the request when it is answered."""
         name = answer.data["id"]
         begun = sum(at <= answer.at for at in self.begun[name])
         return begun > sum(at <= answer.at for at in self.ended[name])
--- a/rigs/simulation/size.py
+++ b/rigs/simulation/size.py
@@ -1,9 +1,9 @@
-"""Many sidecars at three control nodes, in virtual time: what a control node sends, hears and works for them.
+"""Many sidecars with three control nodes in virtual time: measures traffic and processor time.
 
-The control nodes are whole, with their agreement and disks. Of the sidecars it is the part that talks to
-control nodes; a few
-of them keep the list of servers, so that a thousand fit into memory, and all hear every word. Processor time
-is that of this process in a machine's callbacks, the model's write in place of the system's.
+The control nodes are complete, with consensus and disks. Of the sidecars only the part that talks to
+control nodes runs. All receive every message, but only a few keep the list of servers, so that a thousand
+fit into memory. Processor time is that of this process in a machine's callbacks, with simulated writes
+instead of system calls.
 """
 
 from __future__ import annotations
@@ -30,20 +30,20 @@
 from rigs.simulation.mesh import CONTROLS, PORT, ZONES, ControlNode, Node, Site, zone_of
 from rigs.simulation.network import End, Network
 
-LIST_KEEPERS = 20  # sidecars that keep the list
-MAX_HEARTBEAT_BYTES = 12  # a write up to this is a line's own beat
+LIST_KEEPERS = 20  # number of sidecars that keep the list of servers
+MAX_HEARTBEAT_BYTES = 12  # a write up to this size is a heartbeat of the connection
 SERVICES = 4
-SYNC_S = 0.005, 0.01  # seconds of a write of a control node's disk
+SYNC_S = 0.005, 0.01  # duration of a write to a control node's disk
 CONFIGURED_AT_S, SIDECARS_START_AT_S, START_SPREAD_S = (
     1.5,
     2.0,
     1.0,
-)  # seconds; the sidecars start within the last
-SETTLED_AT_S = 7.0  # seconds from the start until nothing moves any more
+)  # sidecars start within START_SPREAD_S
+SETTLED_AT_S = 7.0  # from the start until the site is idle
 
 
 class Usage(NamedTuple):
-    """What one machine did, or all of a kind."""
+    """Traffic and processor time of one machine, or the mean of several."""
 
     messages_in: float
     messages_out: float
@@ -73,7 +73,7 @@
 
 
 def _clock_overhead_ns() -> int:
-    """Nanoseconds that two looks at the clock take: some systems take many."""
+    """Nanoseconds between two successive readings of the clock, which are many on some systems."""
     looks = [time.process_time_ns() for _ in range(2_001)]
     return int(median(b - a for a, b in pairwise(looks)))
 
@@ -82,7 +82,7 @@
     def __init__(self, loop: VirtualLoop) -> None:
         super().__init__(loop)
         self.sums: dict[str, Counter[str]] = defaultdict(Counter)
-        self.slow_to, self.slow_by = "", 0.0  # seconds for each long piece to that machine
+        self.slow_to, self.slow_by = "", 0.0  # extra delay of each full-size frame to that machine
 
     def send(self, end: End, item: Any) -> None:
         if isinstance(item, bytes):
@@ -93,13 +93,13 @@
             out["bytes_out"] += len(item)
             into["messages_in"] += word
             into["bytes_in"] += len(item)
-            if end.peer.ip == self.slow_to and len(item) >= MAX_FRAME_PAYLOAD:  # and what follows on it
+            if end.peer.ip == self.slow_to and len(item) >= MAX_FRAME_PAYLOAD:  # delays all that follows too
                 end.earliest_arrival = max(end.earliest_arrival, self.loop.now) + self.slow_by
         super().send(end, item)
 
 
 class _RecordingViews(MergedViews):
-    """Notes when a record is told that is waited for; keeps_list the list or not."""
+    """Records when an awaited record arrives; keeps the list of servers only if `keeps_list`."""
 
     def __init__(self, sidecar: ReportingSidecar, keeps_list: bool) -> None:
         super().__init__()
@@ -130,7 +130,7 @@
         self.controls.connect_to(CONTROLS)
 
     def lease_request(self) -> None:
-        """At rest nobody needs any slack."""
+        """An idle sidecar requests no lease."""
 
     def on_term(self, term: int) -> None:
         pass
@@ -139,20 +139,20 @@
         pass
 
     def set_server_state(self, life: int, state: str) -> None:
-        """Its server's new word, told at once."""
+        """Sets the state of its server, and reports it at once."""
         self.life, self.state = life, state
         if self.controls is not None:
             self.large_site.loop.after(0.0, self.machine, self.controls.send_report)
 
     def connect_to_all(self) -> None:
-        """Asks every other sidecar something, and keeps_list the lines."""
+        """Sends a request to every other sidecar, and keeps the connections open."""
         for other in self.large_site.reporters:
             if other is not self:
                 peer = Peer(self, other.ip, PORT, self.ip)
                 peer.send((ops.PEER_FETCH, 0), 0, lambda parcel: None)
                 self.peers.append(peer)
 
-    # What lines to other sidecars ask of their host
+    # Callbacks of connections to other sidecars
 
     def on_message(self, connection: Connection, message: ops.Message) -> None:
         if message[0] == ops.PEER_FETCH:
@@ -170,7 +170,7 @@
     def on_unsent(self, idents: list[int]) -> None:
         self.returned += idents
 
-    # What Control nodes asks of its host
+    # Callbacks of ControlLinks
 
     def on_update(self, config: bool, records: bool) -> None:
         if config and self.controls is not None and self.controls.replica.index >= self.large_site.index > 0:
@@ -200,7 +200,7 @@
 
 
 class LargeSite(Site):
-    """Three control nodes and `count` sidecars."""
+    """A site with three control nodes and `count` sidecars."""
 
     def __init__(self, count: int, seed: int = 1, routes: int = 10) -> None:
         self.loop = self.metered_loop = _Loop(seed)
@@ -218,11 +218,11 @@
         ]
         self.awaited: set[tuple[str, str, str]] = set()
         self.index = 0
-        self.first_update_at: dict[tuple[str, str], float] = {}  # sidecar and what it was told, first time
+        self.first_update_at: dict[tuple[str, str], float] = {}  # by sidecar and update
         self.acknowledged = 0.0
 
     def begin(self) -> None:
-        """Until all stand and nothing moves."""
+        """Runs until all machines have started and the site is idle."""
         for control in self.controls:
             self.loop.after(0.0, self.loop.world, control.start)
         with mock.patch.object(os, "urandom", self.random.randbytes):
@@ -248,7 +248,7 @@
         self.acknowledged, self.index = self.loop.now, server.state.items.index
 
     def usage(self, ips: tuple[str, ...] = CONTROLS) -> Usage:
-        """So far, by each of these in the mean."""
+        """The mean use of these machines so far."""
         sums: Counter[str] = Counter()
         for ip in ips:
             sums.update(self.metered_network.sums[ip])
@@ -268,26 +268,26 @@
     def usage_during(
         self, seconds: float, action: Callable[[], None] = lambda: None, ips: tuple[str, ...] = CONTROLS
     ) -> Usage:
-        """What these spend in so many seconds from a action on."""
+        """The mean use of these machines in the given time after an action."""
         before = self.usage(ips)
         action()
         self.loop.run_until(self.loop.now + seconds)
         return self.usage(ips).minus(before)
 
-    # Deeds
+    # Actions
 
     def connect_to_all(self, count: int) -> tuple[str, ...]:
-        """The last so many sidecars open a line to every other one."""
+        """Connects the last `count` sidecars to every other one; returns their addresses."""
         for sidecar in self.reporters[-count:]:
             self.loop.after(0.0, sidecar.machine, sidecar.connect_to_all)
         return tuple(sidecar.ip for sidecar in self.reporters[-count:])
 
     def drain(self) -> None:
-        """One server's state."""
+        """Changes the state of one server to draining."""
         self._set_states(self.reporters[:1], "draining", 0.0)
 
     def replace(self, service: str, spread: float) -> None:
-        """All servers of a service get new lives within so many seconds."""
+        """Replaces all servers of a service by new incarnations within `spread` seconds."""
         self._set_states([v for v in self.reporters if v.service == service], "up", spread)
 
     def _set_states(self, sidecars: list[ReportingSidecar], state: str, spread: float) -> None:
@@ -302,13 +302,13 @@
             )
 
     def change(self) -> None:
-        """One item of the configuration."""
+        """Changes one item of the configuration."""
         self.first_update_at.clear()
         self.acknowledged, self.index = 0.0, 1 << 60
         self.patch(items(range(1), 2))
 
     def delays(self) -> list[float]:
-        """Seconds from the acknowledgement until each sidecar was told, ascending."""
+        """Seconds from the acknowledgement until each sidecar had the update, ascending."""
         return sorted(max(at - self.acknowledged, 0.0) for at in self.first_update_at.values())
 
     def close(self) -> None:
@@ -316,7 +316,7 @@
 
 
 def items(routes: range, version: int) -> bytes:
-    """A call with so many routes."""
+    """A call that sets these routes, and the services with version 1."""
     ver = f"{version:08x}"
     services = [{"Name": f"svc-{n}", "Ver": ver} for n in range(SERVICES)] if version == 1 else []
     listed = [
--- a/rigs/simulation/storms.py
+++ b/rigs/simulation/storms.py
@@ -1,4 +1,4 @@
-"""Days on which trouble leaves no pause, while the same keys are asked for at many sidecars at once."""
+"""Days with faults in quick succession, while the same keys are requested at many sidecars at once."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from rigs.simulation.play import Action, Day, Played, play
 from rigs.simulation.schedule import Fault
 
-FIRST_S, LAST_S = 3.0, 11.5  # seconds between which it storms
+FIRST_S, LAST_S = 3.0, 11.5  # period with faults
 CORE_FAULTS = (
     "kill-control",
     "freeze-control",
@@ -39,7 +39,7 @@
     "leave-sidecar",
     "server-drains",
 )
-KEY_COUNT, KEY_INTERVAL_S = 70, 0.12  # keys, and seconds between two of them
+KEY_COUNT, KEY_INTERVAL_S = 70, 0.12  # number of keys, and the time between two of them
 REPEAT_DELAYS_S = (
     0.0005,
     0.003,
@@ -50,11 +50,11 @@
     0.6,
     1.0,
     2.5,
-)  # seconds until the same is asked again
+)  # until the same key is requested again
 
 
 def schedule(seed: int) -> list[Fault]:
-    """One of the core at a time, but one right after the other; of the sidecars any number."""
+    """Draws one fault of the core at a time in quick succession, and any number of faults of sidecars."""
     draw = random.Random(seed)
     faults: list[Fault] = []
     at = FIRST_S
@@ -73,7 +73,7 @@
 
 
 def _ask_everywhere(key: str) -> Action:
-    """One key, at most of the sidecars in the same moment, and again and again."""
+    """Requests one key at most of the sidecars at the same time, and repeats it."""
 
     def action(site: Site, clients: Clients, operators: Operators) -> None:
         draw, loop = site.random, site.loop
--- a/tests/mesh/test_linearizable.py
+++ b/tests/mesh/test_linearizable.py
@@ -1,4 +1,4 @@
-"""The checker of linearizability on histories written by hand: good ones pass, each breach is seen."""
+"""The linearizability checker on histories written by hand: valid ones pass, each violation is detected."""
 
 from __future__ import annotations
 
--- a/tests/mesh/test_points.py
+++ b/tests/mesh/test_points.py
@@ -1,6 +1,6 @@
-"""The hard points of the control plane as schedules in virtual time: orders under one number, a machine cut
-off for twenty seconds, a second loss after a repair, and many changes. `python -m bench.control` plays more
-of them, and looks for all planted faults.
+"""The hard cases of the control plane in virtual time: orders with one version, a machine isolated for
+twenty seconds, a second loss after a repair, and many changes. `python -m bench.control` runs more of them
+and looks for all planted faults.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
         return played
 
     def found(self, name: str, rules: str, day: Callable[[int], Played], *seeds: int) -> None:
-        """The planted fault breaks one of these rules; the real code breaks none in the same schedule."""
+        """The planted fault violates one of these rules; the real code violates none in the same schedule."""
         for seed in seeds:
             with planted(name):
                 broken = [text for text in day(seed).broken if text.partition(":")[0] in rules.split()]
@@ -41,7 +41,7 @@
 
 
 class Callers(PointsTest):
-    """Callers of control nodes leave after a second: each call is answered before, if only with a 503."""
+    """Callers give up after a second, so each call must be answered before that, if only with a 503."""
 
     def test_no_call_is_kept_a_second_while_a_node_is_cut_off(self) -> None:
         for seed in (6, 7, 8):
@@ -50,7 +50,7 @@
 
 
 class OneOrder(PointsTest):
-    """Orders under one number while leaders change."""
+    """Orders with one version while leaders change."""
 
     def test_orders_are_linearizable(self) -> None:
         days = self.holds(orders_day, *range(6))
@@ -67,7 +67,7 @@
 
 
 class CutOff(PointsTest):
-    """One control node is cut off for twenty seconds."""
+    """One control node is isolated for twenty seconds."""
 
     def test_nothing_old_and_no_order_without_a_majority(self) -> None:
         days = self.holds(isolation_day, *range(len(TARGETS)))
@@ -83,14 +83,14 @@
     def test_restarted_sidecar_is_not_made_ready_by_a_stale_peer(self) -> None:
         days = self.holds(stale_sidecar_day, 2, 8)
         fed = [event.data for played in days for event in played.history.of("fed")]
-        self.assertTrue([data for data in fed if data["held"] < data["acked"]], "one was fed something old")
+        self.assertTrue([data for data in fed if data["held"] < data["acked"]], "one received stale state")
 
     def test_ready_with_what_a_peer_fed_it(self) -> None:
         self.found("ready with what a peer fed it", "READY", stale_sidecar_day, 8)
 
 
 class SecondLoss(PointsTest):
-    """Another machine is lost SYNC_S after the first one is back, or has a successor."""
+    """Another machine is lost SYNC_S after the first one is back or has been replaced."""
 
     def test_after_a_lost_disk_and_after_all_restarted_in_turn(self) -> None:
         seeds = (3, 5, 6, 8)
@@ -98,12 +98,12 @@
         self.holds(second_loss_day, *seeds)
 
     def test_after_a_machine_is_gone_for_good(self) -> None:
-        """A spare has its seat before another machine is lost."""
+        """A spare has replaced it before another machine is lost."""
         self.assertEqual({REPAIRS[seed % len(REPAIRS)] for seed in (1, 16)}, {"gone"})
         self.holds(second_loss_day, 1, 16)
 
     def test_lost_disk_whose_seeds_do_not_lead(self) -> None:
-        """An empty machine is taken in where its seeds only follow, and the leader is none of them."""
+        """An empty machine rejoins although its seeds are followers and none of them is the leader."""
         self.holds(second_loss_day, 0, 43)
 
 
@@ -119,7 +119,7 @@
 
 
 class RightCaller(PointsTest):
-    """Links between sidecars break while calls are under way."""
+    """Connections between sidecars break while calls are in flight."""
 
     def test_once_and_to_the_right_caller(self) -> None:
         self.holds(links_day, 0, 1)
--- a/tests/mesh/test_simulation.py
+++ b/tests/mesh/test_simulation.py
@@ -1,4 +1,6 @@
-"""The mesh in virtual time: short days from seeds, named cases, and planted faults that must be found."""
+"""The mesh in virtual time: short days from seeds, explicit schedules, and planted faults that must be
+detected.
+"""
 
 from __future__ import annotations
 
@@ -25,9 +27,8 @@
 
 
 def case(schedule: list[Fault], *actions: tuple[float, Action], seed: int = 1) -> Played:
-    with mock.patch.object(
-        clients, "EARLY_HANG_UP_RATE", 0.0
-    ):  # one that leaves by chance hides what became of a key
+    # A client that hangs up at random would hide the outcome of a key.
+    with mock.patch.object(clients, "EARLY_HANG_UP_RATE", 0.0):
         return play(seed, schedule, SHORT._replace(rate=1.0, failure_rate=0.0, actions=actions))
 
 
@@ -43,7 +44,7 @@
 
 
 def statuses(played: Played, key: str) -> list[int]:
-    """What each request with this key was told, in the order in which they were asked; 0 for nothing."""
+    """The status of each request with this key, in the order in which they were sent; 0 for no answer."""
     told = {e.data["id"]: e.data["status"] for e in played.history.of("told")}
     return [told.get(e.data["id"], 0) for e in played.history.of("asked") if e.data["key"] == key]
 
@@ -105,7 +106,7 @@
         self.kept(played)
         for n in range(20):
             self.assertEqual(len(runs(played, f"twin{n}")), 1)
-            self.assertTrue(set(statuses(played, f"twin{n}")) <= {200, 409, 0}, "0: its client left early")
+            self.assertTrue(set(statuses(played, f"twin{n}")) <= {200, 409, 0}, "0: its client hung up early")
 
     def test_sidecar_dies_between_claim_and_send(self) -> None:
         played = case([Fault(3.9, "claim-kill", 0, 0.5)], *((4.0 + n, keyed(n, "lost")) for n in range(4)))
@@ -152,7 +153,7 @@
 
 
 class Planted(unittest.TestCase):
-    """The rest are looked for by `python -m bench.mesh`."""
+    """A sample of the planted faults; `python -m bench.mesh` looks for all of them."""
 
     def found(self, name: str, rule: str, schedule: list[Fault] | None = None, tries: int = 8) -> None:
         with planted(name):
@@ -185,7 +186,7 @@
 
 
 class Checks(unittest.TestCase):
-    """That each sees its breach in a history written down."""
+    """Each check detects a violation in a history written by hand."""
 
     def rules(self, *events: tuple[float, str, str, dict[str, Any]]) -> set[str]:
         history = History()
@@ -245,7 +246,7 @@
         ]
         self.seen("LOST", *leaves)
         frozen = (1.1, "trouble", SIDECARS[0], {"kind": "freeze-sidecar"})
-        self.assertNotIn("LOST", self.rules(*leaves[:2], frozen, *leaves[2:]), "that is no planned work")
+        self.assertNotIn("LOST", self.rules(*leaves[:2], frozen, *leaves[2:]), "not planned work only")
 
     def test_gone_back(self) -> None:
         table = {"life": 1, "index": 7, "rows": {"x": (2, True)}}
@@ -270,7 +271,7 @@
 
 
 class Lab(unittest.TestCase):
-    """The loop and the network under it."""
+    """The simulated event loop and network."""
 
     def setUp(self) -> None:
         self.loop = VirtualLoop(1)
--- a/tests/mesh/test_size.py
+++ b/tests/mesh/test_size.py
@@ -223,7 +223,7 @@
         caller.answers = 0
         crowd.loop.after(0.0, caller.machine, far.probe, lambda: None)
         crowd.loop.run_until(crowd.loop.now + 0.1)
-        crowd.metered_network.slow_to, crowd.metered_network.slow_by = peer.ip, 0.6  # seconds per piece
+        crowd.metered_network.slow_to, crowd.metered_network.slow_by = peer.ip, 0.6  # seconds per frame
         crowd.loop.after(0.0, caller.machine, self.upload, peer)
         crowd.loop.run_until(crowd.loop.now + 9.0)
         self.assertEqual((caller.answers, caller.losses), (1, []))
--- a/tests/mesh/test_start.py
+++ b/tests/mesh/test_start.py
@@ -1,9 +1,9 @@
-"""What the two daemons load, and how they refuse to start: one line and an exit code.
+"""The modules that the two daemons load, and how they refuse to start: with one line and an exit code.
 
-Both pay for their memory all day. `ssl`, `subprocess`, `concurrent`, `logging` and what these pull in come
-with asyncio itself, whatever the loop; uvloop, httptools, msgspec, msgpack and lmdb (control node) are the
-pinned
-libraries. Nothing of people's commands is loaded: no cappa, and with it no rich.
+Both are long-running, so every loaded module costs memory permanently. `ssl`, `subprocess`, `concurrent`,
+`logging` and their imports come with asyncio itself, whatever the loop; uvloop, httptools, msgspec, msgpack
+and lmdb (control node) are the pinned libraries. Nothing of the interactive commands is loaded: no cappa,
+and so no rich.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parents[2]
-NODE = {  # the node's, shared: connections and their parsing, and nothing that decides for the node
+NODE = {  # shared with the node: connections and parsing, but none of the node's decisions
     "engine",
     "engine.attempts",
     "engine.calls",
