--- a/rigs/simulation/clients.py
+++ b/rigs/simulation/clients.py
@@ -238,7 +238,7 @@
         for timeout in (1.25, 1.75):
             self.patch(self._upsert(number, self.versions[number], timeout + self.versions[number]), "race")
 
-    def twins(self, number: int) -> None:
+    def identical_calls(self, number: int) -> None:
         """Sends the identical call to every control node at the same time."""
         self.versions[number] += 1
         call = self._upsert(number, self.versions[number], 1.0 + self.versions[number])
--- a/rigs/simulation/control_client.py
+++ b/rigs/simulation/control_client.py
@@ -45,12 +45,12 @@
         """
         self.orders += 1
         self.site.record("sent", "operator", call=call, sort=sort, order=self.orders)
-        place = self.random.randrange(len(self.site.controls)) if node is None else node
-        _Order(self, call, sort, self.orders, done).send(place)
+        index = self.random.randrange(len(self.site.controls)) if node is None else node
+        _Order(self, call, sort, self.orders, done).send(index)
 
     def read(self, node: int | None = None) -> None:
         """Sends one read to one node, without a retry."""
-        place = self.random.randrange(len(self.site.controls)) if node is None else node
+        index = self.random.randrange(len(self.site.controls)) if node is None else node
         begin = self.loop.now
 
         def on_result(control: ControlNode, result: Result) -> None:
@@ -61,7 +61,7 @@
             else:
                 self.site.record("fault", control.ip, why=f"a read was answered with {result!r}")
 
-        _Attempt(self, self.site.controls[place], "fetch", (), on_result)
+        _Attempt(self, self.site.controls[index], "fetch", (), on_result)
 
     def read_repeatedly(self, every: float, until: float) -> None:
         """Reads at random nodes at random intervals around `every` seconds."""
@@ -82,7 +82,7 @@
         self.body = json.dumps(call).encode()
         self.attempts = 0
 
-    def send(self, place: int) -> None:
+    def send(self, index: int) -> None:
         controls = self.client.site.controls
         begin = self.client.loop.now
         self.attempts += 1
@@ -91,16 +91,16 @@
             if result is not None and not isinstance(result[0], int):
                 self.client.site.record("fault", control.ip, why="an order was answered with a configuration")
                 return
-            self._on_attempt_ended(place, control, begin, None if result is None else result[0])
+            self._on_attempt_ended(index, control, begin, None if result is None else result[0])
 
-        _Attempt(self.client, controls[place % len(controls)], "patch", (self.body,), on_result)
+        _Attempt(self.client, controls[index % len(controls)], "patch", (self.body,), on_result)
 
-    def _on_attempt_ended(self, place: int, control: ControlNode, begin: float, status: int | None) -> None:
+    def _on_attempt_ended(self, index: int, control: ControlNode, begin: float, status: int | None) -> None:
         site, loop = self.client.site, self.client.loop
         site.record("order", control.ip, begin=begin, call=self.call, status=status, order=self.number)
         if status is None:
             pause = RETRY_DELAYS_S[min(self.attempts, len(RETRY_DELAYS_S)) - 1]
-            loop.after(pause, loop.world, self.send, place + 1)
+            loop.after(pause, loop.world, self.send, index + 1)
             return
         if status == 200:
             voters = _voters(site)
--- a/rigs/simulation/fault_injector.py
+++ b/rigs/simulation/fault_injector.py
@@ -64,7 +64,7 @@
         self.site.record("struck", control.ip, kind=fault.kind, state=control.state)
 
     def _keep_active(self, fault: Fault, scope: str, end: Callable[[], None]) -> None:
-        """Calls `end` once: when the duration is over, or when all is healed."""
+        """Calls `end` once: when its duration is over, or when all faults are ended."""
         self.site.record("trouble", scope, kind=fault.kind)
 
         def ended() -> None:
--- a/rigs/simulation/mesh.py
+++ b/rigs/simulation/mesh.py
@@ -176,11 +176,11 @@
             return core.role
         if core.role == "candidate":
             return "standing"
-        touch = (
+        in_contact = (
             core.in_contact_with_quorum(self.loop.now + self.machine.offset)
             and core.last_applied >= core.commit_index > 0
         )
-        return "follower" if touch else "recovering"
+        return "follower" if in_contact else "recovering"
 
     @property
     def has_partial_snapshot(self) -> bool:
--- a/rigs/simulation/servers.py
+++ b/rigs/simulation/servers.py
@@ -53,7 +53,7 @@
 NestedCall = Callable[[Sidecar, str, Callable[[bool], None]], None]
 
 
-class _Wire:
+class _UpstreamConnection:
     """The connection of a call at the server; `drop` closes it."""
 
     def __init__(self) -> None:
@@ -70,11 +70,11 @@
         self.loop, self.server, self.machine, self.life = loop, server, machine, machine.life
 
     def run(self, call: UpstreamCall) -> None:
-        wire = _Wire()
+        wire = _UpstreamConnection()
         call.carried = wire  # type: ignore[assignment]
         self.loop.after(SIDECAR_DELAY_S, self.machine, self._written, call, wire)
 
-    def _written(self, call: UpstreamCall, wire: _Wire) -> None:
+    def _written(self, call: UpstreamCall, wire: _UpstreamConnection) -> None:
         if call.status is not None:
             return
         if not call.may_write():
@@ -181,7 +181,7 @@
 
     # Requests
 
-    def take(self, pool: SimServerPool, call: UpstreamCall, wire: _Wire, left: float) -> None:
+    def take(self, pool: SimServerPool, call: UpstreamCall, wire: _UpstreamConnection, left: float) -> None:
         """Handles a request; `left` is the time in seconds until the deadline that it was given."""
         if not self.up:
             pool.ended(call, None)
--- a/rigs/simulation/size.py
+++ b/rigs/simulation/size.py
@@ -88,10 +88,10 @@
         if isinstance(item, bytes):
             out = self.sums[end.ip]
             into = self.sums[end.peer.ip]
-            word = len(item) > MAX_HEARTBEAT_BYTES
-            out["messages_out" if word else "heartbeats_out"] += 1
+            is_message = len(item) > MAX_HEARTBEAT_BYTES
+            out["messages_out" if is_message else "heartbeats_out"] += 1
             out["bytes_out"] += len(item)
-            into["messages_in"] += word
+            into["messages_in"] += is_message
             into["bytes_in"] += len(item)
             if end.peer.ip == self.slow_to and len(item) >= MAX_FRAME_PAYLOAD:  # delays all that follows too
                 end.earliest_arrival = max(end.earliest_arrival, self.loop.now) + self.slow_by
--- a/tests/mesh/test_hard.py
+++ b/tests/mesh/test_hard.py
@@ -178,7 +178,7 @@
 
     def test_identical_call_at_all_nodes_in_the_same_moment(self) -> None:
         def twins(site: Site, clients: Clients, operators: Operators) -> None:
-            operators.twins(0)
+            operators.identical_calls(0)
 
         played = self.day(
             Fault(4.0, "kill-control", -1, 0.5),
--- a/tests/mesh/test_simulation.py
+++ b/tests/mesh/test_simulation.py
@@ -56,8 +56,8 @@
     return action
 
 
-class TurnedAway(unittest.TestCase):
-    def test_key_whose_servers_all_turned_it_away_is_refused_and_runs_when_it_comes_back(self) -> None:
+class RefusedByAllServers(unittest.TestCase):
+    def test_key_refused_by_all_servers_runs_when_repeated(self) -> None:
         self.addCleanup(setattr, servers, "SLOTS", servers.SLOTS)
         played = case(
             [],
@@ -70,27 +70,27 @@
         self.assertEqual((statuses(played, "k"), len(runs(played, "k"))), ([503, 200, 200], 1))
 
 
-class Drawn(unittest.TestCase):
-    def test_calm_day_serves_nearly_all(self) -> None:
+class DrawnDays(unittest.TestCase):
+    def test_day_without_faults_serves_nearly_all(self) -> None:
         played = play(1, [], SHORT)
         self.assertEqual(played.broken, [])
         told = Counter(e.data["status"] for e in played.history.of("told"))
         self.assertGreater(told[200], 0.95 * told.total())
 
-    def test_days_with_faults_break_nothing(self) -> None:
+    def test_days_with_faults_violate_no_rule(self) -> None:
         for seed in range(SEEDS):
             with self.subTest(seed=seed):
                 self.assertEqual(play(seed, None, SHORT).broken, [])
 
-    def test_storm_breaks_nothing(self) -> None:
+    def test_storm_violates_no_rule(self) -> None:
         self.assertEqual(storm(1).broken, [])
 
     def test_same_seed_same_day(self) -> None:
         self.assertEqual(play(4, None, SHORT).history.events, play(4, None, SHORT).history.events)
 
 
-class Cases(unittest.TestCase):
-    def kept(self, played: Played) -> None:
+class ExplicitSchedules(unittest.TestCase):
+    def assert_no_violation(self, played: Played) -> None:
         self.assertEqual(played.broken, [])
 
     def test_leader_frozen_with_claims_under_way(self) -> None:
@@ -98,33 +98,33 @@
             asks = [(4.0 - lead, keyed(n, f"cold{n}")) for n in range(6)]
             again = [(6.0, keyed((n + 1) % 6, f"cold{n}")) for n in range(6)]
             played = case([Fault(4.0, "freeze-control", -1, 5.0)], *asks, *again)
-            self.kept(played)
+            self.assert_no_violation(played)
             self.assertTrue(all(len(runs(played, f"cold{n}")) == 1 for n in range(6)))
 
-    def test_one_key_in_two_zones_in_the_same_ms(self) -> None:
+    def test_one_key_in_three_zones_at_the_same_time(self) -> None:
         played = case([], *((4.0 + n / 10, keyed(zone, f"twin{n}")) for n in range(20) for zone in (0, 1, 2)))
-        self.kept(played)
+        self.assert_no_violation(played)
         for n in range(20):
             self.assertEqual(len(runs(played, f"twin{n}")), 1)
             self.assertTrue(set(statuses(played, f"twin{n}")) <= {200, 409, 0}, "0: its client hung up early")
 
     def test_sidecar_dies_between_claim_and_send(self) -> None:
         played = case([Fault(3.9, "claim-kill", 0, 0.5)], *((4.0 + n, keyed(n, "lost")) for n in range(4)))
-        self.kept(played)
+        self.assert_no_violation(played)
         self.assertEqual(played.history.shown("kill-sidecar").count("trouble"), 1)
         self.assertLessEqual(len(runs(played, "lost")), 1)
 
     def test_sidecar_dies_between_send_and_answer(self) -> None:
         played = case([Fault(3.99, "sent-kill", 0, 0.5)], *((4.0 + n, keyed(n, "sent")) for n in range(4)))
-        self.kept(played)
+        self.assert_no_violation(played)
         self.assertEqual(len(runs(played, "sent")), 1)
 
-    def test_power_lost_everywhere_with_keys_at_work(self) -> None:
+    def test_power_lost_everywhere_with_keys_in_flight(self) -> None:
         for lead in (0.005, 0.02, 0.06):
             asks = [(4.0 - lead, keyed(n, f"dark{n}")) for n in range(6)]
             back = [(4.5 + 0.2 * at, keyed((n + at) % 6, f"dark{n}")) for n in range(6) for at in range(8)]
             played = case([Fault(4.0, "all-power", 0, 0.5)], *asks, *back)
-            self.kept(played)
+            self.assert_no_violation(played)
             self.assertTrue(all(len(runs(played, f"dark{n}")) <= 1 for n in range(6)))
 
     def test_leader_changes_around_a_race_of_two_operators(self) -> None:
@@ -132,11 +132,11 @@
             operators.race(0)
 
         for lead in (0.001, 0.015, 0.05):
-            self.kept(case([Fault(4.0, "kill-control", -1, 1.0)], (4.0 - lead, race)))
+            self.assert_no_violation(case([Fault(4.0, "kill-control", -1, 1.0)], (4.0 - lead, race)))
 
     def test_sidecar_without_control_nodes_claims_through_another(self) -> None:
         played = case([Fault(3.0, "control-lost", 0, 6.0)], (2.6, keyed(0, "near")), (6.0, keyed(0, "far")))
-        self.kept(played)
+        self.assert_no_violation(played)
         self.assertEqual(statuses(played, "far"), [200])
 
     def test_sidecar_that_shuts_down_answers_what_it_accepted(self) -> None:
@@ -145,47 +145,47 @@
             [Fault(3.0 + n / 2, "leave-sidecar", n) for n in range(3)],
             SHORT._replace(seconds=9.5, rate=4.0),
         )
-        self.kept(played)
+        self.assert_no_violation(played)
         self.assertEqual(len(list(played.history.of("left"))), 3)
 
     def test_disk_lost_right_after_an_acknowledgement(self) -> None:
-        self.kept(case([Fault(3.5, "ack-wipe", -1, 0.5)]))
+        self.assert_no_violation(case([Fault(3.5, "ack-wipe", -1, 0.5)]))
 
 
-class Planted(unittest.TestCase):
+class PlantedFaults(unittest.TestCase):
     """A sample of the planted faults; `python -m bench.mesh` looks for all of them."""
 
-    def found(self, name: str, rule: str, schedule: list[Fault] | None = None, tries: int = 8) -> None:
+    def assert_found(self, name: str, rule: str, schedule: list[Fault] | None = None, tries: int = 8) -> None:
         with planted(name):
             for seed in range(tries):
                 if any(text.startswith(rule) for text in play(seed, schedule, SHORT).broken):
                     return
         self.fail(f"{name}: not found")
 
-    def test_acknowledged_before_it_is_agreed(self) -> None:
-        self.found("configuration acknowledged before it is agreed", "CONFIG")
+    def test_acknowledged_before_commit(self) -> None:
+        self.assert_found("configuration acknowledged before it is agreed", "CONFIG")
 
     def test_key_freed_that_may_have_run(self) -> None:
-        self.found("a key freed that may have run", "ONCE", [Fault(4.0, "reset-sidecar", 3, 0.1)])
+        self.assert_found("a key freed that may have run", "ONCE", [Fault(4.0, "reset-sidecar", 3, 0.1)])
 
     def test_claims_forgotten_by_a_new_leader(self) -> None:
         again = [Fault(3.0 + second, "kill-control", -1, 0.4) for second in range(5)]
-        self.found("a new leader that rotates too soon", "ONCE", again)
+        self.assert_found("a new leader that rotates too soon", "ONCE", again)
 
     def test_keys_not_claimed(self) -> None:
-        self.found("keys not claimed", "ONCE")
+        self.assert_found("keys not claimed", "ONCE")
 
-    def test_gate_deaf_to_draining(self) -> None:
-        self.found("a gate that is deaf to draining", "DRAIN", [Fault(4.0, "server-drains", 0, 5.0)])
+    def test_sidecar_that_ignores_draining(self) -> None:
+        self.assert_found("a gate that is deaf to draining", "DRAIN", [Fault(4.0, "server-drains", 0, 5.0)])
 
-    def test_a_broken_schedule_is_cut_down(self) -> None:
+    def test_a_violating_schedule_is_shrunk(self) -> None:
         with planted("a gate that is deaf to draining"):
             drain = Fault(4.0, "server-drains", 0, 5.0)
             schedule = [Fault(3.5, "reset-sidecar", 4), drain, Fault(6.5, "control-lost", 5)]
             self.assertEqual(shrink(1, schedule, SHORT), [drain])
 
 
-class Checks(unittest.TestCase):
+class ChecksTest(unittest.TestCase):
     """Each check detects a violation in a history written by hand."""
 
     def rules(self, *events: tuple[float, str, str, dict[str, Any]]) -> set[str]:
@@ -195,7 +195,7 @@
         history.add(50.0, "end", "world")
         return {text.partition(":")[0] for text in violations(history)}
 
-    def seen(self, rule: str, *events: tuple[float, str, str, dict[str, Any]]) -> None:
+    def assert_detected(self, rule: str, *events: tuple[float, str, str, dict[str, Any]]) -> None:
         self.assertIn(rule, self.rules(*events))
 
     def asked(self, name: str, at: float, kind: str = "mutating", key: str = "") -> Any:
@@ -217,9 +217,9 @@
     def told(self, name: str, at: float, status: int, body: str = "") -> Any:
         return at, "told", SIDECARS[0], {"id": name, "status": status, "body": body}
 
-    def test_twice(self) -> None:
-        self.seen("ONCE", self.asked("a", 1.0), self.ran("a", 1.1), self.ran("a", 1.2))
-        self.seen(
+    def test_request_executed_twice(self) -> None:
+        self.assert_detected("ONCE", self.asked("a", 1.0), self.ran("a", 1.1), self.ran("a", 1.2))
+        self.assert_detected(
             "ONCE",
             self.asked("a", 1.0, "keyed", "k"),
             self.asked("b", 2.0, "keyed", "k"),
@@ -227,50 +227,54 @@
             self.ran("b", 2.1, "k"),
         )
 
-    def test_refused_and_run(self) -> None:
-        self.seen("REFUSED", self.asked("a", 1.0), self.ran("a", 1.1), self.told("a", 1.2, 503))
+    def test_refused_request_executed(self) -> None:
+        self.assert_detected("REFUSED", self.asked("a", 1.0), self.ran("a", 1.1), self.told("a", 1.2, 503))
 
-    def test_bodies(self) -> None:
-        self.seen("MIXED", self.asked("a", 1.0), self.told("a", 1.2, 200, "of another"))
+    def test_body_of_another_request(self) -> None:
+        self.assert_detected("MIXED", self.asked("a", 1.0), self.told("a", 1.2, 200, "of another"))
 
-    def test_answers(self) -> None:
-        self.seen("ANSWERED", self.asked("a", 1.0))
-        self.seen("ANSWERED", self.asked("a", 1.0), self.told("a", 1.2, 502), self.told("a", 1.3, 502))
+    def test_missing_or_repeated_answer(self) -> None:
+        self.assert_detected("ANSWERED", self.asked("a", 1.0))
+        self.assert_detected(
+            "ANSWERED", self.asked("a", 1.0), self.told("a", 1.2, 502), self.told("a", 1.3, 502)
+        )
 
-    def test_left_behind(self) -> None:
+    def test_request_lost_in_shutdown(self) -> None:
         leaves = [
             self.asked("a", 1.0),
             (1.0, "trouble", SIDECARS[0], {"kind": "leave-sidecar"}),
             (1.5, "left", SIDECARS[0], {}),
             (1.5, "unheard", SIDECARS[0], {"id": "a"}),
         ]
-        self.seen("LOST", *leaves)
+        self.assert_detected("LOST", *leaves)
         frozen = (1.1, "trouble", SIDECARS[0], {"kind": "freeze-sidecar"})
         self.assertNotIn("LOST", self.rules(*leaves[:2], frozen, *leaves[2:]), "not planned work only")
 
-    def test_gone_back(self) -> None:
+    def test_version_goes_back(self) -> None:
         table = {"life": 1, "index": 7, "rows": {"x": (2, True)}}
         older = {"life": 1, "index": 8, "rows": {"x": (1, True)}}
-        self.seen("BACK", (1.0, "table", SIDECARS[0], table), (1.1, "table", SIDECARS[0], older))
+        self.assert_detected("BACK", (1.0, "table", SIDECARS[0], table), (1.1, "table", SIDECARS[0], older))
 
-    def test_acknowledged_and_gone(self) -> None:
+    def test_acknowledged_change_lost(self) -> None:
         item = {"Name": "x", "Ver": "00000001"}
         call = {"Upsert": {"Routes": [item]}}
         said = {"call": call, "sort": "proper", "status": 200}
-        self.seen(
+        self.assert_detected(
             "ACKED",
             (1.0, "sent", "o", {"call": call, "sort": "proper"}),
             (1.1, "verdict", "f", said),
             (9.0, "fetched", "f", {"body": {"Routes": []}}),
         )
-        self.seen("SYNC", (9.0, "unsynced", "world", {}))
-        self.seen("APPLIED", (0.1, "start", SIDECARS[0], {}), (1.1, "verdict", "f", said))
+        self.assert_detected("SYNC", (9.0, "unsynced", "world", {}))
+        self.assert_detected("APPLIED", (0.1, "start", SIDECARS[0], {}), (1.1, "verdict", "f", said))
 
-    def test_budget(self) -> None:
-        self.seen("BUDGET", self.asked("a", 1.0, "idempotent"), *(self.ran("a", 1.1) for _ in range(9)))
+    def test_retry_budget_exceeded(self) -> None:
+        self.assert_detected(
+            "BUDGET", self.asked("a", 1.0, "idempotent"), *(self.ran("a", 1.1) for _ in range(9))
+        )
 
 
-class Lab(unittest.TestCase):
+class LoopAndNetwork(unittest.TestCase):
     """The simulated event loop and network."""
 
     def setUp(self) -> None:
@@ -287,7 +291,7 @@
     def after(self, machine: Machine, delay: float, word: str) -> None:
         self.loop.after(delay, machine, self.said.append, word)
 
-    def test_frozen_waits_and_killed_never_comes(self) -> None:
+    def test_frozen_callbacks_wait_and_killed_ones_are_dropped(self) -> None:
         self.after(self.a, 1.0, "a")
         self.after(self.b, 1.0, "b")
         self.loop.freeze(self.a)
@@ -298,7 +302,7 @@
         self.loop.run_until(2.0)
         self.assertEqual(self.said, ["a"])
 
-    def test_slow_comes_later_and_in_order(self) -> None:
+    def test_slow_callbacks_are_delayed_in_order(self) -> None:
         self.a.lag = 0.5
         for word in "123":
             self.after(self.a, 0.0, word)
@@ -307,16 +311,16 @@
         self.loop.run_until(0.6)
         self.assertEqual(self.said, ["1", "2", "3"])
 
-    def test_own_clocks(self) -> None:
+    def test_each_machine_has_its_own_clock(self) -> None:
         self.loop.on(self.a, lambda: self.said.append(self.loop.time()))
         self.loop.on(self.b, lambda: self.loop.call_at(71.0, lambda: self.said.append(self.loop.now)))
         self.loop.run_until(2.0)
         self.assertEqual(self.said, [5.0, 1.0])
 
-    def _joined(self) -> Any:
+    def _connect(self) -> Any:
         loop, said, made = self.loop, self.said, list[Any]()
 
-        class Ear(asyncio.Protocol):
+        class Recorder(asyncio.Protocol):
             def data_received(self, data: bytes) -> None:
                 said.append(data)
 
@@ -324,10 +328,10 @@
                 said.append("lost")
 
         async def connect() -> None:
-            made.append((await loop.create_connection(Ear, "b", 1))[0])
+            made.append((await loop.create_connection(Recorder, "b", 1))[0])
 
         def listen() -> None:
-            self.network.listen(self.b, Ear, "b", 1)
+            self.network.listen(self.b, Recorder, "b", 1)
 
         loop.on(self.b, listen)
         loop.after(0.0, self.a, lambda: loop.create_task(connect()))
@@ -335,7 +339,7 @@
         return made[0]
 
     def test_cut_is_silent_and_heals_in_order(self) -> None:
-        end = self._joined()
+        end = self._connect()
         self.network.cut("a", "b")
         for word in (b"1", b"2"):
             self.loop.on(self.a, end.write, word)
@@ -346,10 +350,10 @@
         self.loop.run_until(4.0)
         self.assertEqual(self.said, [b"1", b"2", b"3"])
 
-    def test_killed_resets_and_without_power_says_nothing(self) -> None:
+    def test_kill_resets_connections_and_power_loss_is_silent(self) -> None:
         for power, heard in ((True, ["lost"]), (False, [])):
             self.said.clear()
-            self._joined()
+            self._connect()
             self.b.powered = power
             self.loop.end(self.b)
             self.network.close_connections(self.b)
@@ -357,7 +361,7 @@
             self.assertEqual(self.said, heard)
             self.b.powered = self.b.running = True
 
-    def test_schedules_keep_within_what_must_be_borne(self) -> None:
+    def test_drawn_schedules_stay_within_tolerated_faults(self) -> None:
         for seed in range(50):
             core = [f for f in draw_schedule(seed, 40.0) if f.kind in (*CORE, *ALL)]
             for two in [f for f in core if f.kind not in (*DISK_KEEPING, *ALL)]:
