--- a/rigs/simulation/checks.py
+++ b/rigs/simulation/checks.py
@@ -11,11 +11,8 @@
 from rigs.simulation.mesh import KEY_WINDOW_S, RETRY_RATIO, RETRY_SLACK, RETRY_WINDOW_S, SIDECARS
 from rigs.simulation.shutdown_checks import broken_off, lost
 
-APPLY_S, DRAIN_S, LATE_S = (
-    2.0,
-    2.0,
-    0.1,
-)  # to apply a change, to stop calls to a draining server, past a deadline
+# Seconds to apply a change, to stop calls to a draining server, and allowed past a deadline.
+APPLY_S, DRAIN_S, LATE_S = 2.0, 2.0, 0.1
 REFUSAL_STATUSES = (408, 421, 429, 503)
 RESYNC_S = 4.0  # after the last fault until the control nodes have restored all replicas
 RECOVERY_S = 4.0  # after the last fault until most requests must succeed
@@ -184,9 +181,8 @@
 
     def __init__(self, history: History) -> None:
         self.starts: dict[str, list[float]] = defaultdict(list)
-        self.updates: dict[tuple[str, int], list[Event]] = defaultdict(
-            list
-        )  # by sidecar and number of its incarnation
+        # By sidecar and number of its incarnation.
+        self.updates: dict[tuple[str, int], list[Event]] = defaultdict(list)
         for event in history.of("table", "start"):
             if event.what == "start":
                 self.starts[event.who].append(event.at)
@@ -259,9 +255,8 @@
 def retry_budget(history: History) -> list[str]:
     found = []
     asked, first = defaultdict(list), set[str]()
-    first.update(
-        e.data["id"] for e in history.of("inner") if e.data["repeat"]
-    )  # a nested call of a repeated request is a further arrival
+    # A nested call of a repeated request is a further arrival.
+    first.update(e.data["id"] for e in history.of("inner") if e.data["repeat"])
     further: dict[str, list[float]] = defaultdict(list)
     for event in history.of("asked", "arrival"):
         if event.what == "asked":
--- a/rigs/simulation/clients.py
+++ b/rigs/simulation/clients.py
@@ -218,9 +218,8 @@
         elif draw < 0.25:
             self.race(number)
         elif draw < 0.32 and self.taken:
-            self.patch(
-                self.random.choice(self.taken), "proper"
-            )  # repeats an old call, which must change nothing
+            # Repeats an old call, which must change nothing.
+            self.patch(self.random.choice(self.taken), "proper")
         else:
             self.change(number, drop=draw > 0.9)
 
--- a/rigs/simulation/control_client.py
+++ b/rigs/simulation/control_client.py
@@ -145,9 +145,8 @@
             return
         site.record("waited", self.control.ip, seconds=loop.now - self.begin, clear=result is not None)
         if self.client.random.random() < self.client.lost:
-            if (
-                self.client.random.random() < 0.5
-            ):  # the connection breaks; otherwise nothing arrives and the attempt times out
+            # The connection breaks; otherwise nothing arrives and the attempt times out.
+            if self.client.random.random() < 0.5:
                 loop.after(ONE_WAY_DELAY_S, loop.world, self._end, None)
             return
         loop.after(ONE_WAY_DELAY_S, loop.world, self._end, result)
--- a/rigs/simulation/history.py
+++ b/rigs/simulation/history.py
@@ -2,15 +2,16 @@
 
 Kinds of events:
 
-  - Clients: `asked` (request sent), `told` (response received), `unheard` (connection lost), `gave up`
-  (hung up). - Servers: `arrival` (request received; `ran` tells whether it was executed), `served`
-  (finished), `beaten` (heartbeat delivered), `server` (state changed), `server trouble` (fault injected). -
-  Configuration: `sent` (call sent), `verdict` (definite answer), `order`, `read`, `waited` (attempts of a
-  control client), `copies` (disks that store an acknowledged order), `fetched` (final read), `table` (a
-  sidecar's new routes). - Nodes: `start`, `sigterm`, `left` (ended after SIGTERM), `claim` (answer to a key
-  claim), `image` (snapshot restored), `rotated` (claims expired), `unsynced` (replicas not up to date). -
-  Faults: `trouble` and `well` (start and end), `struck` (a control node was hit in some state), `healed`
-  (all faults ended), `fault` (a program failed by itself).
+- Clients: `asked` (request sent), `told` (response received), `unheard` (connection lost), `gave up`.
+- Servers: `arrival` (request received; `ran` tells whether it was executed), `served` (finished), `beaten`
+  (heartbeat delivered), `server` (state changed), `server trouble` (fault injected).
+- Configuration: `sent` (call sent), `verdict` (definite answer), `order`, `read`, `waited` (attempts of a
+  control client), `copies` (disks that store an acknowledged order), `fetched` (final read), `table` (new
+  routes of a sidecar).
+- Nodes: `start`, `sigterm`, `left` (ended after SIGTERM), `claim` (answer to a key claim), `image` (snapshot
+  restored), `rotated` (claims expired), `unsynced` (replicas not up to date).
+- Faults: `trouble` and `well` (start and end), `struck` (a control node was hit in some state), `healed` (all
+  faults ended), `fault` (a program failed by itself).
 """
 
 from __future__ import annotations
--- a/rigs/simulation/loop.py
+++ b/rigs/simulation/loop.py
@@ -26,10 +26,8 @@
         self.running = True
         self.powered = True
         self.frozen = False
-        self.lag, self.earliest = (
-            0.0,
-            0.0,
-        )  # delay of callbacks, in seconds, and the time of the last one, to keep order
+        # Delay of callbacks in seconds, and the time of the last delayed one, which keeps them in order.
+        self.lag, self.earliest = 0.0, 0.0
         self.waiting: list[_Scheduled] = []
         self.tasks: list[asyncio.Task[Any]] = []
 
--- a/rigs/simulation/mesh.py
+++ b/rigs/simulation/mesh.py
@@ -210,9 +210,8 @@
         )
         server_pool = SimServerPool(self.loop, self.server, self.machine)
         front = self.front = self.site.make_front(self.boot(own), 1_000 + self.starts, server_pool)
-        front.random.seed(
-            self.loop.random.getrandbits(32)
-        )  # its default seed depends on Python's randomized string hash
+        # Its default seed depends on Python's randomized string hash.
+        front.random.seed(self.loop.random.getrandbits(32))
         told = front.on_update
 
         def changed(config: bool, records: bool) -> None:
@@ -285,12 +284,10 @@
         self.loop.failures = lambda who, what: self.record("fault", who, why=what)
         self.network = make_network(self.loop)
         self.make_control, self.make_front = make_control, make_front
-        self.sync_s = self.random.choice(
-            ((0.002, 0.012), (0.01, 0.06))
-        )  # range of the duration of a disk write
-        self.write_survival_probability = self.random.choice(
-            (0.0, 0.0, 0.5, 1.0)
-        )  # of a write in flight at a power loss
+        # Range of the duration of a disk write.
+        self.sync_s = self.random.choice(((0.002, 0.012), (0.01, 0.06)))
+        # Probability that a write in flight at a power loss reaches the disk.
+        self.write_survival_probability = self.random.choice((0.0, 0.0, 0.5, 1.0))
         self.controls = [ControlNode(self, ip) for ip in controls]
         self.sidecars = [SidecarNode(self, ip, SERVICES[n // 3]) for n, ip in enumerate(SIDECARS)]
         nodes: list[ControlNode | SidecarNode] = [*self.controls, *self.sidecars]
--- a/rigs/simulation/network.py
+++ b/rigs/simulation/network.py
@@ -21,10 +21,8 @@
 LATE_DATA_PROBABILITY = 0.5  # that data written before a close still arrives after a partition
 # Cumulative probabilities that a reset delivers none or all of the data in flight; otherwise a random prefix.
 NO_DATA_PROBABILITY, ALL_DATA_PROBABILITY = 0.25, 0.5
-SAME_ZONE_DELAY_S, CROSS_ZONE_DELAY_S = (
-    (0.0002, 0.0008),
-    (0.003, 0.012),
-)  # one way within a zone, between zones
+# Ranges of the one-way delay within a zone and between zones.
+SAME_ZONE_DELAY_S, CROSS_ZONE_DELAY_S = (0.0002, 0.0008), (0.003, 0.012)
 
 
 class _Socket:
--- a/rigs/simulation/schedule.py
+++ b/rigs/simulation/schedule.py
@@ -11,14 +11,8 @@
 SYNC_S = 4.0  # time for a control node that lost its disk to catch up
 DISK_SWAP_S = 0.02  # a machine is down while its disk is swapped; too short for any timeout
 EVENT_TIMEOUT_S = 2.0  # maximum wait of a fault for its triggering event
-SECOND_LOSS_DELAYS_S = (
-    0.1,
-    0.25,
-    0.4,
-    0.6,
-    0.9,
-    1.3,
-)  # after power is restored everywhere
+# Seconds after power is restored everywhere.
+SECOND_LOSS_DELAYS_S = (0.1, 0.25, 0.4, 0.6, 0.9, 1.3)
 
 
 class Fault(NamedTuple):
--- a/rigs/simulation/shutdown_checks.py
+++ b/rigs/simulation/shutdown_checks.py
@@ -45,9 +45,8 @@
     asked, spans = asked_requests(history), FaultSpans(history, PLANNED)
     answers: dict[str, list[Event]] = defaultdict(list)
     for event in history.of("told"):
-        if (
-            event.data["status"] >= 500 and not event.data["body"]
-        ):  # answers of servers have a body, those of the sidecar have none
+        # Answers of servers have a body, those of the sidecar have none.
+        if event.data["status"] >= 500 and not event.data["body"]:
             answers[event.who].append(event)
     mishaps = [event.at for event in history.of("server trouble")]
     work = Work(history)
--- a/rigs/simulation/size.py
+++ b/rigs/simulation/size.py
@@ -34,11 +34,8 @@
 MAX_HEARTBEAT_BYTES = 12  # a write up to this size is a heartbeat of the connection
 SERVICES = 4
 SYNC_S = 0.005, 0.01  # duration of a write to a control node's disk
-CONFIGURED_AT_S, SIDECARS_START_AT_S, START_SPREAD_S = (
-    1.5,
-    2.0,
-    1.0,
-)  # sidecars start within START_SPREAD_S
+# Seconds from the start; the sidecars start within START_SPREAD_S.
+CONFIGURED_AT_S, SIDECARS_START_AT_S, START_SPREAD_S = 1.5, 2.0, 1.0
 SETTLED_AT_S = 7.0  # from the start until the site is idle
 
 
--- a/rigs/simulation/storms.py
+++ b/rigs/simulation/storms.py
@@ -40,17 +40,8 @@
     "server-drains",
 )
 KEY_COUNT, KEY_INTERVAL_S = 70, 0.12  # number of keys, and the time between two of them
-REPEAT_DELAYS_S = (
-    0.0005,
-    0.003,
-    0.01,
-    0.03,
-    0.1,
-    0.3,
-    0.6,
-    1.0,
-    2.5,
-)  # until the same key is requested again
+# Seconds until the same key is requested again.
+REPEAT_DELAYS_S = (0.0005, 0.003, 0.01, 0.03, 0.1, 0.3, 0.6, 1.0, 2.5)
 
 
 def schedule(seed: int) -> list[Fault]:
