--- a/rigs/simulation/cuts.py
+++ b/rigs/simulation/cuts.py
@@ -1,4 +1,4 @@
-"""A machine cut off from all others: in one way or both, silently, with refusals, or with resets."""
+"""Partitions of one machine from all others: one-way or both, silent, with refusals or with resets."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from rigs.simulation.mesh import ControlNode, Site
 from rigs.simulation.network import End, Network
 
-WAYS = ("in", "out", "both")  # what does not arrive
+DIRECTIONS = ("in", "out", "both")  # of the traffic that is blocked, as seen from the machine
 MODES = ("silent", "refuse", "reset")
-RESET_EVERY = 0.5  # seconds between two resets of a cut-off machine's connections
+RESET_INTERVAL_S = 0.5  # between two resets of the isolated machine's connections
 
 
 class RefusingNetwork(Network):
-    """New connections across some cuts are refused at once, in place of silence."""
+    """A network that refuses new connections across some cuts at once instead of dropping them silently."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         super().__init__(loop)
@@ -29,22 +29,22 @@
 
 
 class Cut(NamedTuple):
-    """From `at` for `seconds`; the machine's process is restarted at each of `restarts` (seconds into it)."""
+    """A partition from `at` for `seconds`; its process restarts at each of `restarts`, counted from `at`."""
 
     at: float
     seconds: float
-    way: str = "both"
+    direction: str = "both"
     mode: str = "silent"
     restarts: tuple[float, ...] = ()
 
 
-def cut_off(site: Site, control: ControlNode, cut: Cut) -> None:
-    """Strikes now."""
+def isolate(site: Site, control: ControlNode, cut: Cut) -> None:
+    """Starts the partition now and schedules its end."""
     network, loop = site.network, site.loop
     others = [ip for ip in site.machines if ip != control.ip]
-    pairs = [(ip, control.ip) for ip in others if cut.way != "out"]
-    pairs += [(control.ip, ip) for ip in others if cut.way != "in"]
-    kind = f"cut-{cut.way}-{cut.mode}"
+    pairs = [(ip, control.ip) for ip in others if cut.direction != "out"]
+    pairs += [(control.ip, ip) for ip in others if cut.direction != "in"]
+    kind = f"cut-{cut.direction}-{cut.mode}"
     site.record("struck", control.ip, kind=kind, state=control.state)
     site.record("trouble", "core", kind=kind)
     for pair in pairs:
@@ -63,18 +63,18 @@
     def reset_again() -> None:
         if loop.now < until:
             network.reset(control.machine)
-            loop.after(RESET_EVERY, loop.world, reset_again)
+            loop.after(RESET_INTERVAL_S, loop.world, reset_again)
 
     until = loop.now + cut.seconds
     if cut.mode == "reset":
-        loop.after(RESET_EVERY, loop.world, reset_again)
+        loop.after(RESET_INTERVAL_S, loop.world, reset_again)
     for wait in cut.restarts:
         loop.after(wait, loop.world, restart, site, control)
     loop.after(cut.seconds, loop.world, healed)
 
 
-def restart(site: Site, control: ControlNode, power: bool = False, away: float = 0.3) -> None:
-    """Its process ends and is started again."""
+def restart(site: Site, control: ControlNode, power: bool = False, downtime_s: float = 0.3) -> None:
+    """Stops the node's process, and starts it again after `downtime_s`."""
     if not control.machine.running:
         return
     site.record("struck", control.ip, kind="restart", state=control.state)
@@ -86,4 +86,4 @@
             control.start()
         site.record("well", "core", kind="restart")
 
-    site.loop.after(away, site.loop.world, back)
+    site.loop.after(downtime_s, site.loop.world, back)
--- a/rigs/simulation/loop.py
+++ b/rigs/simulation/loop.py
@@ -1,8 +1,8 @@
-"""An event loop in virtual time that all simulated machines share: one heap, the same run for the same seed.
+"""An event loop in virtual time that all simulated machines share; equal seeds give equal runs.
 
-Every callback belongs to the machine (and its life) in whose callback it was asked for. A frozen machine's
-callbacks wait, a killed one's are dropped, a slow one's come later. Each machine has a clock of its
-own, which starts anywhere.
+Every callback belongs to the machine, and to the incarnation of its process, whose callback scheduled it.
+The callbacks of a frozen machine wait, those of a killed one are dropped, and those of a slow one are
+delayed. Each machine has its own clock with an arbitrary offset.
 """
 
 from __future__ import annotations
@@ -18,20 +18,21 @@
 
 
 class Machine:
-    """One simulated machine (or the world around them: servers' processes, clients)."""
+    """A simulated machine, or `world`, which runs everything else: servers' processes, clients and faults."""
 
     def __init__(self, name: str, offset: float = 0.0) -> None:
         self.name, self.offset = name, offset
-        self.life = 0  # of its process; what an earlier one asked for never comes
+        self.life = 0  # incarnation of its process; callbacks of earlier ones are dropped
         self.running = True
         self.powered = True
         self.frozen = False
-        self.lag, self.floor = 0.0, 0.0  # seconds by which callbacks come later; none before the last one
-        self.waiting: list[_Due] = []
+        # Delay of callbacks in seconds, and the time of the last delayed one, which keeps them in order.
+        self.lag, self.earliest = 0.0, 0.0
+        self.waiting: list[_Scheduled] = []
         self.tasks: list[asyncio.Task[Any]] = []
 
 
-class _Due(NamedTuple):
+class _Scheduled(NamedTuple):
     when: float
     order: int
     handle: asyncio.Handle
@@ -41,15 +42,15 @@
 
 
 class VirtualLoop(asyncio.BaseEventLoop):
-    """`machine` is the one whose callback runs now; `now` the world's time."""
+    """`machine` is the machine whose callback is running; `now` is the global virtual time."""
 
     def __init__(self, seed: int) -> None:
         super().__init__()
         self.random = random.Random(seed)
         self.now, self.order, self.steps = 0.0, 0, 0
-        self.heap: list[_Due] = []
+        self.heap: list[_Scheduled] = []
         self.world = self.machine = Machine("world")
-        self.stepping, self.step_life = self.world, 0  # whose callback runs, and of which of its lives
+        self.step_machine, self.step_life = self.world, 0  # machine and incarnation of the running callback
         self.network: Any = None
         self.failures: Callable[[str, str], None] = lambda who, what: None
 
@@ -60,12 +61,12 @@
 
     def _push(self, when: float, handle: asyncio.Handle, machine: Machine, timer: bool) -> None:
         self.order += 1
-        # What a life that was ended in this very callback still asks for never comes.
-        life = self.step_life if machine is self.stepping else machine.life
+        # If this callback ended its own process, whatever it still schedules is dropped.
+        life = self.step_life if machine is self.step_machine else machine.life
         if machine.lag and when - self.now < machine.lag:
-            when = max(when + machine.lag, machine.floor)
-            machine.floor = when
-        heapq.heappush(self.heap, _Due(when, self.order, handle, machine, life, timer))
+            when = max(when + machine.lag, machine.earliest)
+            machine.earliest = when
+        heapq.heappush(self.heap, _Scheduled(when, self.order, handle, machine, life, timer))
 
     def call_soon(  # type: ignore[override]
         self,
@@ -91,11 +92,11 @@
         return timer
 
     def after(self, delay: float, machine: Machine, callback: Callable[..., object], *args: Any) -> None:
-        """Runs it on that machine, in the life that it has now."""
+        """Schedules a callback on a machine; it is dropped if the machine's process ends before."""
         self._push(self.now + delay, asyncio.Handle(callback, args, self, None), machine, False)
 
     def on(self, machine: Machine, callback: Callable[..., Any], *args: Any) -> Any:
-        """Runs it now, as that machine."""
+        """Calls `callback` at once, as that machine."""
         before, self.machine = self.machine, machine
         try:
             return callback(*args)
@@ -121,7 +122,7 @@
         machine.frozen = True
 
     def thaw(self, machine: Machine) -> None:
-        """All that came due comes now: timers first or what was received first, as it may fall."""
+        """Schedules all callbacks that became due meanwhile; with probability 0.5 timers come first."""
         machine.frozen = False
         waiting, machine.waiting = machine.waiting, []
         if self.random.random() < 0.5:
@@ -131,14 +132,14 @@
             heapq.heappush(self.heap, due._replace(when=self.now, order=self.order))
 
     def end(self, machine: Machine) -> None:
-        """Its process is gone."""
+        """Ends the process of a machine: its callbacks and tasks are dropped."""
         machine.life += 1
         machine.running = machine.frozen = False
         machine.waiting.clear()
         machine.lag = 0.0
         for task in machine.tasks:
             if not task.done():
-                _shut(task.get_coro())
+                _close_coroutine(task.get_coro())
         machine.tasks.clear()
 
     # The run ----------------------------------------------------------------------------------------
@@ -153,7 +154,7 @@
             events._set_running_loop(None)
             self.machine = self.world
 
-    def _step(self, due: _Due) -> None:
+    def _step(self, due: _Scheduled) -> None:
         machine = due.machine
         if due.handle.cancelled() or due.life != machine.life:
             return
@@ -162,7 +163,7 @@
             machine.waiting.append(due)
             return
         self.steps += 1
-        self.machine = self.stepping = machine
+        self.machine = self.step_machine = machine
         self.step_life = due.life
         due.handle._run()
 
@@ -187,6 +188,6 @@
         return self.network.listen(self.machine, factory, host, port)
 
 
-def _shut(coro: Coroutine[Any, Any, Any] | Any) -> None:
+def _close_coroutine(coro: Coroutine[Any, Any, Any] | Any) -> None:
     with contextlib.suppress(RuntimeError, AttributeError):
         coro.close()
--- a/rigs/simulation/mesh.py
+++ b/rigs/simulation/mesh.py
@@ -1,4 +1,4 @@
-"""The machines of a small site with their real programs: three control nodes, six sidecars with a server
+"""A small simulated site that runs the real programs: three control nodes, and six sidecars with one server
 each.
 """
 
@@ -34,16 +34,22 @@
 
 PORT = 9000
 ZONES = ("a", "b", "c")
-CONTROLS = tuple(f"10.0.{zone}.1" for zone in range(3))  # the seeds, which found the group
-SPARES = ("10.0.0.2", "10.0.1.2")  # further control nodes, which wait for a seat
+CONTROLS = tuple(f"10.0.{zone}.1" for zone in range(3))  # the seeds, which form the initial group
+SPARES = ("10.0.0.2", "10.0.1.2")  # further control nodes, which wait to replace a voter
 SIDECARS = tuple(f"10.0.{zone}.{place}" for place in (11, 12) for zone in range(3))
-SERVICES = ("shop", "bank")  # of the first sidecar in each zone, of the second
+SERVICES = ("shop", "bank")  # of the first and of the second sidecar in each zone
 HOST = "mesh.test"
-RATIO, SLACK, WINDOW = 0.2, 6.0, 10.0
-KEY_WINDOW = 3.0  # so short that claims grow old more than once in a day
-GRACE = 6.0
-ROTATE_SLACK = 3.0  # seconds: as much as a client waits, and a little
-BOUNDS = Bounds(retry_ratio=RATIO, retry_slack=SLACK, retry_win_s=WINDOW, key_win_s=KEY_WINDOW, grace_s=GRACE)
+RETRY_RATIO, RETRY_SLACK, RETRY_WINDOW_S = 0.2, 6.0, 10.0
+KEY_WINDOW_S = 3.0  # short enough that claims expire more than once in a day
+GRACE_S = 6.0
+CLAIM_MARGIN_S = 3.0  # slightly longer than a client waits
+BOUNDS = Bounds(
+    retry_ratio=RETRY_RATIO,
+    retry_slack=RETRY_SLACK,
+    retry_win_s=RETRY_WINDOW_S,
+    key_win_s=KEY_WINDOW_S,
+    grace_s=GRACE_S,
+)
 
 
 def zone_of(ip: str) -> str:
@@ -51,7 +57,7 @@
 
 
 class Node:
-    """A machine and its program."""
+    """A machine and the program that it runs."""
 
     def __init__(self, site: Site, ip: str) -> None:
         self.site, self.loop, self.ip = site, site.loop, ip
@@ -71,31 +77,31 @@
     def start(self) -> None:
         self.machine.running = self.machine.powered = True
         self.starts += 1
-        self.site.network.again()
+        self.site.network.resume_stuck()
         self.loop.on(self.machine, self.begin)
 
     def begin(self) -> None:
         raise NotImplementedError
 
     def stop(self, power: bool = False) -> None:
-        """Its process is killed, or its power is lost."""
-        self.fallen(power)
+        """Kills the process, or cuts the power of the machine."""
+        self.on_stopped(power)
         self.machine.powered = not power
         self.loop.end(self.machine)
-        self.site.network.fallen(self.machine)
+        self.site.network.close_connections(self.machine)
 
-    def fallen(self, power: bool) -> None:
+    def on_stopped(self, power: bool) -> None:
         pass
 
 
 class ControlNode(Node):
-    shutdown_s = 1.3  # until it has ended after SIGTERM, at the latest
+    shutdown_s = 1.3  # maximum duration of a shutdown after SIGTERM
 
     def __init__(self, site: Site, ip: str) -> None:
         super().__init__(site, ip)
-        self.disk = SimDisk(site.sync)
+        self.disk = SimDisk(site.sync_s)
         self.server: ControlServer | None = None
-        self.leaving = False  # its calls are refused then
+        self.leaving = False  # after SIGTERM: calls are refused
         self.writer: SimWriter | None = None
 
     def begin(self) -> None:
@@ -103,22 +109,22 @@
             node=self.ip, mclass="core", ip=self.ip, az=zone_of(self.ip), region="r", init=self.starts == 1
         )
         server = self.server = self.site.make_control(
-            self.boot(own), cast(Store, SimStore(self.disk)), self._writer, self.loop.time
+            self.boot(own), cast(Store, SimStore(self.disk)), self._make_writer, self.loop.time
         )
         self._watch_state(server.state)
         self.site.network.listen(self.machine, lambda: Connection(server), self.ip, PORT)
-        self.loop.call_later(0.05, self._look, server)
+        self.loop.call_later(0.05, self._poll_stop_requested, server)
 
-    def _writer(self, store: Any, done: Any, trouble: Any, clock: Any) -> StorageWriter:
-        self.writer = SimWriter(self.loop, self.machine, self.disk, done, trouble, self._written)
+    def _make_writer(self, store: Any, done: Any, trouble: Any, clock: Any) -> StorageWriter:
+        self.writer = SimWriter(self.loop, self.machine, self.disk, done, trouble, self._on_write)
         return cast(StorageWriter, self.writer)
 
     def _watch_state(self, state: StateMachine) -> None:
-        """Says when an image was taken in, and when claims grew old."""
-        load, rotate = state.restore, state.claims.rotate
+        """Records when a snapshot was restored, and when the leader expired claims."""
+        restore, rotate = state.restore, state.claims.rotate
 
-        def loaded(snapshot: bytes) -> None:
-            load(snapshot)
+        def restored(snapshot: bytes) -> None:
+            restore(snapshot)
             self.site.record("image", self.ip, size=len(snapshot))
 
         def rotated() -> None:
@@ -126,23 +132,23 @@
             if self.leads:
                 self.site.record("rotated", self.ip)
 
-        state.restore, state.claims.rotate = loaded, rotated  # type: ignore[method-assign]
+        state.restore, state.claims.rotate = restored, rotated  # type: ignore[method-assign]
 
-    def _written(self) -> None:
+    def _on_write(self) -> None:
         for listener in list(self.site.writes):
             listener(self)
 
-    def _look(self, server: ControlServer) -> None:
-        """As its program does: it ends where it has found a promise broken."""
+    def _poll_stop_requested(self, server: ControlServer) -> None:
+        """Ends the process once the server has found an invariant violated, as the real program does."""
         if server.stop_requested.is_set():
             self.site.record("fault", self.ip, why=f"ended by itself: {server.failure!r}")
             self.loop.after(0.0, self.loop.world, self.stop)
             self.loop.after(1.0, self.loop.world, self.start)
             return
-        self.loop.call_later(0.05, self._look, server)
+        self.loop.call_later(0.05, self._poll_stop_requested, server)
 
     def leave(self) -> None:
-        """As its program does after SIGTERM; a second one changes nothing."""
+        """Starts the shutdown as the real program does on SIGTERM; a second signal has no effect."""
         if self.server is not None and not self.leaving:
             self.leaving = True
             self.loop.after(0.0, self.machine, self.server.begin_shutdown)
@@ -150,10 +156,10 @@
     def may_end(self, began: float) -> bool:
         return self.server is None or self.server.may_end.is_set()
 
-    def fallen(self, power: bool) -> None:
+    def on_stopped(self, power: bool) -> None:
         self.leaving = False
         if self.writer is not None:
-            self.writer.fall(self.site.lands if power else 0.5)
+            self.writer.abort(self.site.write_survival_probability if power else 0.5)
         self.server = self.writer = None
 
     @property
@@ -162,7 +168,7 @@
 
     @property
     def state(self) -> str:
-        """What a fault that strikes now strikes."""
+        """The role or condition of the node, which is recorded when a fault hits it."""
         if self.server is None:
             return "down"
         core = self.server.raft
@@ -170,27 +176,27 @@
             return core.role
         if core.role == "candidate":
             return "standing"
-        touch = (
+        in_contact = (
             core.in_contact_with_quorum(self.loop.now + self.machine.offset)
             and core.last_applied >= core.commit_index > 0
         )
-        return "follower" if touch else "recovering"
+        return "follower" if in_contact else "recovering"
 
     @property
     def has_partial_snapshot(self) -> bool:
-        """It has a part of a leader's image."""
+        """Whether it has received a part of a leader's snapshot."""
         return self.server is not None and self.server.raft.follower.incoming_snapshot is not None
 
 
 class SidecarNode(Node):
-    shutdown_s = GRACE
+    shutdown_s = GRACE_S
 
     def __init__(self, site: Site, ip: str, service: str) -> None:
         super().__init__(site, ip)
         self.service = service
         self.front: Sidecar | None = None
         self.server = Server(site, self)
-        self.clients: dict[Any, None] = {}  # in the order in which they came
+        self.clients: dict[Any, None] = {}  # in order of arrival
 
     def begin(self) -> None:
         own = SelfSettings(
@@ -202,15 +208,16 @@
             upstream="127.0.0.1:8080",
             svc=self.service,
         )
-        shelf = SimServerPool(self.loop, self.server, self.machine)
-        front = self.front = self.site.make_front(self.boot(own), 1_000 + self.starts, shelf)
-        front.random.seed(self.loop.random.getrandbits(32))  # its own seed has Python's hash of a text in it
+        server_pool = SimServerPool(self.loop, self.server, self.machine)
+        front = self.front = self.site.make_front(self.boot(own), 1_000 + self.starts, server_pool)
+        # Its default seed depends on Python's randomized string hash.
+        front.random.seed(self.loop.random.getrandbits(32))
         told = front.on_update
 
         def changed(config: bool, records: bool) -> None:
             told(config, records)
             if config and front.table is not None:
-                self._table(front)
+                self._record_table(front)
 
         front.on_update = changed  # type: ignore[method-assign]
         self._watch_claims(front)
@@ -223,14 +230,14 @@
         def watched(body: tuple[Any, ...], deadline: float, done: OnClaimed) -> None:
             def told(verdict: str, owner: str, name: bytes, digest: bytes) -> None:
                 self.site.record("claim", self.ip, key=body[0].hex(), verdict=verdict, owner=owner)
-                if self.machine.life == life:  # else it was killed right here
+                if self.machine.life == life:  # otherwise the recorded event triggered a kill
                     done(verdict, owner, name, digest)
 
             claim(body, deadline, told)
 
         front.controls.claim = watched  # type: ignore[method-assign]
 
-    def _table(self, front: Sidecar) -> None:
+    def _record_table(self, front: Sidecar) -> None:
         rows = {
             row.name: (row.version, row.body is not None)
             for row in front.controls.replica._rows.values()
@@ -239,16 +246,16 @@
         self.site.record("table", self.ip, life=self.starts, index=front.controls.replica.index, rows=rows)
 
     def leave(self) -> None:
-        """As its program does after SIGTERM; a second one changes nothing."""
+        """Starts the shutdown as the real program does on SIGTERM; a second signal has no effect."""
         if self.front is not None and not self.front.leaving:
-            schedule = ShutdownSchedule(self.loop.now + self.machine.offset, GRACE)
+            schedule = ShutdownSchedule(self.loop.now + self.machine.offset, GRACE_S)
             self.loop.after(0.0, self.machine, self.front.begin_shutdown, schedule)
 
     def may_end(self, began: float) -> bool:
         idle = self.front is None or not self.front.open_count()
-        return ShutdownSchedule(began, GRACE).may_end(self.loop.now, idle)
+        return ShutdownSchedule(began, GRACE_S).may_end(self.loop.now, idle)
 
-    def fallen(self, power: bool) -> None:
+    def on_stopped(self, power: bool) -> None:
         self.front = None
         self.server.reset_requests()
         for client in list(self.clients):
@@ -261,7 +268,7 @@
 
 
 class Site:
-    """All of it, on one loop."""
+    """All machines, the network and the history, on one loop."""
 
     def __init__(
         self,
@@ -277,13 +284,15 @@
         self.loop.failures = lambda who, what: self.record("fault", who, why=what)
         self.network = make_network(self.loop)
         self.make_control, self.make_front = make_control, make_front
-        self.sync = self.random.choice(((0.002, 0.012), (0.01, 0.06)))  # seconds of a write at its disks
-        self.lands = self.random.choice((0.0, 0.0, 0.5, 1.0))  # chance of a write when power is lost
+        # Range of the duration of a disk write.
+        self.sync_s = self.random.choice(((0.002, 0.012), (0.01, 0.06)))
+        # Probability that a write in flight at a power loss reaches the disk.
+        self.write_survival_probability = self.random.choice((0.0, 0.0, 0.5, 1.0))
         self.controls = [ControlNode(self, ip) for ip in controls]
         self.sidecars = [SidecarNode(self, ip, SERVICES[n // 3]) for n, ip in enumerate(SIDECARS)]
         nodes: list[ControlNode | SidecarNode] = [*self.controls, *self.sidecars]
         self.machines = {node.ip: node for node in nodes}
-        # Called when a write begins at a control node.
+        # Listeners that are called when a control node starts a disk write.
         self.writes: list[Callable[[ControlNode], None]] = []
 
     def record(self, what: str, who: str, **data: Any) -> None:
@@ -301,10 +310,11 @@
     def leader(self) -> ControlNode:
         return next((f for f in self.controls if f.leads and not f.machine.frozen), self.controls[0])
 
-    def taken_in(self) -> bool:
-        """Each voter runs under the name of its disk, that is agreed, and it is on each voter's disk.
+    def replicas_up_to_date(self) -> bool:
+        """Whether every voter runs with its own disk, and the membership is committed and on every voter's
+        disk.
 
-        Where there are spares, as many vote as founded the group.
+        The number of voters must equal the initial one, also if there are spare nodes.
         """
         core = next(
             (
--- a/rigs/simulation/planned_work.py
+++ b/rigs/simulation/planned_work.py
@@ -1,7 +1,7 @@
-"""Days of planned work and nothing else.
+"""Days with planned shutdowns and no other faults.
 
-Many sidecars are shut down at once, under load, and control nodes in turn, while servers are slow or fall
-silent and the configuration changes. Some clients wait longer than a shutdown takes.
+Many sidecars are shut down at once under load, and control nodes in turn, while servers are slow or stop
+answering and the configuration changes. Some clients wait longer than a shutdown takes.
 """
 
 from __future__ import annotations
@@ -9,26 +9,26 @@
 import random
 
 from rigs.simulation.clients import Clients, Operators
-from rigs.simulation.mesh import CONTROLS, GRACE, SIDECARS, Site
+from rigs.simulation.mesh import CONTROLS, GRACE_S, SIDECARS, Site
 from rigs.simulation.play import Action, Day, Played, play
 from rigs.simulation.schedule import SYNC_S, Fault
 
-FIRST_S, LAST_S = 3.0, 12.0  # of these days: the first SIGTERM, and the end of slow and silent servers
-DEADLINES = (1.5, 0.7 * GRACE, 1.2 * GRACE, 1.6 * GRACE)  # seconds: some end after the shutdown does
-TIMEOUT = 2.0 * GRACE
-CONTROL_RATE = 0.5  # of the days on which the control nodes are restarted, one after another
+FIRST_S, LAST_S = 3.0, 12.0  # the first SIGTERM, and the end of slow and silent servers
+DEADLINES_S = (1.5, 0.7 * GRACE_S, 1.2 * GRACE_S, 1.6 * GRACE_S)  # some are after the end of the shutdown
+TIMEOUT = 2.0 * GRACE_S
+CONTROL_RATE = 0.5  # share of days on which the control nodes are restarted, one after another
 
 
 def draw_planned_work(seed: int) -> tuple[list[Fault], Day]:
     """Draws which sidecars are shut down and when, and how servers and operators behave meanwhile."""
     draw = random.Random(seed ^ 0x51674E)
     schedule = []
-    at, until = FIRST_S + draw.uniform(0.0, 1.0), LAST_S - GRACE
+    at, until = FIRST_S + draw.uniform(0.0, 1.0), LAST_S - GRACE_S
     while at < until:
         spread = draw.choice((0.02, 0.5, 1.5))
         for target in draw.sample(range(len(SIDECARS)), draw.randrange(2, len(SIDECARS))):
             schedule.append(Fault(round(at + draw.uniform(0.0, spread), 3), "leave-sidecar", target))
-        at += GRACE + spread + draw.uniform(0.5, 1.5)
+        at += GRACE_S + spread + draw.uniform(0.5, 1.5)
     if draw.random() < CONTROL_RATE:
         first = FIRST_S + draw.uniform(0.0, 1.0)
         for number in range(len(CONTROLS)):
@@ -39,7 +39,7 @@
         every=draw.choice((0.2, 0.8)),
         quiet=9.0,
         failure_rate=draw.choice((0.0, 0.02)),
-        deadlines=DEADLINES,
+        deadlines=DEADLINES_S,
         timeout=TIMEOUT,
         actions=(
             (2.5, _servers(draw.choice((1.0, 6.0, 30.0)), draw.choice((0.0, 0.02, 0.1)))),
@@ -59,13 +59,13 @@
 
 
 def play_planned_work(seed: int) -> Played:
-    """Plays the day drawn from this seed."""
+    """Runs the day drawn from this seed."""
     schedule, day = draw_planned_work(seed)
     return play(seed, schedule, day)
 
 
 def main(argv: list[str]) -> None:
-    """`python -m rigs.simulation.planned_work FIRST COUNT`: what each of these days broke."""
+    """`python -m rigs.simulation.planned_work FIRST COUNT`: the rules that each of these days violated."""
     first, count = int(argv[0]), int(argv[1])
     broken = 0
     for seed in range(first, first + count):
--- a/rigs/simulation/planted_points.py
+++ b/rigs/simulation/planted_points.py
@@ -1,7 +1,7 @@
-"""Planted faults that the schedules of `rigs.simulation.points` must find.
+"""Planted programming errors that the schedules of `rigs.simulation.points` must detect.
 
-They stand on what the core shows to its shell, not on the names of its steps: a step that is renamed would
-leave a planted fault without effect.
+They override the public interface of the Raft core, not its internal steps: if a step were renamed, an
+override of it would have no effect.
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
 from rigs.simulation.planted_drawn import PLANTED, Patch
 
 
-class Unleased(RaftNode):
-    """A leader that takes all voters to be in touch for ever, and so its lease to last."""
+class EndlessLeaseNode(RaftNode):
+    """A leader that considers all voters in contact at any time, so that its lease never ends."""
 
     def tick(self, now: float) -> list[Action]:
         for progress in self.leader_state.peers.values():
@@ -40,8 +40,8 @@
         return self.is_leader
 
 
-class Presuming(RaftNode):
-    """Counts what was sent to a voter as held by it."""
+class SentIsHeldNode(RaftNode):
+    """Counts entries that were sent to a voter as stored by it."""
 
     def persisted(self, now: float, write_id: int) -> list[Action]:
         for progress in self.leader_state.peers.values():
@@ -49,8 +49,8 @@
         return super().persisted(now, write_id)
 
 
-class Credulous(RaftNode):
-    """Votes for whoever asks first, however short its log."""
+class VoteForAnyLogNode(RaftNode):
+    """Votes for the first candidate, even if its log is out of date."""
 
     def receive(self, now: float, source: str, message: Message) -> list[Action]:
         if isinstance(message, (PreVote, RequestVote)):
@@ -58,8 +58,8 @@
         return super().receive(now, source, message)
 
 
-class Clinging(RaftNode):
-    """Never gives the seat of a voter that is gone to another machine."""
+class KeepsLostVoterNode(RaftNode):
+    """Never replaces a voter that is gone."""
 
     def __init__(self, *args: Any, **more: Any) -> None:
         super().__init__(*args, **more)
@@ -67,26 +67,26 @@
         self.reconfiguration.policy.unresponsive_after_s = float("inf")
 
 
-class Impatient(RaftNode):
-    """Does not wait for voters that are silent: what it holds alone counts as agreed."""
+class SilentVotersAgreeNode(RaftNode):
+    """Does not wait for silent voters: entries that only it has stored are committed."""
 
     def persisted(self, now: float, write_id: int) -> list[Action]:
-        self._wave_through(now)
+        self._count_silent_voters(now)
         return super().persisted(now, write_id)
 
     def tick(self, now: float) -> list[Action]:
-        self._wave_through(now)
+        self._count_silent_voters(now)
         return super().tick(now)
 
-    def _wave_through(self, now: float) -> None:
+    def _count_silent_voters(self, now: float) -> None:
         for progress in self.leader_state.peers.values():
             if now - progress.last_response_at > 0.5 * self.timing.election_timeout:
                 progress.match_index = max(progress.match_index, self.log.durable)
                 progress.acknowledged_sent_at = now
 
 
-class Trusting(RaftNode):
-    """Takes any good answer of a voter for one to all that the leader holds."""
+class SuccessCoversAllNode(RaftNode):
+    """Takes any successful response of a voter as an acknowledgement of the leader's whole log."""
 
     def receive(self, now: float, source: str, message: Message) -> list[Action]:
         if isinstance(message, AppendEntriesResponse) and message.success:
@@ -95,17 +95,17 @@
 
 
 def _fetch_anywhere(server: ControlServer, done: Any) -> None:
-    """Every node answers reads from what it holds itself."""
+    """Every node answers reads from its own state."""
     done((server.state.items.fetch(), server.state.items.index))
 
 
 def _ready_when_fed(front: Sidecar) -> bool:
-    """With whatever configuration it has, from whomever."""
+    """A sidecar is ready with any configuration from any source."""
     return front.table is not None and not front.leaving
 
 
-def _any_result(proposals: Proposals, message: ForwardedResult) -> None:
-    """Takes the answer for the oldest that waits."""
+def _result_for_oldest(proposals: Proposals, message: ForwardedResult) -> None:
+    """Assigns a result to the oldest waiting call."""
     oldest = next(iter(proposals.forwarded), message.request_id)
     _ON_RESULT(proposals, structs.replace(message, request_id=oldest))
 
@@ -113,20 +113,20 @@
 _ON_RESULT = Proposals.on_forwarded_result
 
 
-def _refuses_equal(items: Items, row: Any) -> bool:
-    """Takes the same order for a rival of itself."""
+def _conflicts_with_itself(items: Items, row: Any) -> bool:
+    """Refuses a repeated order as a conflict with itself."""
     held = items._rows.get((row.section, row.name))
     return held is not None and row.version == held.version
 
 
-def _short_log(store: SimStore) -> Any:
-    """What a start finds lacks its last entries."""
+def _load_without_last(store: SimStore) -> Any:
+    """A restart loses the last log entries."""
     saved = store.disk.saved
     return None if saved is None else structs.replace(saved, entries=saved.entries[:-3])
 
 
-def _any_answer(copies: AttemptDispatcher, message: ops.Message) -> None:
-    """Takes a server's answer for that of the oldest call that is out."""
+def _answer_for_oldest(copies: AttemptDispatcher, message: ops.Message) -> None:
+    """Assigns a server's answer to the oldest outstanding call."""
     if message[0] == ops.ANSWER and copies.attempts:
         message = (message[0], next(iter(copies.attempts)), *message[2:])
     _ANSWER(copies, message)
@@ -135,7 +135,7 @@
 _ANSWER = AttemptDispatcher.handle_reply
 
 
-def _core(make: type[RaftNode]) -> Callable[[], list[Patch]]:
+def _replace_raft_node(make: type[RaftNode]) -> Callable[[], list[Patch]]:
     return lambda: [mock.patch.object(consensus_module, "RaftNode", make)]
 
 
@@ -145,32 +145,34 @@
 
 AT_POINTS: dict[str, dict[str, Callable[[], list[Patch]]]] = {
     CUT_OFF: {
-        "a lease that never ends": _core(Unleased),
-        "a majority counted without contact": _core(Presuming),
-        "a member that leads with old state": _core(Credulous),
+        "a lease that never ends": _replace_raft_node(EndlessLeaseNode),
+        "a majority counted without contact": _replace_raft_node(SentIsHeldNode),
+        "a member that leads with old state": _replace_raft_node(VoteForAnyLogNode),
         "reads answered by any node": lambda: [mock.patch.object(ControlServer, "fetch", _fetch_anywhere)],
         "ready with what a peer fed it": lambda: [mock.patch.object(Sidecar, "ready", _ready_when_fed)],
     },
     ONE_ORDER: {
         "both orders confirmed": lambda: [mock.patch.object(Items, "_conflicts", lambda *args: False)],
-        "a taken order refused": lambda: [mock.patch.object(Items, "_conflicts", _refuses_equal)],
+        "a taken order refused": lambda: [mock.patch.object(Items, "_conflicts", _conflicts_with_itself)],
         "a result without its number checked": lambda: [
-            mock.patch.object(Proposals, "on_forwarded_result", _any_result)
+            mock.patch.object(Proposals, "on_forwarded_result", _result_for_oldest)
         ],
     },
     SECOND_LOSS: {
-        "a seat kept too long": _core(Clinging),
-        "a sole copy let go": _core(Impatient),
-        "copies counted that are not there": _core(Trusting),
+        "a seat kept too long": _replace_raft_node(KeepsLostVoterNode),
+        "a sole copy let go": _replace_raft_node(SilentVotersAgreeNode),
+        "copies counted that are not there": _replace_raft_node(SuccessCoversAllNode),
         "a wiped disk that keeps its vote at a second loss": PLANTED["a wiped disk that keeps its vote"],
     },
     MANY_CHANGES: {
         "a snapshot without its last entries": PLANTED["an image without the last entries"],
-        "a restart that forgets its last entries": lambda: [mock.patch.object(SimStore, "load", _short_log)],
+        "a restart that forgets its last entries": lambda: [
+            mock.patch.object(SimStore, "load", _load_without_last)
+        ],
     },
     RIGHT_CALLER: {
         "an answer without its number checked": lambda: [
-            mock.patch.object(AttemptDispatcher, "handle_reply", _any_answer)
+            mock.patch.object(AttemptDispatcher, "handle_reply", _answer_for_oldest)
         ],
         "never left, claimed after a write": lambda: [mock.patch.object(Attempt, "fully_sent", False)],
         "a key freed that was sent": PLANTED["a key freed that may have run"],
--- a/rigs/simulation/points/isolation.py
+++ b/rigs/simulation/points/isolation.py
@@ -1,12 +1,12 @@
-"""A control node that is partitioned for twenty seconds while orders go on."""
+"""Isolates a control node for twenty seconds while orders continue."""
 
 from __future__ import annotations
 
 import random
 
 from rigs.simulation import order_checks
-from rigs.simulation.ctl import ControlClient
-from rigs.simulation.cuts import MODES, WAYS, Cut, cut_off, restart
+from rigs.simulation.control_client import ControlClient
+from rigs.simulation.cuts import DIRECTIONS, MODES, Cut, isolate, restart
 from rigs.simulation.mesh import CONTROLS, SPARES, ControlNode, Site
 from rigs.simulation.play import Played
 from rigs.simulation.points.orders import ORDER_ACTIONS
@@ -16,24 +16,27 @@
 
 
 def isolation_day(seed: int, waits: bool = False) -> Played:
-    """One control node is cut off for twenty seconds, and orders go on. `waits`: judges these, too."""
+    """Isolates one control node for twenty seconds while orders continue.
+
+    With `waits`, the time that calls wait for their answer is checked as well.
+    """
     draw = random.Random(seed ^ 0xC07)
     script = Script(seed, lost=draw.choice((0.0, 0.05)))
     at, target = FAULTS_FROM_S + draw.uniform(0.5, 1.0), TARGETS[seed % len(TARGETS)]
     combination = seed // len(TARGETS)
-    way, mode = WAYS[combination % len(WAYS)], MODES[combination // len(WAYS) % len(MODES)]
+    way, mode = DIRECTIONS[combination % len(DIRECTIONS)], MODES[combination // len(DIRECTIONS) % len(MODES)]
     restarts = draw.choice(((), (), (draw.uniform(0.1, 19.0),), (2.0, 9.0, 19.5)))
     cut = Cut(at, CUT_S, way, mode, restarts)
 
     def strike(site: Site, client: ControlClient) -> None:
         control = target_of(site, target, draw)
         client.site.record("target", control.ip, kind=target, way=way, mode=mode)
-        cut_off(site, control, cut)
+        isolate(site, control, cut)
 
     script.at(at, strike)
-    if draw.random() < 0.4:  # the one that returns may be the first to stand
+    if draw.random() < 0.4:  # the returning node may be the first candidate
         back = at + CUT_S + draw.choice((-0.05, 0.02, 0.1, 0.3))
-        script.at(back, lambda site, client: restart(site, site.leader(), away=1.0))
+        script.at(back, lambda site, client: restart(site, site.leader(), downtime_s=1.0))
     script.read_from(1.5, at + CUT_S + 4.0)
     for when in moments_around(draw, at, at + CUT_S + 3.0):
         draw.choice(ORDER_ACTIONS[:-1])(script, when)
@@ -43,7 +46,7 @@
 
 
 def target_of(site: Site, target: str, draw: random.Random) -> ControlNode:
-    """The control node that bears this role now."""
+    """The control node that has this role now."""
     leader = site.leader()
     if target == "leader":
         return leader
@@ -58,7 +61,7 @@
 
 
 def moments_around(draw: random.Random, since: float, until: float) -> list[float]:
-    """Around the cut's begin and end, and between."""
+    """Draws times around the start and the end of the partition, and in between."""
     near = [end + draw.choice((-0.01, 0.001, 0.01, 0.1, 0.3)) for end in (since, since + CUT_S)]
     at, between = since + 0.5, list[float]()
     while at < until:
--- a/rigs/simulation/size.py
+++ b/rigs/simulation/size.py
@@ -1,9 +1,9 @@
-"""Many sidecars at three control nodes, in virtual time: what a control node sends, hears and works for them.
+"""Many sidecars with three control nodes in virtual time: measures traffic and processor time.
 
-The control nodes are whole, with their agreement and disks. Of the sidecars it is the part that talks to
-control nodes; a few
-of them keep the list of servers, so that a thousand fit into memory, and all hear every word. Processor time
-is that of this process in a machine's callbacks, the model's write in place of the system's.
+The control nodes are complete, with consensus and disks. Of the sidecars only the part that talks to
+control nodes runs. All receive every message, but only a few keep the list of servers, so that a thousand
+fit into memory. Processor time is that of this process in a machine's callbacks, with simulated writes
+instead of system calls.
 """
 
 from __future__ import annotations
@@ -26,33 +26,34 @@
 from minthitch.mesh.transport.connection import Connection
 from minthitch.mesh.transport.framing import MAX_FRAME_PAYLOAD
 from rigs.simulation.history import History
-from rigs.simulation.loop import VirtualLoop, _Due
+from rigs.simulation.loop import VirtualLoop, _Scheduled
 from rigs.simulation.mesh import CONTROLS, PORT, ZONES, ControlNode, Node, Site, zone_of
 from rigs.simulation.network import End, Network
 
-KEEP = 20  # sidecars that keep the list
-BEAT_BYTES = 12  # a write up to this is a line's own beat
+LIST_KEEPERS = 20  # number of sidecars that keep the list of servers
+MAX_HEARTBEAT_BYTES = 12  # a write up to this size is a heartbeat of the connection
 SERVICES = 4
-SYNC = 0.005, 0.01  # seconds of a write of a control node's disk
-CONFIGURED, SIDECARS_AT, SPREAD = 1.5, 2.0, 1.0  # seconds; the sidecars start within the last
-SETTLED = 7.0  # seconds from the start until nothing moves any more
+SYNC_S = 0.005, 0.01  # duration of a write to a control node's disk
+# Seconds from the start; the sidecars start within START_SPREAD_S.
+CONFIGURED_AT_S, SIDECARS_START_AT_S, START_SPREAD_S = 1.5, 2.0, 1.0
+SETTLED_AT_S = 7.0  # from the start until the site is idle
 
 
-class Used(NamedTuple):
-    """What one machine did, or all of a kind."""
+class Usage(NamedTuple):
+    """Traffic and processor time of one machine, or the mean of several."""
 
-    words_in: float
-    words_out: float
-    beats_out: float
+    messages_in: float
+    messages_out: float
+    heartbeats_out: float
     bytes_in: float
     bytes_out: float
     busy: float  # seconds of processor time
 
-    def less(self, other: Used) -> Used:
-        return Used(*(a - b for a, b in zip(self, other, strict=True)))
+    def minus(self, other: Usage) -> Usage:
+        return Usage(*(a - b for a, b in zip(self, other, strict=True)))
 
-    def by(self, number: float) -> Used:
-        return Used(*(a / number for a in self))
+    def divided_by(self, number: float) -> Usage:
+        return Usage(*(a / number for a in self))
 
 
 class _Loop(VirtualLoop):
@@ -60,16 +61,16 @@
         super().__init__(seed)
         self.busy: Counter[str] = Counter()
 
-        self.own = _own_cost()
+        self.clock_overhead_ns = _clock_overhead_ns()
 
-    def _step(self, due: _Due) -> None:
+    def _step(self, due: _Scheduled) -> None:
         began = time.process_time_ns()
         super()._step(due)
-        self.busy[due.machine.name] += max(time.process_time_ns() - began - self.own, 0)
+        self.busy[due.machine.name] += max(time.process_time_ns() - began - self.clock_overhead_ns, 0)
 
 
-def _own_cost() -> int:
-    """Nanoseconds that two looks at the clock take: some systems take many."""
+def _clock_overhead_ns() -> int:
+    """Nanoseconds between two successive readings of the clock, which are many on some systems."""
     looks = [time.process_time_ns() for _ in range(2_001)]
     return int(median(b - a for a, b in pairwise(looks)))
 
@@ -78,55 +79,55 @@
     def __init__(self, loop: VirtualLoop) -> None:
         super().__init__(loop)
         self.sums: dict[str, Counter[str]] = defaultdict(Counter)
-        self.slow_to, self.slow_by = "", 0.0  # seconds for each long piece to that machine
+        self.slow_to, self.slow_by = "", 0.0  # extra delay of each full-size frame to that machine
 
     def send(self, end: End, item: Any) -> None:
         if isinstance(item, bytes):
             out = self.sums[end.ip]
             into = self.sums[end.peer.ip]
-            word = len(item) > BEAT_BYTES
-            out["words_out" if word else "beats_out"] += 1
+            is_message = len(item) > MAX_HEARTBEAT_BYTES
+            out["messages_out" if is_message else "heartbeats_out"] += 1
             out["bytes_out"] += len(item)
-            into["words_in"] += word
+            into["messages_in"] += is_message
             into["bytes_in"] += len(item)
-            if end.peer.ip == self.slow_to and len(item) >= MAX_FRAME_PAYLOAD:  # and what follows on it
-                end.floor = max(end.floor, self.loop.now) + self.slow_by
+            if end.peer.ip == self.slow_to and len(item) >= MAX_FRAME_PAYLOAD:  # delays all that follows too
+                end.earliest_arrival = max(end.earliest_arrival, self.loop.now) + self.slow_by
         super().send(end, item)
 
 
-class _Views(MergedViews):
-    """Notes when a record is told that is waited for; keeps the list or not."""
+class _RecordingViews(MergedViews):
+    """Records when an awaited record arrives; keeps the list of servers only if `keeps_list`."""
 
-    def __init__(self, sidecar: Told, keeps: bool) -> None:
+    def __init__(self, sidecar: ReportingSidecar, keeps_list: bool) -> None:
         super().__init__()
-        self.sidecar, self.keeps = sidecar, keeps
+        self.sidecar, self.keeps_list = sidecar, keeps_list
 
     def update(self, now: float, source: str, delta: RegistryDelta) -> bool:
         for record in delta.changed:
-            if (record.ip, record.server_id, record.state) in self.sidecar.crowd.wanted:
-                self.sidecar.crowd.note(self.sidecar.ip, record.ip)
-        return self.keeps and super().update(now, source, delta)
+            if (record.ip, record.server_id, record.state) in self.sidecar.large_site.awaited:
+                self.sidecar.large_site.record_update(self.sidecar.ip, record.ip)
+        return self.keeps_list and super().update(now, source, delta)
 
 
-class Told(Node):
+class ReportingSidecar(Node):
     """The part of a sidecar that talks to control nodes."""
 
-    def __init__(self, crowd: Crowd, ip: str, service: str, keeps: bool) -> None:
-        super().__init__(crowd, ip)
-        self.crowd, self.service, self.keeps = crowd, service, keeps
+    def __init__(self, site: LargeSite, ip: str, service: str, keeps_list: bool) -> None:
+        super().__init__(site, ip)
+        self.large_site, self.service, self.keeps_list = site, service, keeps_list
         self.seq, self.life, self.state = 0, 1, "up"
         self.controls: ControlLinks | None = None
         self.peers: list[Peer] = []
-        self.answers, self.losses, self.back = 0, list[str](), list[int]()
+        self.answers, self.losses, self.returned = 0, list[str](), list[int]()
 
     def begin(self) -> None:
-        self.crowd.network.listen(self.machine, lambda: Connection(self), self.ip, PORT)
+        self.large_site.network.listen(self.machine, lambda: Connection(self), self.ip, PORT)
         self.controls = ControlLinks(self, PORT, f"{self.ip}/1")
-        self.controls.views = _Views(self, self.keeps)
+        self.controls.views = _RecordingViews(self, self.keeps_list)
         self.controls.connect_to(CONTROLS)
 
     def lease_request(self) -> None:
-        """At rest nobody needs any slack."""
+        """An idle sidecar requests no lease."""
 
     def on_term(self, term: int) -> None:
         pass
@@ -134,21 +135,21 @@
     def on_lease(self, lease: object) -> None:
         pass
 
-    def be(self, life: int, state: str) -> None:
-        """Its server's new word, told at once."""
+    def set_server_state(self, life: int, state: str) -> None:
+        """Sets the state of its server, and reports it at once."""
         self.life, self.state = life, state
         if self.controls is not None:
-            self.crowd.loop.after(0.0, self.machine, self.controls.send_report)
+            self.large_site.loop.after(0.0, self.machine, self.controls.send_report)
 
-    def meet(self) -> None:
-        """Asks every other sidecar something, and keeps the lines."""
-        for other in self.crowd.told:
+    def connect_to_all(self) -> None:
+        """Sends a request to every other sidecar, and keeps the connections open."""
+        for other in self.large_site.reporters:
             if other is not self:
                 peer = Peer(self, other.ip, PORT, self.ip)
                 peer.send((ops.PEER_FETCH, 0), 0, lambda parcel: None)
                 self.peers.append(peer)
 
-    # What lines to other sidecars ask of their host
+    # Callbacks of connections to other sidecars
 
     def on_message(self, connection: Connection, message: ops.Message) -> None:
         if message[0] == ops.PEER_FETCH:
@@ -164,13 +165,13 @@
         self.losses.append(peer.ip)
 
     def on_unsent(self, idents: list[int]) -> None:
-        self.back += idents
+        self.returned += idents
 
-    # What Control nodes asks of its host
+    # Callbacks of ControlLinks
 
     def on_update(self, config: bool, records: bool) -> None:
-        if config and self.controls is not None and self.controls.replica.index >= self.crowd.index > 0:
-            self.crowd.note(self.ip, "config")
+        if config and self.controls is not None and self.controls.replica.index >= self.large_site.index > 0:
+            self.large_site.record_update(self.ip, "config")
 
     def report_fields(self) -> tuple[Any, ...]:
         self.seq += 1
@@ -195,42 +196,42 @@
         pass
 
 
-class Crowd(Site):
-    """Three control nodes and `count` sidecars."""
+class LargeSite(Site):
+    """A site with three control nodes and `count` sidecars."""
 
     def __init__(self, count: int, seed: int = 1, routes: int = 10) -> None:
-        self.loop = self.sized = _Loop(seed)
+        self.loop = self.metered_loop = _Loop(seed)
         self.random, self.history = self.loop.random, History()
         self.faults: list[str] = []
         self.loop.failures = lambda who, what: self.faults.append(f"{who}: {what}")
-        self.network = self.metered = _Network(self.loop)
-        self.make_control, self.sync = ControlServer, SYNC
+        self.network = self.metered_network = _Network(self.loop)
+        self.make_control, self.sync_s = ControlServer, SYNC_S
         self.routes = routes
         self.writes = []
         self.controls = [ControlNode(self, ip) for ip in CONTROLS]
-        self.told = [
-            Told(self, f"10.0.{n % len(ZONES)}.{10 + n}", f"svc-{n % SERVICES}", n < KEEP)
+        self.reporters = [
+            ReportingSidecar(self, f"10.0.{n % len(ZONES)}.{10 + n}", f"svc-{n % SERVICES}", n < LIST_KEEPERS)
             for n in range(count)
         ]
-        self.wanted: set[tuple[str, str, str]] = set()
+        self.awaited: set[tuple[str, str, str]] = set()
         self.index = 0
-        self.heard: dict[tuple[str, str], float] = {}  # sidecar and what it was told, first time
+        self.first_update_at: dict[tuple[str, str], float] = {}  # by sidecar and update
         self.acknowledged = 0.0
 
     def begin(self) -> None:
-        """Until all stand and nothing moves."""
+        """Runs until all machines have started and the site is idle."""
         for control in self.controls:
             self.loop.after(0.0, self.loop.world, control.start)
         with mock.patch.object(os, "urandom", self.random.randbytes):
-            self.loop.run_until(CONFIGURED)
+            self.loop.run_until(CONFIGURED_AT_S)
         self.patch(items(range(self.routes), 1))
-        self.loop.run_until(SIDECARS_AT)
-        for sidecar in self.told:
-            self.loop.after(self.random.uniform(0.0, SPREAD), self.loop.world, sidecar.start)
-        self.loop.run_until(SETTLED)
+        self.loop.run_until(SIDECARS_START_AT_S)
+        for sidecar in self.reporters:
+            self.loop.after(self.random.uniform(0.0, START_SPREAD_S), self.loop.world, sidecar.start)
+        self.loop.run_until(SETTLED_AT_S)
 
-    def note(self, sidecar: str, what: str) -> None:
-        self.heard.setdefault((sidecar, what), self.loop.now)
+    def record_update(self, sidecar: str, what: str) -> None:
+        self.first_update_at.setdefault((sidecar, what), self.loop.now)
 
     def patch(self, body: bytes) -> None:
         control = self.leader()
@@ -243,69 +244,76 @@
         assert server is not None
         self.acknowledged, self.index = self.loop.now, server.state.items.index
 
-    def spent(self, ips: tuple[str, ...] = CONTROLS) -> Used:
-        """So far, by each of these in the mean."""
+    def usage(self, ips: tuple[str, ...] = CONTROLS) -> Usage:
+        """The mean use of these machines so far."""
         sums: Counter[str] = Counter()
         for ip in ips:
-            sums.update(self.metered.sums[ip])
-        busy = sum(self.sized.busy[ip] for ip in ips) / 1e9
-        return Used(
-            sums["words_in"], sums["words_out"], sums["beats_out"], sums["bytes_in"], sums["bytes_out"], busy
-        ).by(len(ips))
-
-    def keepers(self) -> tuple[str, ...]:
-        return tuple(sidecar.ip for sidecar in self.told if sidecar.keeps)
-
-    def over(
+            sums.update(self.metered_network.sums[ip])
+        busy = sum(self.metered_loop.busy[ip] for ip in ips) / 1e9
+        return Usage(
+            sums["messages_in"],
+            sums["messages_out"],
+            sums["heartbeats_out"],
+            sums["bytes_in"],
+            sums["bytes_out"],
+            busy,
+        ).divided_by(len(ips))
+
+    def list_keepers(self) -> tuple[str, ...]:
+        return tuple(sidecar.ip for sidecar in self.reporters if sidecar.keeps_list)
+
+    def usage_during(
         self, seconds: float, action: Callable[[], None] = lambda: None, ips: tuple[str, ...] = CONTROLS
-    ) -> Used:
-        """What these spend in so many seconds from a action on."""
-        before = self.spent(ips)
+    ) -> Usage:
+        """The mean use of these machines in the given time after an action."""
+        before = self.usage(ips)
         action()
         self.loop.run_until(self.loop.now + seconds)
-        return self.spent(ips).less(before)
+        return self.usage(ips).minus(before)
 
-    # Deeds
+    # Actions
 
-    def meet(self, count: int) -> tuple[str, ...]:
-        """The last so many sidecars open a line to every other one."""
-        for sidecar in self.told[-count:]:
-            self.loop.after(0.0, sidecar.machine, sidecar.meet)
-        return tuple(sidecar.ip for sidecar in self.told[-count:])
+    def connect_to_all(self, count: int) -> tuple[str, ...]:
+        """Connects the last `count` sidecars to every other one; returns their addresses."""
+        for sidecar in self.reporters[-count:]:
+            self.loop.after(0.0, sidecar.machine, sidecar.connect_to_all)
+        return tuple(sidecar.ip for sidecar in self.reporters[-count:])
 
     def drain(self) -> None:
-        """One server's state."""
-        self._become(self.told[:1], "draining", 0.0)
+        """Changes the state of one server to draining."""
+        self._set_states(self.reporters[:1], "draining", 0.0)
 
     def replace(self, service: str, spread: float) -> None:
-        """All servers of a service get new lives within so many seconds."""
-        self._become([v for v in self.told if v.service == service], "up", spread)
+        """Replaces all servers of a service by new incarnations within `spread` seconds."""
+        self._set_states([v for v in self.reporters if v.service == service], "up", spread)
 
-    def _become(self, sidecars: list[Told], state: str, spread: float) -> None:
-        self.heard.clear()
+    def _set_states(self, sidecars: list[ReportingSidecar], state: str, spread: float) -> None:
+        self.first_update_at.clear()
         self.acknowledged = self.loop.now
-        self.wanted = set()
+        self.awaited = set()
         for sidecar in sidecars:
             life = sidecar.life + (state == "up")
-            self.wanted.add((sidecar.ip, f"{sidecar.ip}-{life}", state))
-            self.loop.after(self.random.uniform(0.0, spread), self.loop.world, sidecar.be, life, state)
+            self.awaited.add((sidecar.ip, f"{sidecar.ip}-{life}", state))
+            self.loop.after(
+                self.random.uniform(0.0, spread), self.loop.world, sidecar.set_server_state, life, state
+            )
 
     def change(self) -> None:
-        """One item of the configuration."""
-        self.heard.clear()
+        """Changes one item of the configuration."""
+        self.first_update_at.clear()
         self.acknowledged, self.index = 0.0, 1 << 60
         self.patch(items(range(1), 2))
 
     def delays(self) -> list[float]:
-        """Seconds from the acknowledgement until each sidecar was told, ascending."""
-        return sorted(max(at - self.acknowledged, 0.0) for at in self.heard.values())
+        """Seconds from the acknowledgement until each sidecar had the update, ascending."""
+        return sorted(max(at - self.acknowledged, 0.0) for at in self.first_update_at.values())
 
     def close(self) -> None:
         self.loop.close()
 
 
 def items(routes: range, version: int) -> bytes:
-    """A call with so many routes."""
+    """A call that sets these routes, and the services with version 1."""
     ver = f"{version:08x}"
     services = [{"Name": f"svc-{n}", "Ver": ver} for n in range(SERVICES)] if version == 1 else []
     listed = [
