--- a/minthitch/cli/lab.py
+++ b/minthitch/cli/lab.py
@@ -22,44 +22,32 @@
     subcommands.add_parser("list", help="list the built-in scenarios and what each expects")
     run = subcommands.add_parser("run", help="run a scenario with one or more seeds")
     _add_run_arguments(run)
-    run.add_argument(
-        "--chooser", default="minthitch", help="the policy to run: minthitch, or one of `lab rivals`"
-    )
+    run.add_argument("--chooser", default="minthitch", help="minthitch, or one of `lab rivals`")
     run.add_argument("--html", type=Path, metavar="FILE", help="write an HTML page of the runs")
     subcommands.add_parser("rivals", help="list the policies to compare with, and where each is described")
     sweep = subcommands.add_parser("sweep", help="run every combination of several values")
     _add_run_arguments(sweep)
     sweep.add_argument("--over", action="append", default=[], metavar="KEY=A,B,C", required=True)
     sweep.add_argument("--chooser", default="minthitch")
-    compare = subcommands.add_parser(
-        "compare", help="compare two choosers over the same seeds, paired, with confidence intervals"
-    )
+    compare = subcommands.add_parser("compare", help="compare two choosers over the same seeds")
     compare.add_argument("a")
     compare.add_argument("b")
     _add_run_arguments(compare, several=True)
-    compare.add_argument(
-        "--html", type=Path, metavar="FILE", help="write an HTML page that shows both together"
-    )
-    bisect = subcommands.add_parser(
-        "bisect", help="find the rate at which the share of worth falls below a target"
-    )
+    compare.add_argument("--html", type=Path, metavar="FILE", help="write an HTML page of both")
+    bisect = subcommands.add_parser("bisect", help="find the rate at which worth falls below a target")
     _add_run_arguments(bisect)
     bisect.add_argument("--chooser", default="minthitch")
     bisect.add_argument("--low", type=float, required=True)
     bisect.add_argument("--high", type=float, required=True)
     bisect.add_argument("--aim", type=float, default=0.99)
     bisect.add_argument("--steps", type=int, default=6)
-    replay = subcommands.add_parser(
-        "replay", help="print the events of one want (a caller's request, with its retries)"
-    )
+    replay = subcommands.add_parser("replay", help="print the events of one request and its retries")
     replay.add_argument("scenario")
     replay.add_argument("seed", type=int)
     replay.add_argument("--want", type=int, default=1, help="its number, in order of arrival (1)")
     replay.add_argument("--set", action="append", default=[], metavar="KEY=VALUE", dest="changes")
     replay.add_argument("--chooser", default="minthitch")
-    hunt = subcommands.add_parser(
-        "hunt", help="search generated days of the large fleet for one that fails its check"
-    )
+    hunt = subcommands.add_parser("hunt", help="search generated days for one that fails its check")
     hunt.add_argument("family", help="calm, roll, herd, zone, split, join; or all")
     hunt.add_argument("--seeds", type=int, default=20, metavar="N", help="days for each family (20)")
     hunt.add_argument(
@@ -70,7 +58,7 @@
         "--keep",
         type=Path,
         metavar="DIR",
-        help="write the worst failing day there, reduced to what makes it fail",
+        help="write the worst failing day there, reduced",
     )
     lab_mesh_days.add_to(subcommands)
     _add_load(subcommands)
