--- a/minthitch/cli/recovery.py
+++ b/minthitch/cli/recovery.py
@@ -90,16 +90,16 @@
 
 
 def _plot(logs: list[Path], out: Path, by_start: bool) -> int:
-    from minthitch.recovery.plot import page
-    from minthitch.recovery.seconds import read
+    from minthitch.recovery.plot import render_page
+    from minthitch.recovery.progress import parse_log
 
     try:
-        found = read(
+        found = parse_log(
             itertools.chain.from_iterable(path.read_text(errors="replace").splitlines() for path in logs)
         )
         if not found:
             raise ConfigError(f"recovery plot {os.fspath(logs[0])!r}: no node's log tells of a recovery")
-        out.write_text(page(found, by_start))
+        out.write_text(render_page(found, by_start))
     except OSError as err:
         raise ConfigError(f"recovery plot: {err}") from None
     print(f"{out}: {len(found)} nodes, {sum(map(len, found.values()))} seconds")
@@ -107,11 +107,11 @@
 
 
 def _inspect(path: Path, complete: bool) -> int:
-    from minthitch.recovery.frame import MOST_BODY, FrameError, decode
+    from minthitch.recovery.frame import MAX_BODY_BYTES, FrameError, decode
 
     try:
         with open(path, "rb") as file:
-            snapshot = decode(file.read(MOST_BODY + 64))
+            snapshot = decode(file.read(MAX_BODY_BYTES + 64))
     except (OSError, FrameError) as err:
         raise ConfigError(f"{path}: {err}") from None
     if complete:
--- a/minthitch/program.py
+++ b/minthitch/program.py
@@ -55,11 +55,11 @@
     recovery = None
     if config.recovery is not None:
         try:
-            from minthitch.recovery.attach import Recovery  # not loaded where it is off
+            from minthitch.recovery.runtime import Recovery  # not loaded where it is off
         except ImportError as err:
             raise ConfigError(f"recovery needs the extra `recovery`: {err}") from None
         recovery = Recovery(node.engine, config.recovery, config.name, node.log, node.list_heard)
-        node.servable = recovery.ready
+        node.servable = recovery.is_ready
     listener = None
     if config.operators is not None:
         from minthitch.operators.listener import Page, open_listener
--- a/minthitch/recovery/frame.py
+++ b/minthitch/recovery/frame.py
@@ -16,8 +16,8 @@
 
 MAGIC = b"MINTSNAP"
 VERSION = 1
-HEAD = struct.Struct(">8sHII")  # magic, version, length, checksum
-MOST_BODY = 8 * 1024 * 1024  # bytes
+HEADER = struct.Struct(">8sHII")  # magic, version, length, checksum
+MAX_BODY_BYTES = 8 * 1024 * 1024  # bytes
 
 
 class Fault(Enum):
@@ -45,11 +45,11 @@
 
 
 def encode(snapshot: Snapshot) -> bytes:
-    """Raises ValueError where it is larger than MOST_BODY."""
+    """Raises ValueError where it is larger than MAX_BODY_BYTES."""
     body = msgspec.msgpack.encode(snapshot)
-    if len(body) > MOST_BODY:
-        raise ValueError(f"a snapshot of {len(body)} bytes is over {MOST_BODY}")
-    return HEAD.pack(MAGIC, VERSION, len(body), _checksum(VERSION, body)) + body
+    if len(body) > MAX_BODY_BYTES:
+        raise ValueError(f"a snapshot of {len(body)} bytes is over {MAX_BODY_BYTES}")
+    return HEADER.pack(MAGIC, VERSION, len(body), _checksum(VERSION, body)) + body
 
 
 def decode(data: bytes) -> Snapshot:
@@ -58,12 +58,12 @@
         raise FrameError(Fault.EMPTY)
     if not data.startswith(MAGIC[: len(data)]):
         raise FrameError(Fault.FOREIGN)
-    if len(data) < HEAD.size:
+    if len(data) < HEADER.size:
         raise FrameError(Fault.TORN)
-    _, version, length, checksum = HEAD.unpack_from(data)
+    _, version, length, checksum = HEADER.unpack_from(data)
     if version > VERSION:
         raise FrameError(Fault.NEWER, f"{version} over {VERSION}")
-    body = data[HEAD.size :]
+    body = data[HEADER.size :]
     if len(body) < length:
         raise FrameError(Fault.TORN)
     if len(body) > length:
--- a/minthitch/recovery/model.py
+++ b/minthitch/recovery/model.py
@@ -9,15 +9,15 @@
 
 from minthitch.interface import RequestClass, Settings
 
-MOST_ROWS = 20_000  # of servers, kinds, classes or hosts in a snapshot
-MOST_RATE = 1e6  # calls a second that a server may be said to answer one node
+MAX_ROWS = 20_000  # of servers, kinds, classes or hosts in a snapshot
+MAX_RATE = 1e6  # calls a second that a server may be said to answer one node
 
 Text = Annotated[str, msgspec.Meta(max_length=256)]
 Nanoseconds = Annotated[int, msgspec.Meta(ge=0, le=1 << 62)]
 Count = Annotated[float, msgspec.Meta(ge=0.0, le=1e12)]
 
 
-class Times(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class EvidenceSums(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Evidence over outcomes: sums as they were when the snapshot was made (policy.Evidence)."""
 
     trials: Count
@@ -50,13 +50,15 @@
     up: Nanoseconds
     siblings: Annotated[int, msgspec.Meta(ge=1, le=1 << 20)]
     cold: Text  # digest of the cold rules that it was learned under
-    classes: Annotated[dict[Text, tuple[Text, Times]], msgspec.Meta(max_length=MOST_ROWS)]  # digest, times
-    kinds: Annotated[dict[Text, Times], msgspec.Meta(max_length=MOST_ROWS)]
-    rate: Annotated[float, msgspec.Meta(ge=0.0, le=MOST_RATE)] = 0.0  # a warm server's answers a second here
+    classes: Annotated[
+        dict[Text, tuple[Text, EvidenceSums]], msgspec.Meta(max_length=MAX_ROWS)
+    ]  # digest, times
+    kinds: Annotated[dict[Text, EvidenceSums], msgspec.Meta(max_length=MAX_ROWS)]
+    rate: Annotated[float, msgspec.Meta(ge=0.0, le=MAX_RATE)] = 0.0  # a warm server's answers a second here
     listed_wall: Nanoseconds = 0  # when discovery last told of the list; 0 = never
     listed_up: Nanoseconds = 0
     seq: Annotated[int, msgspec.Meta(ge=0, le=1 << 62)] = 0
-    hosts: Annotated[tuple[HostRow, ...], msgspec.Meta(max_length=MOST_ROWS)] = ()
+    hosts: Annotated[tuple[HostRow, ...], msgspec.Meta(max_length=MAX_ROWS)] = ()
 
 
 def _digest(*parts: object) -> str:
--- a/minthitch/recovery/asker.py
+++ b/minthitch/recovery/peer_client.py
@@ -10,36 +10,36 @@
 
 import msgspec
 
-from minthitch.recovery.hearsay import Word
+from minthitch.recovery.peer_reports import PeerReport
 
 TARGET = "/recovery/known"
-MOST_ANSWER = 16 * 1024  # bytes
+MAX_RESPONSE_BYTES = 16 * 1024  # bytes
 
 
-async def _ask(host: str, port: int) -> Word:
-    reader, writer = await asyncio.open_connection(host, port, limit=MOST_ANSWER)
+async def _query(host: str, port: int) -> PeerReport:
+    reader, writer = await asyncio.open_connection(host, port, limit=MAX_RESPONSE_BYTES)
     try:
         writer.write(f"GET {TARGET} HTTP/1.1\r\nHost: {host}:{port}\r\nConnection: close\r\n\r\n".encode())
         data = b""
-        while part := await reader.read(MOST_ANSWER):
+        while part := await reader.read(MAX_RESPONSE_BYTES):
             data += part
-            if len(data) > MOST_ANSWER:
-                raise ValueError(f"over {MOST_ANSWER} bytes")
+            if len(data) > MAX_RESPONSE_BYTES:
+                raise ValueError(f"over {MAX_RESPONSE_BYTES} bytes")
     finally:
         writer.transport.abort()
     head, _, body = data.partition(b"\r\n\r\n")
     if head.split(b" ", 2)[1:2] != [b"200"]:
         raise ValueError("not a 200")
-    return msgspec.json.decode(body, type=Word)
+    return msgspec.json.decode(body, type=PeerReport)
 
 
-async def ask_all(peers: Sequence[tuple[str, int]], within: float) -> list[Word]:
+async def query_peers(peers: Sequence[tuple[str, int]], within: float) -> list[PeerReport]:
     """The words of those who answer within so many seconds. Never raises for what a peer does."""
 
-    async def one(host: str, port: int) -> Word | None:
+    async def one(host: str, port: int) -> PeerReport | None:
         try:
             async with asyncio.timeout(within):
-                return await _ask(host, port)
+                return await _query(host, port)
         except (OSError, TimeoutError, ValueError, RecursionError):  # msgspec's errors are ValueErrors
             return None
 
--- a/minthitch/recovery/hearsay.py
+++ b/minthitch/recovery/peer_reports.py
@@ -14,27 +14,27 @@
 import msgspec
 
 from minthitch.interface import SECOND, Settings
-from minthitch.recovery.model import MOST_RATE, Nanoseconds, Text, cold_digest
-from minthitch.recovery.trust import TIMES_LEAST, Terms, Verdict
+from minthitch.recovery.model import MAX_RATE, Nanoseconds, Text, cold_digest
+from minthitch.recovery.trust import MIN_EVIDENCE_WEIGHT, AgeLimits, Verdict
 
-MOST_ASKED = 32  # of them asked at once, drawn at random: 200 nodes that all ask all would be a storm
-LEAST_WORDS = 2  # what a single node says is believed of nobody
-LIVE_FOR = 10 * SECOND  # how long a count of those who answered is news
-MOST_OVER = 4  # times `siblings` up to which answers may raise it
+MAX_PEERS_ASKED = 32  # of them asked at once, drawn at random: 200 nodes that all ask all would be a storm
+MIN_REPORTS = 2  # what a single node says is believed of nobody
+ESTIMATE_TTL = 10 * SECOND  # how long a count of those who answered is news
+MAX_SIBLINGS_FACTOR = 4  # times `siblings` up to which answers may raise it
 
 
-class Word(msgspec.Struct, frozen=True):
+class PeerReport(msgspec.Struct, frozen=True):
     """What one node says. Ages are spans of its own clock; the clocks of nodes are never compared."""
 
     cluster: Text
     node: Text
     cold: Text
     siblings: Annotated[int, msgspec.Meta(ge=1, le=1 << 20)]
-    rate: Annotated[float, msgspec.Meta(ge=0.0, le=MOST_RATE)] = 0.0  # 0: it knows nothing
+    rate: Annotated[float, msgspec.Meta(ge=0.0, le=MAX_RATE)] = 0.0  # 0: it knows nothing
     age: Nanoseconds = 0
 
 
-class Heard(msgspec.Struct, frozen=True):
+class PeerEstimate(msgspec.Struct, frozen=True):
     """What is believed: a rate (0 = nothing), and how many nodes to reckon with."""
 
     rate: float
@@ -42,15 +42,15 @@
     verdicts: tuple[Verdict, ...]
 
 
-def believe(
-    words: Sequence[Word],
+def merge_reports(
+    words: Sequence[PeerReport],
     own: tuple[float, int] | None,
     asked: int,
     peers: int,
     settings: Settings,
     cluster: str,
-    terms: Terms,
-) -> Heard:
+    terms: AgeLimits,
+) -> PeerEstimate:
     """Of `words` from `asked` of all `peers`; `own` is this node's kept rate and its age. Total."""
     verdicts = list[Verdict]()
     named = {word.node: word for word in words if word.cluster == cluster}  # one word a node
@@ -64,8 +64,8 @@
     if own is not None and own[0] > 0:
         told.append(own)
     rate = 0.0
-    if len(told) >= LEAST_WORDS or (own is not None and own[0] > 0):
-        rate = _median([(value, math.pow(TIMES_LEAST, age / terms.keep_for)) for value, age in told])
+    if len(told) >= MIN_REPORTS or (own is not None and own[0] > 0):
+        rate = _median([(value, math.pow(MIN_EVIDENCE_WEIGHT, age / terms.keep_for)) for value, age in told])
     verdicts.append(
         Verdict(
             "peers' rate",
@@ -73,7 +73,7 @@
             f"{rate:.2f} calls a second, by {len(told)} of {len(named) + 1} nodes, {asked} of {peers} asked",
         )
     )
-    return Heard(rate, _siblings(len(named), asked, peers, settings.siblings), tuple(verdicts))
+    return PeerEstimate(rate, _siblings(len(named), asked, peers, settings.siblings), tuple(verdicts))
 
 
 def _median(weighted: list[tuple[float, float]]) -> float:
@@ -89,4 +89,4 @@
 def _siblings(live: int, asked: int, peers: int, told: int) -> int:
     """This node, and of all peers the part that answered; never fewer than the settings say."""
     count = 1 + (round(peers * live / asked) if asked else 0)
-    return min(max(count, told), MOST_OVER * told)
+    return min(max(count, told), MAX_SIBLINGS_FACTOR * told)
--- a/minthitch/recovery/plot.py
+++ b/minthitch/recovery/plot.py
@@ -7,10 +7,10 @@
 from collections.abc import Mapping, Sequence
 
 from minthitch.recovery.phases import Phase
-from minthitch.recovery.seconds import Line
+from minthitch.recovery.progress import ProgressLine
 
 WIDTH, HEIGHT, ROW, LEFT = 900, 160, 18, 150  # pixels
-MOST_SECONDS = 600  # drawn; what comes behind is left out, and said
+MAX_SECONDS = 600  # drawn; what comes behind is left out, and said
 COLOURS = {
     Phase.DARK: "#333",
     Phase.LISTED: "#b55",
@@ -21,7 +21,7 @@
 STYLE = "body{font:14px sans-serif;margin:2em}text{font:11px sans-serif}svg{display:block}"
 
 
-def page(logs: Mapping[str, Sequence[Line]], by_start: bool = False) -> str:
+def render_page(logs: Mapping[str, Sequence[ProgressLine]], by_start: bool = False) -> str:
     """HTML without anything from elsewhere. `by_start` puts the nodes' starts together and not their clocks,
     which need not agree.
     """
@@ -31,9 +31,9 @@
         for name, lines in sorted(logs.items())
     }
     seconds = max((second + 1 for rows in placed.values() for second, _ in rows), default=0)
-    shown = min(seconds, MOST_SECONDS)
+    shown = min(seconds, MAX_SECONDS)
     classes = sorted({cls for rows in placed.values() for _, line in rows for cls in line.classes})
-    parts = [_phases(placed, shown), *(_class(cls, placed, shown) for cls in classes)]
+    parts = [_phase_chart(placed, shown), *(_class_chart(cls, placed, shown) for cls in classes)]
     note = f"<p>{seconds - shown} seconds more are not drawn.</p>" if seconds > shown else ""
     clock = "seconds since each node's start" if by_start else "seconds by the nodes' clocks"
     return (
@@ -42,7 +42,7 @@
     )
 
 
-def _phases(placed: Mapping[str, Sequence[tuple[int, Line]]], seconds: int) -> str:
+def _phase_chart(placed: Mapping[str, Sequence[tuple[int, ProgressLine]]], seconds: int) -> str:
     step = (WIDTH - LEFT) / max(seconds, 1)
     drawn = []
     for row, (name, lines) in enumerate(placed.items()):
@@ -62,7 +62,7 @@
     )
 
 
-def _class(cls: str, placed: Mapping[str, Sequence[tuple[int, Line]]], seconds: int) -> str:
+def _class_chart(cls: str, placed: Mapping[str, Sequence[tuple[int, ProgressLine]]], seconds: int) -> str:
     """Answers of all nodes in each second: served at the bottom, failed and refused on it."""
     sums = [Counter[int]() for _ in range(3)]
     for lines in placed.values():
--- a/minthitch/recovery/cycle.py
+++ b/minthitch/recovery/write_schedule.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-SLOWEST = 12  # times the usual pause at most, while writing fails
+MAX_BACKOFF = 12  # times the usual pause at most, while writing fails
 
 
 @dataclass(frozen=True, slots=True)
@@ -15,25 +15,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class LogLine:
     """A line for the log."""
 
     text: str
 
 
-class Cycle:
+class WriteSchedule:
     """One write at a time; a failing disk is tried less and less often, and costs the snapshot only."""
 
-    def __init__(self, every: int, generation: int, now: int) -> None:
-        self.every, self.generation = every, generation
-        self.next = now + every  # ns
+    def __init__(self, interval: int, generation: int, now: int) -> None:
+        self.interval, self.generation = interval, generation
+        self.next_at = now + interval  # ns
         self.writing = False
         self.failures = 0
         self.ending = False
         self.written_at: int | None = None
 
     def tick(self, now: int) -> Write | None:
-        if self.writing or self.ending or now < self.next:
+        if self.writing or self.ending or now < self.next_at:
             return None
         return self._write()
 
@@ -47,15 +47,15 @@
         self.generation += 1
         return Write(self.generation)
 
-    def written(self, now: int) -> Say | None:
+    def written(self, now: int) -> LogLine | None:
         self.writing, self.written_at = False, now
         failures, self.failures = self.failures, 0
-        self.next = now + self.every
-        return Say(f"snapshots are written again, after {failures} that failed") if failures else None
+        self.next_at = now + self.interval
+        return LogLine(f"snapshots are written again, after {failures} that failed") if failures else None
 
-    def failed(self, now: int, why: str) -> Say | None:
+    def failed(self, now: int, why: str) -> LogLine | None:
         """Said once, until one is written again."""
         self.writing = False
         self.failures += 1
-        self.next = now + self.every * min(1 << min(self.failures, 10), SLOWEST)
-        return Say(f"the snapshot is not written: {why}") if self.failures == 1 else None
+        self.next_at = now + self.interval * min(1 << min(self.failures, 10), MAX_BACKOFF)
+        return LogLine(f"the snapshot is not written: {why}") if self.failures == 1 else None
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -23,17 +23,17 @@
 
 from minthitch import ConfigError, operatorfile
 from minthitch.interface import SECOND, ListKind, ServerEntry
-from minthitch.recovery.asker import ask_all
-from minthitch.recovery.cycle import SLOWEST, Cycle
-from minthitch.recovery.frame import HEAD, VERSION, Fault, FrameError, decode, encode
-from minthitch.recovery.hearsay import Word, believe
-from minthitch.recovery.learned import class_times, rate, recollect
-from minthitch.recovery.model import HostRow, Snapshot, Times, class_digest, cold_digest
-from minthitch.recovery.phases import Phase, Phases, Seen
-from minthitch.recovery.plot import page
-from minthitch.recovery.seconds import MARK, Line, Seconds, read
-from minthitch.recovery.store import Store, youngest
-from minthitch.recovery.trust import Now, Terms, Trusted, judge
+from minthitch.recovery.frame import HEADER, VERSION, Fault, FrameError, decode, encode
+from minthitch.recovery.learned import class_evidence, restore, warm_rate
+from minthitch.recovery.model import EvidenceSums, HostRow, Snapshot, class_digest, cold_digest
+from minthitch.recovery.peer_client import query_peers
+from minthitch.recovery.peer_reports import PeerReport, merge_reports
+from minthitch.recovery.phases import Observation, Phase, PhaseTracker
+from minthitch.recovery.plot import render_page
+from minthitch.recovery.progress import LINE_PREFIX, ProgressLine, ProgressLog, parse_log
+from minthitch.recovery.store import Store, newest
+from minthitch.recovery.trust import AgeLimits, NodeContext, Trusted, evaluate
+from minthitch.recovery.write_schedule import MAX_BACKOFF, WriteSchedule
 from rigs.cluster.cluster import Cluster
 from rigs.cluster.play import play
 from rigs.cluster.powerloss import MAKE, TABLE, WANTS
@@ -48,7 +48,7 @@
 SETUP = settings(cold_share=0.25, cold_time=9 * SECOND, siblings=4)
 HOUR = 3_600 * SECOND
 THEN = 1_700_000_000 * SECOND
-TIMES = Times(40.0, 38.0, 38.0, 4.0)
+TIMES = EvidenceSums(40.0, 38.0, 38.0, 4.0)
 KEPT = Snapshot(
     "lahore",
     "n1",
@@ -100,7 +100,7 @@
 
 @given(st.binary(max_size=200))
 def test_any_bytes_are_judged(data: bytes) -> None:
-    for each in (data, DATA[: HEAD.size] + data):
+    for each in (data, DATA[: HEADER.size] + data):
         try:
             decode(each)
         except FrameError:
@@ -110,20 +110,20 @@
 
 def test_a_crash_while_one_is_written_leaves_the_one_before(tmp_path: Path) -> None:
     store = Store(tmp_path, "n1")
-    assert youngest(store.read()) is None
+    assert newest(store.read()) is None
     for generation in (1, 2, 3):
         store.write(change(KEPT, generation=generation))
     for size in range(0, len(DATA), 7):  # the fourth was on its way: beside the files, or over the older one
-        for path in (tmp_path / "n1.a.new", store.paths[1 - store.last]):
+        for path in (tmp_path / "n1.a.new", store.paths[1 - store.newest_slot]):
             path.write_bytes(DATA[:size])
-            best = youngest(Store(tmp_path, "n1").read())
+            best = newest(Store(tmp_path, "n1").read())
             assert best is not None and best.snapshot == change(KEPT, generation=3)
     again = Store(tmp_path, "n1")
     again.read()
     again.write(change(KEPT, generation=4))
-    best = youngest(again.read())
+    best = newest(again.read())
     assert best is not None and best.snapshot is not None and best.snapshot.generation == 4
-    assert again.forget() == 2 and youngest(again.read()) is None
+    assert again.forget() == 2 and newest(again.read()) is None
 
 
 WRITER = """
@@ -153,7 +153,7 @@
         writer.wait()
         last = max([*told, *map(int, writer.stdout.read().split())])
         writer.stdout.close()
-        best = youngest(Store(tmp_path, "n1").read())
+        best = newest(Store(tmp_path, "n1").read())
         assert best is not None and best.snapshot is not None
         assert last <= best.snapshot.generation <= last + 1
         Store(tmp_path, "n1").forget()
@@ -170,12 +170,12 @@
     for _ in range(3):
         with pytest.raises(OSError, match="No space"):
             store.write(change(KEPT, generation=8))
-    best = youngest(store.read())
+    best = newest(store.read())
     assert best is not None and best.snapshot == KEPT and not list(tmp_path.glob("*.new"))
 
 
 def test_a_disk_that_fails_is_said_once_and_tried_less_and_less() -> None:
-    cycle, now, tries, said = Cycle(5, 3, 0), 0, list[int](), list[str]()
+    cycle, now, tries, said = WriteSchedule(5, 3, 0), 0, list[int](), list[str]()
     while now < 400:
         action = cycle.tick(now)
         if action is not None:
@@ -184,12 +184,12 @@
             said += [line.text] if line is not None else []
         now += 1
     pauses = [b - a for a, b in zip(tries, tries[1:], strict=False)]
-    assert pauses[:3] == [10, 20, 40] and max(pauses) == 5 * SLOWEST and pauses[-1] == 5
+    assert pauses[:3] == [10, 20, 40] and max(pauses) == 5 * MAX_BACKOFF and pauses[-1] == 5
     assert len(said) == 2 and "disk full" in said[0] and "again" in said[1]
     assert cycle.tick(401) or cycle.end()
 
 
-AGES: list[tuple[str, Callable[[Snapshot, Now], tuple[Snapshot, Now]], set[str]]] = [
+AGES: list[tuple[str, Callable[[Snapshot, NodeContext], tuple[Snapshot, NodeContext]], set[str]]] = [
     (
         "at once, on the same boot",
         lambda s, n: (s, replace(n, boot="boot-1", up=s.up + SECOND // 4)),
@@ -219,28 +219,28 @@
 
 @pytest.mark.parametrize(("name", "turn", "taken"), AGES, ids=[name for name, _, _ in AGES])
 def test_what_is_trusted(
-    name: str, turn: Callable[[Snapshot, Now], tuple[Snapshot, Now]], taken: set[str]
+    name: str, turn: Callable[[Snapshot, NodeContext], tuple[Snapshot, NodeContext]], taken: set[str]
 ) -> None:
-    kept, now = turn(KEPT, Now("lahore", "boot-2", THEN + SECOND // 10, 5 * SECOND))
-    found = judge(kept, now, SETUP, Terms())
+    kept, now = turn(KEPT, NodeContext("lahore", "boot-2", THEN + SECOND // 10, 5 * SECOND))
+    found = evaluate(kept, now, SETUP, AgeLimits())
     assert {verdict.part for verdict in found.verdicts if verdict.taken} == taken
     assert (found.hosts is not None) == ("list" in taken) and (found.rate > 0) == ("rate" in taken)
     assert all(verdict.why for verdict in found.verdicts)
 
 
 def test_old_lists_are_used_only_for_as_long_as_the_operator_says() -> None:
-    now = Now("lahore", "boot-2", THEN + 600 * SECOND, 5 * SECOND)
+    now = NodeContext("lahore", "boot-2", THEN + 600 * SECOND, 5 * SECOND)
     for lists_for, used in ((0, False), (599 * SECOND, False), (601 * SECOND, True)):
-        found = judge(KEPT, now, SETUP, Terms(lists_for=lists_for))
+        found = evaluate(KEPT, now, SETUP, AgeLimits(lists_for=lists_for))
         assert (found.hosts is not None) == used
 
 
 def test_kept_rates_go_with_the_number_of_nodes_and_fade() -> None:
-    now = Now("lahore", "boot-2", THEN, 0)
-    assert judge(KEPT, now, SETUP, Terms()).rate == pytest.approx(20.0)
-    assert judge(KEPT, now, replace(SETUP, siblings=8), Terms()).rate == pytest.approx(10.0)
-    assert judge(KEPT, now, replace(SETUP, siblings=2), Terms()).rate == pytest.approx(20.0)
-    assert judge(KEPT, replace(now, wall=THEN + 12 * HOUR), SETUP, Terms()).rate < 7.0
+    now = NodeContext("lahore", "boot-2", THEN, 0)
+    assert evaluate(KEPT, now, SETUP, AgeLimits()).rate == pytest.approx(20.0)
+    assert evaluate(KEPT, now, replace(SETUP, siblings=8), AgeLimits()).rate == pytest.approx(10.0)
+    assert evaluate(KEPT, now, replace(SETUP, siblings=2), AgeLimits()).rate == pytest.approx(20.0)
+    assert evaluate(KEPT, replace(now, wall=THEN + 12 * HOUR), SETUP, AgeLimits()).rate < 7.0
 
 
 @given(
@@ -254,12 +254,16 @@
     per_second: float, trials: float, time: float, wall: int, siblings: int
 ) -> None:
     kept = change(
-        KEPT, rate=per_second, wall=wall, siblings=siblings, kinds={"k": Times(trials, 1e12, trials, time)}
+        KEPT,
+        rate=per_second,
+        wall=wall,
+        siblings=siblings,
+        kinds={"k": EvidenceSums(trials, 1e12, trials, time)},
     )
-    found = judge(kept, Now("lahore", "", THEN, 0), SETUP, Terms())
+    found = evaluate(kept, NodeContext("lahore", "", THEN, 0), SETUP, AgeLimits())
     node = Crew(SETUP, 1, {}, 1).nodes[0]
-    recollect(node.balancer, node.now, found, lambda name: 0)
-    assert 0 <= rate(node.balancer, node.now) <= 1e6
+    restore(node.balancer, node.now, found, lambda name: 0)
+    assert 0 <= warm_rate(node.balancer, node.now) <= 1e6
     assert all(t.trials <= 4.0 + 1e-6 and t.hits <= t.trials for t in found.kinds.values())
 
 
@@ -272,11 +276,11 @@
     fleet = cold_crew(seed, 6, 12, 6)
     for node, old in zip(fleet.nodes, before.nodes, strict=True):
         if off is not None:
-            times = {name: times for name, (_, times) in class_times(old.balancer, old.setup).items()}
-            recollect(
+            times = {name: times for name, (_, times) in class_evidence(old.balancer, old.setup).items()}
+            restore(
                 node.balancer,
                 node.now,
-                Trusted(rate=off * rate(old.balancer, old.now), classes=times),
+                Trusted(rate=off * warm_rate(old.balancer, old.now), classes=times),
                 lambda name: 0,
             )
     fleet.run(2 * SECOND, 0.6 * 20.0 * 12, (SAFE,))
@@ -300,8 +304,8 @@
 COLD = cold_digest(SETUP)
 
 
-def word(node: str, said: float, age: int = 0, **changes: Any) -> Word:
-    return change(Word("lahore", node, COLD, 4, said, age), **changes)
+def word(node: str, said: float, age: int = 0, **changes: Any) -> PeerReport:
+    return change(PeerReport("lahore", node, COLD, 4, said, age), **changes)
 
 
 @pytest.mark.parametrize(
@@ -325,9 +329,9 @@
     ],
 )
 def test_what_is_believed_of_others(
-    words: list[Word], own: tuple[float, int] | None, believed: float
+    words: list[PeerReport], own: tuple[float, int] | None, believed: float
 ) -> None:
-    heard = believe(words, own, 8, 8, SETUP, "lahore", Terms())
+    heard = merge_reports(words, own, 8, 8, SETUP, "lahore", AgeLimits())
     assert heard.rate == pytest.approx(believed)
     assert heard.siblings >= SETUP.siblings and all(verdict.why for verdict in heard.verdicts)
 
@@ -339,8 +343,8 @@
 def test_one_liar_decides_nothing(lie: float, said: list[tuple[str, float, int]]) -> None:
     """With three honest nodes that agree, whatever one other says; and any words are judged."""
     honest = [word(name, 10.0) for name in ("x", "y", "z")]
-    assert believe([*honest, word("liar", lie)], None, 4, 4, SETUP, "lahore", Terms()).rate == 10.0
-    heard = believe([word(*each) for each in said], None, 9, 9, SETUP, "lahore", Terms())
+    assert merge_reports([*honest, word("liar", lie)], None, 4, 4, SETUP, "lahore", AgeLimits()).rate == 10.0
+    heard = merge_reports([word(*each) for each in said], None, 9, 9, SETUP, "lahore", AgeLimits())
     assert 0 <= heard.rate <= max([rate for _, rate, _ in said], default=0.0)
 
 
@@ -351,7 +355,7 @@
 def test_who_answers_only_raises_the_number_of_nodes(live: int, asked: int, peers: int, count: int) -> None:
     """`siblings` says 4. One that hears few may be cut off: the others go on sending."""
     words = [word(f"n{i}", 1.0) for i in range(live)]
-    assert believe(words, None, asked, peers, SETUP, "lahore", Terms()).siblings == count
+    assert merge_reports(words, None, asked, peers, SETUP, "lahore", AgeLimits()).siblings == count
 
 
 GOOD_WORD = msgspec.json.encode(word("good", 5.0))
@@ -423,8 +427,8 @@
 
     servers = [await asyncio.start_server(serving(call), "127.0.0.1", 0) for call in SICK.values()]
     peers = [("127.0.0.1", int(server.sockets[0].getsockname()[1])) for server in servers]
-    words = await ask_all([*peers, ("127.0.0.1", free_port())], 1.0)
-    assert words == [msgspec.json.decode(GOOD_WORD, type=Word)]
+    words = await query_peers([*peers, ("127.0.0.1", free_port())], 1.0)
+    assert words == [msgspec.json.decode(GOOD_WORD, type=PeerReport)]
     for task in tasks:
         task.cancel()
     for server in servers:
@@ -538,7 +542,7 @@
         said.append(await ask(command, "recovery", "inspect", str(file), "--json"))
         log = cluster.place / "n0.log"
         async with asyncio.timeout(20):
-            while MARK not in log.read_text():
+            while LINE_PREFIX not in log.read_text():
                 await asyncio.sleep(0.1)
         said.append(await ask(command, "recovery", "plot", str(log), "--out", str(tmp_path / "page")))
         assert "has a list" in (tmp_path / "page").read_text()
@@ -611,88 +615,88 @@
 
 # Phases -----------------------------------------------------------------------------------------
 
-SECOND_BY_SECOND: dict[str, tuple[tuple[Seen, Phase | None], ...]] = {
+SECOND_BY_SECOND: dict[str, tuple[tuple[Observation, Phase | None], ...]] = {
     "a cold fleet, step by step": (
-        (Seen(1, 0, 0, 0, 0, 0), None),
-        (Seen(2, 6, 0, 0, 0, 0), Phase.LISTED),
-        (Seen(3, 6, 0, 1, 0, 4), Phase.FIRST),
-        (Seen(4, 6, 0, 2, 1, 9), Phase.WORTH),
-        (Seen(SECOND, 6, 2, 9, 5, 10), None),
-        (Seen(2 * SECOND, 6, 3, 20, 15, 10), Phase.WHOLE),
+        (Observation(1, 0, 0, 0, 0, 0), None),
+        (Observation(2, 6, 0, 0, 0, 0), Phase.LISTED),
+        (Observation(3, 6, 0, 1, 0, 4), Phase.FIRST),
+        (Observation(4, 6, 0, 2, 1, 9), Phase.WORTH),
+        (Observation(SECOND, 6, 2, 9, 5, 10), None),
+        (Observation(2 * SECOND, 6, 3, 20, 15, 10), Phase.WHOLE),
     ),
     "warm servers, no list before": (
-        (Seen(1, 6, 6, 3, 2, 0), Phase.WORTH),
-        (Seen(SECOND, 6, 6, 5, 5, 0), Phase.WHOLE),
+        (Observation(1, 6, 6, 3, 2, 0), Phase.WORTH),
+        (Observation(SECOND, 6, 6, 5, 5, 0), Phase.WHOLE),
     ),
     "refused though warm, for a minute": (
-        (Seen(1, 6, 6, 3, 2, 1), Phase.WORTH),
-        (Seen(59 * SECOND, 6, 6, 9, 9, 2), None),
-        (Seen(61 * SECOND, 6, 6, 9, 9, 3), Phase.WHOLE),
+        (Observation(1, 6, 6, 3, 2, 1), Phase.WORTH),
+        (Observation(59 * SECOND, 6, 6, 9, 9, 2), None),
+        (Observation(61 * SECOND, 6, 6, 9, 9, 3), Phase.WHOLE),
     ),
     "the servers' power is lost, the node's is not": (
-        (Seen(1, 6, 6, 3, 2, 0), Phase.WORTH),
-        (Seen(SECOND, 6, 6, 5, 5, 0), Phase.WHOLE),
-        (Seen(2 * SECOND, 0, 0, 5, 5, 0), Phase.DARK),
-        (Seen(3 * SECOND, 6, 0, 5, 5, 8), Phase.LISTED),
-        (Seen(4 * SECOND, 6, 0, 6, 5, 8), Phase.FIRST),
-        (Seen(5 * SECOND, 6, 0, 6, 6, 8), Phase.WORTH),
+        (Observation(1, 6, 6, 3, 2, 0), Phase.WORTH),
+        (Observation(SECOND, 6, 6, 5, 5, 0), Phase.WHOLE),
+        (Observation(2 * SECOND, 0, 0, 5, 5, 0), Phase.DARK),
+        (Observation(3 * SECOND, 6, 0, 5, 5, 8), Phase.LISTED),
+        (Observation(4 * SECOND, 6, 0, 6, 5, 8), Phase.FIRST),
+        (Observation(5 * SECOND, 6, 0, 6, 6, 8), Phase.WORTH),
     ),
     "all are replaced at once": (
-        (Seen(1, 6, 6, 3, 2, 0), Phase.WORTH),
-        (Seen(SECOND, 6, 6, 5, 5, 0), Phase.WHOLE),
-        (Seen(2 * SECOND, 6, 0, 5, 5, 0), Phase.LISTED),
-        (Seen(3 * SECOND, 6, 0, 6, 6, 0), Phase.WORTH),
+        (Observation(1, 6, 6, 3, 2, 0), Phase.WORTH),
+        (Observation(SECOND, 6, 6, 5, 5, 0), Phase.WHOLE),
+        (Observation(2 * SECOND, 6, 0, 5, 5, 0), Phase.LISTED),
+        (Observation(3 * SECOND, 6, 0, 6, 6, 0), Phase.WORTH),
     ),
 }
 
 
 @pytest.mark.parametrize("name", list(SECOND_BY_SECOND))
 def test_each_phase_has_its_condition(name: str) -> None:
-    phases = Phases(0)
+    phases = PhaseTracker(0)
     for seen, expected in SECOND_BY_SECOND[name]:
-        step = phases.look(seen)
+        step = phases.observe(seen)
         assert (step.phase if step else None) == expected, seen
 
 
 def test_a_phase_that_lasts_too_long_is_said_once() -> None:
-    phases = Phases(0)
-    steps = [phases.look(Seen(n * SECOND, 0, 0, 0, 0, 0)) for n in range(1, 60)]
+    phases = PhaseTracker(0)
+    steps = [phases.observe(Observation(n * SECOND, 0, 0, 0, 0, 0)) for n in range(1, 60)]
     said = [(step.late, step.why) for step in steps if step]
     assert said == [(True, "still waits for a list with a server")]
 
 
-SEEN = st.builds(Seen, st.integers(0, 1 << 50), *[st.integers(0, 9)] * 5, st.booleans())
+SEEN = st.builds(Observation, st.integers(0, 1 << 50), *[st.integers(0, 9)] * 5, st.booleans())
 
 
 @given(st.lists(SEEN, max_size=40))
-def test_any_looks_are_taken_and_nothing_is_whole_without_warm_servers(looks: list[Seen]) -> None:
-    phases = Phases(0)
+def test_any_looks_are_taken_and_nothing_is_whole_without_warm_servers(looks: list[Observation]) -> None:
+    phases = PhaseTracker(0)
     for seen in sorted(looks, key=lambda seen: seen.now):
-        step = phases.look(seen)
+        step = phases.observe(seen)
         assert step is None or step.late or step.phase is phases.phase
         assert phases.phase is not Phase.WHOLE or (seen.listed and seen.warm)
         assert (phases.phase is Phase.DARK) == (not seen.listed)
-        assert not (phases.servable(seen.now, SECOND) and phases.phase is Phase.DARK)
+        assert not (phases.is_servable(seen.now, SECOND) and phases.phase is Phase.DARK)
 
 
 @pytest.mark.parametrize(
     ("looks", "now", "servable"),
     [
         ((), SECOND, False),
-        ((Seen(1, 6, 0, 0, 0, 0),), SECOND, False),
-        ((Seen(1, 6, 0, 0, 0, 0),), 5 * SECOND + 1, True),  # nobody waits for ever
-        ((Seen(1, 6, 0, 0, 0, 0, True),), 2, True),
-        ((Seen(1, 6, 0, 1, 0, 0),), 2, True),
-        ((Seen(1, 6, 0, 0, 0, 0, True), Seen(2, 0, 0, 0, 0, 0, True)), 3, False),
+        ((Observation(1, 6, 0, 0, 0, 0),), SECOND, False),
+        ((Observation(1, 6, 0, 0, 0, 0),), 5 * SECOND + 1, True),  # nobody waits for ever
+        ((Observation(1, 6, 0, 0, 0, 0, True),), 2, True),
+        ((Observation(1, 6, 0, 1, 0, 0),), 2, True),
+        ((Observation(1, 6, 0, 0, 0, 0, True), Observation(2, 0, 0, 0, 0, 0, True)), 3, False),
     ],
 )
 def test_a_node_below_the_first_tier_is_ready_once_a_server_is_reached(
-    looks: tuple[Seen, ...], now: int, servable: bool
+    looks: tuple[Observation, ...], now: int, servable: bool
 ) -> None:
-    phases = Phases(0)
+    phases = PhaseTracker(0)
     for seen in looks:
-        phases.look(seen)
-    assert phases.servable(now, 5 * SECOND) == servable
+        phases.observe(seen)
+    assert phases.is_servable(now, 5 * SECOND) == servable
 
 
 async def _beside() -> None:
@@ -730,17 +734,21 @@
 
 
 def test_seconds_are_told_until_it_is_whole_and_read_back() -> None:
-    seconds = Seconds(["a", "b"], 0)
+    seconds = ProgressLog(["a", "b"], 0)
     lines = [
-        seconds.look(n * SECOND, THEN, Phase.WORTH if n < 5 else Phase.WHOLE, [(n, 0, 0), (0, 2 * n, n)])
+        seconds.next_line(n * SECOND, THEN, Phase.WORTH if n < 5 else Phase.WHOLE, [(n, 0, 0), (0, 2 * n, n)])
         for n in range(1, 30)
     ]
     told = [line for line in lines if line]
-    assert len(told) == 4 + 5 and seconds.look(29 * SECOND + 1, THEN, Phase.WHOLE, [(0, 0, 0)] * 2) is None
-    found = read(["n1: " + line for line in told] + ["n1: " + told[0][:30], "n2: other", "x" + MARK])
+    assert (
+        len(told) == 4 + 5 and seconds.next_line(29 * SECOND + 1, THEN, Phase.WHOLE, [(0, 0, 0)] * 2) is None
+    )
+    found = parse_log(
+        ["n1: " + line for line in told] + ["n1: " + told[0][:30], "n2: other", "x" + LINE_PREFIX]
+    )
     assert list(found) == ["n1"] and found["n1"][3].classes == {"a": (1, 0, 0), "b": (0, 2, 1)}
-    seconds.again()
-    again = [bool(seconds.look(n * SECOND, THEN, Phase.DARK, [(0, 0, 0)] * 2)) for n in range(30, 999)]
+    seconds.restart()
+    again = [bool(seconds.next_line(n * SECOND, THEN, Phase.DARK, [(0, 0, 0)] * 2)) for n in range(30, 999)]
     assert sum(again) == 120
 
 
@@ -749,7 +757,7 @@
         st.text(max_size=9),
         st.lists(
             st.builds(
-                Line,
+                ProgressLine,
                 st.integers(),
                 st.integers(),
                 st.text(max_size=9),
@@ -760,7 +768,7 @@
         max_size=3,
     )
 )
-def test_any_lines_make_a_page(logs: dict[str, list[Line]]) -> None:
+def test_any_lines_make_a_page(logs: dict[str, list[ProgressLine]]) -> None:
     for by_start in (False, True):
-        text = page(logs, by_start)
+        text = render_page(logs, by_start)
         assert text.startswith("<!doctype html>") and "<script" not in text
