--- a/minthitch/recovery/__init__.py
+++ b/minthitch/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""What a node keeps for the time after a crash, and what it trusts of it then (extra `recovery`)."""
+"""Snapshots of what a node has learned, and their validation and use after a crash (extra `recovery`)."""
--- a/minthitch/recovery/frame.py
+++ b/minthitch/recovery/frame.py
@@ -1,7 +1,7 @@
-"""A snapshot as bytes, and what can be wrong with bytes that should be one. No I/O.
+"""Encodes a snapshot as bytes, and decodes and validates such bytes. No I/O.
 
 Layout: MAGIC, version, length of the body, CRC-32C over version, length and body (big-endian), then the body
-in MessagePack. Whatever is not exactly that is told apart by name and never used in part.
+in MessagePack. Anything else is rejected as a whole, with a Fault that names the reason.
 """
 
 from __future__ import annotations
@@ -17,26 +17,26 @@
 MAGIC = b"MINTSNAP"
 VERSION = 1
 HEADER = struct.Struct(">8sHII")  # magic, version, length, checksum
-MAX_BODY_BYTES = 8 * 1024 * 1024  # bytes
+MAX_BODY_BYTES = 8 * 1024 * 1024
 
 
 class Fault(Enum):
-    """Why bytes are no snapshot."""
+    """Why bytes are not a valid snapshot."""
 
     EMPTY = "empty"
     FOREIGN = "not a snapshot"
-    NEWER = "of a newer version of the program"
-    TORN = "torn: shorter than it says"
-    LONGER = "longer than it says"
-    ALTERED = "altered: the checksum does not fit"
-    ODD = "whole, and not understood"
+    NEWER = "written in a newer format"
+    TORN = "torn: truncated"
+    LONGER = "longer than its header says"
+    ALTERED = "altered: checksum mismatch"
+    ODD = "complete, but its content is invalid"
 
 
 class FrameError(ValueError):
-    """Bytes that can't be used; `fault` says why."""
+    """Bytes that cannot be used; `fault` says why."""
 
-    def __init__(self, fault: Fault, more: str = "") -> None:
-        super().__init__(f"{fault.value}{': ' if more else ''}{more}")
+    def __init__(self, fault: Fault, detail: str = "") -> None:
+        super().__init__(f"{fault.value}{': ' if detail else ''}{detail}")
         self.fault = fault
 
 
@@ -45,16 +45,16 @@
 
 
 def encode(snapshot: Snapshot) -> bytes:
-    """Raises ValueError where it is larger than MAX_BODY_BYTES."""
+    """Raises ValueError if the body is larger than MAX_BODY_BYTES."""
     body = msgspec.msgpack.encode(snapshot)
     if len(body) > MAX_BODY_BYTES:
-        raise ValueError(f"a snapshot of {len(body)} bytes is over {MAX_BODY_BYTES}")
+        raise ValueError(f"a snapshot of {len(body)} bytes exceeds the limit of {MAX_BODY_BYTES}")
     return HEADER.pack(MAGIC, VERSION, len(body), _checksum(VERSION, body)) + body
 
 
 def decode(data: bytes) -> Snapshot:
-    """Raises FrameError for any bytes that `encode` did not make."""
-    if not data.strip(b"\0"):  # a file system may leave a file's length and none of its bytes
+    """Raises FrameError for any bytes that `encode` did not produce."""
+    if not data.strip(b"\0"):  # after a power loss, a file may have its length but only zero bytes
         raise FrameError(Fault.EMPTY)
     if not data.startswith(MAGIC[: len(data)]):
         raise FrameError(Fault.FOREIGN)
@@ -62,7 +62,7 @@
         raise FrameError(Fault.TORN)
     _, version, length, checksum = HEADER.unpack_from(data)
     if version > VERSION:
-        raise FrameError(Fault.NEWER, f"{version} over {VERSION}")
+        raise FrameError(Fault.NEWER, f"{version}, newest supported is {VERSION}")
     body = data[HEADER.size :]
     if len(body) < length:
         raise FrameError(Fault.TORN)
--- a/minthitch/recovery/learned.py
+++ b/minthitch/recovery/learned.py
@@ -1,4 +1,4 @@
-"""What a Balancer has learned, to and from a snapshot. No I/O; the times come in."""
+"""Copies what a Balancer has learned to and from a snapshot. No I/O; clock readings are arguments."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def _sums(evidence: Evidence) -> EvidenceSums:
-    """As they were at the last outcome: how long ago that was is the snapshot's age, or more."""
+    """The sums as of the last outcome, which may be older than the snapshot: they are not decayed to now."""
     return EvidenceSums(**{name: getattr(evidence, name) for name in FIELDS})
 
 
@@ -35,25 +35,25 @@
 
 
 def warm_rate(balancer: Balancer, now: int) -> float:
-    """Answers a second of a warm server here, as the most of late."""
-    kept = balancer.peak_rate * math.exp2((balancer.peak_rate_at - now) / CLASS_HALF_LIFE) * SECOND
-    return min(kept, MAX_RATE)
+    """Answers per second that a warm server gives this node: the recent peak, decayed to `now`."""
+    decayed = balancer.peak_rate * math.exp2((balancer.peak_rate_at - now) / CLASS_HALF_LIFE) * SECOND
+    return min(decayed, MAX_RATE)
 
 
-def restore(balancer: Balancer, now: int, trusted: Trusted, number_of: Callable[[str], int]) -> None:
-    """Takes in what is trusted where the Balancer knows nothing of its own yet."""
+def restore(balancer: Balancer, now: int, trusted: Trusted, kind_number: Callable[[str], int]) -> None:
+    """Restores what is trusted, where the Balancer has no outcomes of its own yet."""
     for spec, evidence in zip(balancer.settings.classes, balancer.classes, strict=True):
         if spec.name in trusted.classes:
             _restore_evidence(evidence, trusted.classes[spec.name], now)
-    for name, times in trusted.kinds.items():
-        _restore_evidence(balancer.kinds.setdefault(number_of(name), Evidence(CLASS_HALF_LIFE)), times, now)
+    for name, sums in trusted.kinds.items():
+        _restore_evidence(balancer.kinds.setdefault(kind_number(name), Evidence(CLASS_HALF_LIFE)), sums, now)
     if trusted.rate > warm_rate(balancer, now):
         balancer.peak_rate, balancer.peak_rate_at = trusted.rate / SECOND, now
 
 
-def _restore_evidence(evidence: Evidence, times: EvidenceSums, now: int) -> None:
-    if evidence.trials or evidence.ends:  # what it has seen itself is younger
+def _restore_evidence(evidence: Evidence, sums: EvidenceSums, now: int) -> None:
+    if evidence.trials or evidence.ends:  # its own outcomes are newer
         return
     for name in FIELDS:
-        setattr(evidence, name, getattr(times, name))
+        setattr(evidence, name, getattr(sums, name))
     evidence.at = now
--- a/minthitch/recovery/model.py
+++ b/minthitch/recovery/model.py
@@ -1,4 +1,4 @@
-"""What a node keeps: plain values, named so that another process, or another node, can tell them apart."""
+"""The stored model. Kinds, zones and classes go by name, as their numbers differ between processes."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 from minthitch.interface import RequestClass, Settings
 
-MAX_ROWS = 20_000  # of servers, kinds, classes or hosts in a snapshot
-MAX_RATE = 1e6  # calls a second that a server may be said to answer one node
+MAX_ROWS = 20_000  # of classes, kinds or hosts each in a snapshot
+MAX_RATE = 1e6  # calls per second; upper bound of the answers of one server to one node
 
 Text = Annotated[str, msgspec.Meta(max_length=256)]
 Nanoseconds = Annotated[int, msgspec.Meta(ge=0, le=1 << 62)]
@@ -18,7 +18,7 @@
 
 
 class EvidenceSums(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Evidence over outcomes: sums as they were when the snapshot was made (policy.Evidence)."""
+    """The sums of a policy.Evidence when the snapshot was made."""
 
     trials: Count
     hits: Count
@@ -27,7 +27,7 @@
 
 
 class HostRow(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One server of the list as last held."""
+    """One server of the list that the node last used."""
 
     name: Text
     address: Text
@@ -40,22 +40,22 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Everything that is kept. Times on `wall` are Unix ns, on `up` the machine's monotonic ns."""
+    """The whole snapshot. `wall` times are Unix ns, `up` times ns of the machine's monotonic clock."""
 
-    cluster: Text  # the installation that it belongs to
+    cluster: Text  # the installation that the node belongs to
     node: Text
     generation: Annotated[int, msgspec.Meta(ge=1, le=1 << 53)]
-    boot: Text  # of the machine, so that `up` can be compared
+    boot: Text  # the machine's boot id: `up` times compare within one boot only
     wall: Nanoseconds
     up: Nanoseconds
     siblings: Annotated[int, msgspec.Meta(ge=1, le=1 << 20)]
-    cold: Text  # digest of the cold rules that it was learned under
+    cold: Text  # digest of the cold-start settings in force while it was learned
     classes: Annotated[
         dict[Text, tuple[Text, EvidenceSums]], msgspec.Meta(max_length=MAX_ROWS)
-    ]  # digest, times
+    ]  # digest, sums
     kinds: Annotated[dict[Text, EvidenceSums], msgspec.Meta(max_length=MAX_ROWS)]
-    rate: Annotated[float, msgspec.Meta(ge=0.0, le=MAX_RATE)] = 0.0  # a warm server's answers a second here
-    listed_wall: Nanoseconds = 0  # when discovery last told of the list; 0 = never
+    rate: Annotated[float, msgspec.Meta(ge=0.0, le=MAX_RATE)] = 0.0  # answers per second of a warm server
+    listed_wall: Nanoseconds = 0  # when discovery last confirmed the list; 0 = never
     listed_up: Nanoseconds = 0
     seq: Annotated[int, msgspec.Meta(ge=0, le=1 << 62)] = 0
     hosts: Annotated[tuple[HostRow, ...], msgspec.Meta(max_length=MAX_ROWS)] = ()
@@ -66,9 +66,10 @@
 
 
 def class_digest(spec: RequestClass) -> str:
-    """The same for as long as what a call of the class takes can be compared."""
+    """Unchanged as long as the outcomes of the class remain comparable."""
     return _digest(spec.name, spec.aim, spec.stream)
 
 
 def cold_digest(settings: Settings) -> str:
+    """Changes with the cold-start settings, under which `rate` and `kinds` were learned."""
     return _digest(settings.cold_share, settings.cold_time, settings.cold_multiple, settings.cold_window)
--- a/minthitch/recovery/progress.py
+++ b/minthitch/recovery/progress.py
@@ -1,4 +1,4 @@
-"""One line a second of a node's recovery, for its log, and such lines read back. Pure."""
+"""Formats one log line per second of a node's recovery, and parses such lines. Pure, no I/O."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from minthitch.interface import SECOND
 from minthitch.recovery.phases import Phase
 
-LINE_PREFIX = "recovery: second "  # what such a line begins with, behind the node's name
-MAX_LINES = 120  # lines of one recovery: a fleet that stays short for hours must not fill its logs
-LINES_AFTER_WHOLE = 5  # lines once it is whole, which show that it stays so
-MAX_CLASSES = 64  # of a line that is read
+LINE_PREFIX = "recovery: second "  # follows the node's name in the log
+MAX_LINES = 120  # per recovery: a fleet that is short of capacity for hours must not fill its logs
+LINES_AFTER_WHOLE = 5  # lines after full service is reached, to show that it lasts
+MAX_CLASSES = 64  # upper bound for a parsed line
 
 
 class ProgressLine(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A second: when it ended (Unix ms), since the start (ms), the phase then; by class what was served,
-    refused and failed in it.
+    """One second: its end in Unix ms (`at`) and in ms since the node's start (`up`), the phase then, and by
+    class the numbers of served, refused and failed requests in it.
     """
 
     at: int
@@ -27,7 +27,7 @@
 
 
 class ProgressLog:
-    """Tells of each second while a node recovers; silent once it has been whole for a while."""
+    """Gives a line for each second of a recovery; ends when the node has been whole for a while."""
 
     def __init__(self, names: Sequence[str], now: int) -> None:
         self.names, self.started, self.next_at = tuple(names), now, now + SECOND
@@ -37,12 +37,10 @@
     def next_line(
         self, now: int, wall: int, phase: Phase, counts: Sequence[tuple[int, int, int]]
     ) -> str | None:
-        """`counts` by class since the process began; `wall` in ns. Gives the text to log, if one is due."""
+        """Gives the line to log, if one is due. `counts` are totals by class, `wall` is in ns."""
         if now < self.next_at:
             return None
-        self.next_at = max(
-            self.next_at + SECOND, now
-        )  # danger: after a stop, one line and not one for each second
+        self.next_at = max(self.next_at + SECOND, now)  # after a pause, one line, not one per missed second
         self.lines_left = self.lines_left - 1 if phase is Phase.WHOLE else LINES_AFTER_WHOLE
         old_counts, self.previous = self.previous, list(counts)
         if self.lines_left < 0 or self.lines_written >= MAX_LINES:
@@ -56,21 +54,21 @@
         return LINE_PREFIX + msgspec.json.encode(line).decode()
 
     def restart(self) -> None:
-        """A new recovery of the same process has begun."""
+        """Starts over, as another recovery begins within the same process."""
         self.lines_written, self.lines_left = 0, LINES_AFTER_WHOLE
 
 
 def parse_log(lines: Iterable[str]) -> Mapping[str, list[ProgressLine]]:
-    """Of each node, the seconds that its log tells, as they came. Other lines are passed over, as are those
-    that a crash has cut.
+    """Gives the progress lines of each node, in the order of the log. Skips other lines and those that a
+    crash has cut off.
     """
     found: dict[str, list[ProgressLine]] = {}
     for text in lines:
-        name, mark, rest = text.partition(": " + LINE_PREFIX)
-        if not mark:
+        name, prefix, encoded = text.partition(": " + LINE_PREFIX)
+        if not prefix:
             continue
         try:
-            line = msgspec.json.decode(rest, type=ProgressLine)
+            line = msgspec.json.decode(encoded, type=ProgressLine)
         except (msgspec.DecodeError, UnicodeDecodeError):
             continue
         if len(line.classes) <= MAX_CLASSES:
--- a/minthitch/recovery/runtime.py
+++ b/minthitch/recovery/runtime.py
@@ -1,4 +1,4 @@
-"""Puts snapshots to a node: read and judged at its start, written every few seconds and at its end."""
+"""Runs recovery in a node: restores a snapshot at the start, writes one at each interval and at the end."""
 
 from __future__ import annotations
 
@@ -34,18 +34,18 @@
 from minthitch.recovery.write_schedule import LogLine, Write, WriteSchedule
 
 BOOT_ID_FILE = Path("/proc/sys/kernel/random/boot_id")
-MAX_MESSAGES = 20  # of what was said, kept for `explain`
-POLL_INTERVAL_S = 0.2  # seconds between two looks at the clock
-MAX_PROBED = 3  # servers that are tried at each look while none has taken a connection
-PROBE_TIMEOUT_S = 0.15  # seconds for it
-FIRST_QUERY_INTERVAL = SECOND // 2  # between the first two times that peers are asked
-QUERY_PERIOD = 30 * SECOND  # after the start
-MIN_ANSWERS = 5.0  # answers of warm servers from which on what was learned here is said
-CLOSE_TIMEOUT_S = 2.0  # seconds for the last snapshot
+MAX_MESSAGES = 20  # log messages kept for `explain`
+POLL_INTERVAL_S = 0.2
+MAX_PROBED = 3  # servers probed per poll while none has accepted a connection
+PROBE_TIMEOUT_S = 0.15
+FIRST_QUERY_INTERVAL = SECOND // 2  # ns between the first two queries of the peers
+QUERY_PERIOD = 30 * SECOND  # peers are queried for this long after the start
+MIN_ANSWERS = 5.0  # from this many answers of warm servers on, peers are told the rate learned here
+CLOSE_TIMEOUT_S = 2.0  # for the last snapshot
 
 
 def boot_id() -> str:
-    """Of this machine's start; "" where it can't be told, so that only the wall clock counts."""
+    """Identifies the machine's current boot; "" if unknown, so that only the wall clock counts."""
     try:
         return BOOT_ID_FILE.read_text().strip()
     except OSError:
@@ -53,9 +53,9 @@
 
 
 class Recovery:
-    """Snapshots at work for one engine, on the running loop.
+    """Restores and writes the snapshots of one engine, on the running loop.
 
-    `heard` gives when discovery was last heard, in the clock's ns; 0 for never.
+    `listed_at` gives when discovery last confirmed the list, in ns of the engine's clock; 0 for never.
     """
 
     def __init__(
@@ -64,10 +64,10 @@
         config: RecoveryConfig,
         node: str,
         log: Callable[[str], None],
-        heard: Callable[[], int],
+        listed_at: Callable[[], int],
     ) -> None:
-        """Reads what is there and takes what is trusted of it. Raises ConfigError."""
-        self.engine, self.config, self.node, self.log, self.last_list_at = engine, config, node, log, heard
+        """Reads the stored snapshots and restores what is trusted. Raises ConfigError."""
+        self.engine, self.config, self.node, self.log, self.listed_at = engine, config, node, log, listed_at
         self.boot, self.trusted = boot_id(), Trusted()
         self.store = Store(config.folder, node)
         if not self.store.folder.is_dir():
@@ -78,7 +78,7 @@
         self.schedule = WriteSchedule(config.every, generation, self.started)
         self.phases, self.server_reached = PhaseTracker(self.started), False
         self.progress = ProgressLog([spec.name for spec in engine.settings.classes], self.started)
-        self.peer_estimate: PeerEstimate | None = None  # what peers' words came to, and until when it is news
+        self.peer_estimate: PeerEstimate | None = None  # merged from peers' reports
         self.estimate_until = 0
         self.next_query = self.started
         self.ending = asyncio.Event()
@@ -86,7 +86,7 @@
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     def _report(self, text: str) -> None:
-        if len(self.messages) < MAX_MESSAGES:  # danger: a disk that fails now and then would fill the memory
+        if len(self.messages) < MAX_MESSAGES:  # a disk that fails now and then must not fill the memory
             self.messages.append(text)
         self.log(f"recovery: {text}")
 
@@ -97,17 +97,17 @@
     def _context(self) -> NodeContext:
         return NodeContext(self.config.cluster, self.boot, self.engine.clock.wall(), time.monotonic_ns())
 
-    # At the start -------------------------------------------------------------------------------
+    # Start ------------------------------------------------------------------------------------
 
     def _load(self) -> int:
-        """Gives the generation that the next snapshot follows."""
-        found = self.store.read()
-        for each in found:
-            if each.fault is not None:
-                self._report(f"{each.path.name} is not used: {each.why}")
-        best = newest(found)
+        """Restores the newest snapshot and gives its generation, 0 if there is none."""
+        contents = self.store.read()
+        for content in contents:
+            if content.fault is not None:
+                self._report(f"{content.path.name} is ignored: {content.why}")
+        best = newest(contents)
         if best is None or best.snapshot is None:
-            self._report("nothing is known from before")
+            self._report("no usable snapshot found")
             return 0
         self.trusted = evaluate(best.snapshot, self._context(), self.engine.settings, self.limits)
         self._report_verdicts(self.trusted.verdicts)
@@ -118,7 +118,8 @@
         if isinstance(self.engine.balancer, Balancer):
             restore(self.engine.balancer, self.engine.clock.now(), self.trusted, self.engine.fleet.kind)
         if self.trusted.hosts is not None:
-            # Danger: what stopped this node may have stopped them too, and cold ones would be pushed over.
+            # What stopped this node may have restarted the servers too. They count as just started: cold
+            # servers that are taken for warm would be overloaded.
             born = self.engine.clock.wall() // MILLISECOND
             hosts = tuple(
                 Host(row.name, row.address, row.port, row.zone, row.kind, row.cell, "up", row.weight, born)
@@ -126,7 +127,7 @@
             )
             self.engine.listed(Listing(self.trusted.seq, True, hosts), ListKind.CACHED)
 
-    # While it runs ------------------------------------------------------------------------------
+    # Running -----------------------------------------------------------------------------------
 
     async def _run(self) -> None:
         while not self.ending.is_set():
@@ -148,15 +149,16 @@
             return
         servers = engine.balancer.servers.values()
         warm = sum(server.warmth(now, engine.balancer.settings) >= 1.0 for server in servers)
-        reached, self.server_reached = self.server_reached, False  # danger: what was reached once may be gone
-        step = self.phases.observe(
+        # A server that was reached once may be gone since.
+        reached, self.server_reached = self.server_reached, False
+        transition = self.phases.observe(
             Observation(
                 now, len(servers), warm, counts.sends, sum(counts.served), sum(counts.refused), reached
             )
         )
-        if step is not None:
-            self.log(f"recovery: {step.phase}: {step.why}")
-            if step.phase is Phase.LISTED:
+        if transition is not None:
+            self.log(f"recovery: {transition.phase}: {transition.why}")
+            if transition.phase is Phase.LISTED:
                 self.progress.restart()
         rows = list(zip(counts.served, counts.refused, counts.failed, strict=True))
         text = self.progress.next_line(now, engine.clock.wall(), self.phases.phase, rows)
@@ -164,58 +166,62 @@
             self.log(text)
 
     def _should_write(self) -> bool:
-        """Danger: power lost within a recovery; two snapshots of nothing would be all that is left."""
+        """Whether a snapshot may be written. Otherwise a second power loss, during a recovery, would leave
+        two snapshots without anything learned in place of the restored ones.
+        """
         return self.phases.has_learned or not (self.trusted.rate or self.trusted.classes)
 
     async def _probe_servers(self) -> None:
-        """Whether a server of the tier below takes connections: nobody may send here before."""
+        """Tries to connect to servers of the tier below, as callers are not sent here before one accepts."""
         servers = list(self.engine.fleet.servers.values())
         chosen = self.engine.random.sample(servers, min(len(servers), MAX_PROBED))
 
-        async def one(host: str, port: int) -> None:
+        async def probe(host: str, port: int) -> None:
             _, writer = await asyncio.wait_for(asyncio.open_connection(host, port), PROBE_TIMEOUT_S)
             self.server_reached = True
             writer.close()
 
-        await asyncio.gather(*(one(s.host, s.port) for s in chosen), return_exceptions=True)
+        await asyncio.gather(*(probe(s.host, s.port) for s in chosen), return_exceptions=True)
 
     def is_ready(self) -> bool:
-        """Whether callers may be sent here. Beside a server, which the tier above takes for ready by this
-        node's word, once the tier below is reached.
+        """Whether callers may be sent here. For a node beside a server (`ready_within` is set), the tier
+        above takes this answer for the server's readiness, so it waits until the tier below is reached.
         """
-        within = self.config.ready_within
-        return not within or self.phases.is_servable(self.engine.clock.now(), within)
+        max_wait = self.config.ready_within
+        return not max_wait or self.phases.is_servable(self.engine.clock.now(), max_wait)
 
     # Peers --------------------------------------------------------------------------------------
 
     def _update_peers(self, now: int) -> None:
-        """Asks in the first seconds, less and less often; what was heard is news for a while."""
+        """Drops an expired estimate; queries peers after the start, at growing intervals."""
         balancer = self.engine.balancer
         if self.estimate_until and now >= self.estimate_until and isinstance(balancer, Balancer):
             balancer.settings, self.estimate_until = self.engine.settings, 0
         idle = self.query_task is None or self.query_task.done()
         if self.config.peers and idle and self.next_query <= now < self.started + QUERY_PERIOD:
-            self.next_query = now + max(now - self.started, FIRST_QUERY_INTERVAL)  # doubled each time
+            self.next_query = now + max(now - self.started, FIRST_QUERY_INTERVAL)  # doubles each time
             self.query_task = asyncio.get_running_loop().create_task(self._query_peers())
 
     async def _query_peers(self) -> None:
         config, engine = self.config, self.engine
         chosen = engine.random.sample(config.peers, min(len(config.peers), MAX_PEERS_ASKED))
-        words = await query_peers(chosen, config.ask_within / SECOND)
+        reports = await query_peers(chosen, config.ask_within / SECOND)
         own = (self.trusted.rate, self.trusted.age or 0) if self.trusted.rate else None
-        heard = merge_reports(
-            words, own, len(chosen), len(config.peers), engine.settings, config.cluster, self.limits
+        estimate = merge_reports(
+            reports, own, len(chosen), len(config.peers), engine.settings, config.cluster, self.limits
         )
-        if self.peer_estimate is None or heard.rate != self.peer_estimate.rate:
-            self._report_verdicts(heard.verdicts)
-        self.peer_estimate, now = heard, engine.clock.now()
+        if self.peer_estimate is None or estimate.rate != self.peer_estimate.rate:
+            self._report_verdicts(estimate.verdicts)
+        self.peer_estimate, now = estimate, engine.clock.now()
         if isinstance(engine.balancer, Balancer):
-            restore(engine.balancer, now, Trusted(rate=heard.rate), engine.fleet.kind)
-            engine.balancer.settings = change_settings(engine.settings, siblings=heard.siblings)
+            restore(engine.balancer, now, Trusted(rate=estimate.rate), engine.fleet.kind)
+            engine.balancer.settings = change_settings(engine.settings, siblings=estimate.siblings)
             self.estimate_until = now + ESTIMATE_TTL
 
     def peer_report(self) -> PeerReport:
-        """What this node says to others: what it has learned, or else what it kept itself; never hearsay."""
+        """The report to peers: the rate learned here or else the one of this node's own snapshot, never one
+        that other peers reported.
+        """
         engine, rate_now, age = self.engine, 0.0, 0
         if isinstance(engine.balancer, Balancer) and engine.balancer.warm.ends >= MIN_ANSWERS:
             rate_now = warm_rate(engine.balancer, engine.clock.now())
@@ -232,22 +238,22 @@
         )
 
     async def _write(self, action: Write) -> None:
-        said: LogLine | None
+        message: LogLine | None
         try:
             snapshot = self.make_snapshot(action.generation)
             await asyncio.to_thread(self.store.write, snapshot)
         except (OSError, ValueError) as err:
-            said = self.schedule.failed(self.engine.clock.now(), str(err))
+            message = self.schedule.failed(self.engine.clock.now(), str(err))
         else:
-            said = self.schedule.written(self.engine.clock.now())
-        if said is not None:
-            self._report(said.text)
+            message = self.schedule.written(self.engine.clock.now())
+        if message is not None:
+            self._report(message.text)
 
     def make_snapshot(self, generation: int) -> Snapshot:
-        """What is known now."""
+        """A snapshot of the current state; without a server list if discovery was never heard."""
         engine, now, up = self.engine, self.engine.clock.now(), time.monotonic_ns()
-        wall, fleet, heard = engine.clock.wall(), engine.fleet, self.last_list_at()
-        empty = Snapshot(
+        wall, fleet, list_at = engine.clock.wall(), engine.fleet, self.listed_at()
+        snapshot = Snapshot(
             self.config.cluster,
             self.node,
             generation,
@@ -261,14 +267,14 @@
         )
         kinds = {number: name for name, number in fleet.kinds.items()}
         if isinstance(engine.balancer, Balancer):
-            empty = change(
-                empty,
+            snapshot = change(
+                snapshot,
                 classes=class_evidence(engine.balancer, engine.settings),
                 kinds=kind_evidence(engine.balancer, kinds),
                 rate=warm_rate(engine.balancer, now),
             )
-        if not heard:
-            return empty
+        if not list_at:
+            return snapshot
         zones = {number: name for name, number in fleet.zones.items()}
         rows = tuple(
             HostRow(
@@ -284,13 +290,13 @@
             for s in list(fleet.servers.values())[:MAX_ROWS]
             if s.usable
         )
-        ago = max(now - heard, 0)
+        ago = max(now - list_at, 0)
         return change(
-            empty, listed_wall=max(wall - ago, 1), listed_up=max(up - ago, 1), seq=fleet.seq, hosts=rows
+            snapshot, listed_wall=max(wall - ago, 1), listed_up=max(up - ago, 1), seq=fleet.seq, hosts=rows
         )
 
     async def page(self, rest: str) -> tuple[int, object]:
-        """For operators: what was trusted at the start and why, and how writing goes. For peers: `known`."""
+        """For operators: verdicts and the state of writing. For peers: their report, at `known`."""
         if rest == "known":
             return 200, to_builtins(self.peer_report())
         now = self.engine.clock.now()
@@ -317,7 +323,7 @@
         }
 
     async def close(self) -> None:
-        """Writes the last snapshot, behind one that is on its way: two at once would write into one file."""
+        """Writes the last snapshot, after one in progress has ended, as both would write to the same file."""
         self.ending.set()
         if self.query_task is not None:
             self.query_task.cancel()
--- a/minthitch/recovery/store.py
+++ b/minthitch/recovery/store.py
@@ -1,7 +1,7 @@
-"""Snapshots on disk: two generations, each whole or not there. Written on a thread, never on the loop.
+"""Stores the last two snapshots on disk, in two slots. `write` blocks: call it on a thread, not on the loop.
 
-A snapshot is written temporary the older of the two, fsynced, renamed over it, and the folder is fsynced: a
-crash at any byte leaves the younger one as it was.
+A snapshot is written to a temporary file, fsynced and renamed over the older of the two; then the folder is
+fsynced. A crash at any byte leaves the newer one as it was.
 """
 
 from __future__ import annotations
@@ -19,52 +19,54 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotContent:
-    """What one of the two places held."""
+    """What was read from one of the two slots."""
 
     path: Path
     snapshot: Snapshot | None = None
-    fault: Fault | None = None  # None where there is no file, or a good one
+    fault: Fault | None = None  # None if the file is missing or valid
     why: str = ""
 
 
-def newest(found: list[SlotContent]) -> SlotContent | None:
-    """The good one of the highest generation."""
-    good = [each for each in found if each.snapshot is not None]
-    return max(good, key=lambda each: each.snapshot.generation if each.snapshot else 0, default=None)
+def newest(contents: list[SlotContent]) -> SlotContent | None:
+    """The valid snapshot of the highest generation."""
+    valid = [content for content in contents if content.snapshot is not None]
+    return max(
+        valid, key=lambda content: content.snapshot.generation if content.snapshot else 0, default=None
+    )
 
 
 class Store:
-    """The snapshots of one node in a folder."""
+    """The two snapshot files of one node in a folder."""
 
     def __init__(self, folder: str | os.PathLike[str], node: str) -> None:
         safe = "".join(c if c.isalnum() or c in "-_" else "_" for c in node)
         self.folder = Path(folder)
         self.paths = [self.folder / f"{safe}.{slot}.snapshot" for slot in SLOTS]
-        self.newest_slot = 0  # the slot that holds the youngest
+        self.newest_slot = 0  # the slot of the newest snapshot; the other is written next
 
     def read(self) -> list[SlotContent]:
-        """Both places. Never raises: what can't be read is a fault with its reason."""
-        found = [self._read(path) for path in self.paths]
-        best = newest(found)
-        self.newest_slot = found.index(best) if best is not None else 1
-        return found
+        """Reads both slots. Never raises: a file that cannot be read gives a fault and its reason."""
+        contents = [self._read(path) for path in self.paths]
+        best = newest(contents)
+        self.newest_slot = contents.index(best) if best is not None else 1
+        return contents
 
     @staticmethod
     def _read(path: Path) -> SlotContent:
         try:
             with open(path, "rb") as file:
-                data = file.read(MAX_BODY_BYTES + 64)  # danger: a file without end would fill the memory
+                data = file.read(MAX_BODY_BYTES + 64)  # an endless file must not fill the memory
         except FileNotFoundError:
             return SlotContent(path)
         except OSError as err:
-            return SlotContent(path, fault=Fault.ODD, why=f"can't be read: {err}")
+            return SlotContent(path, fault=Fault.ODD, why=f"cannot be read: {err}")
         try:
             return SlotContent(path, decode(data))
         except FrameError as err:
             return SlotContent(path, fault=err.fault, why=str(err))
 
     def write(self, snapshot: Snapshot) -> None:
-        """Raises OSError or ValueError; what was there before is there still."""
+        """Replaces the older snapshot. Raises OSError or ValueError; the newer one is then still intact."""
         data = encode(snapshot)
         slot = 1 - self.newest_slot
         path, temporary = self.paths[slot], self.paths[slot].with_suffix(".new")
@@ -86,7 +88,7 @@
         self.newest_slot = slot
 
     def forget(self) -> int:
-        """Removes both. Gives how many there were. Raises OSError."""
+        """Removes both files and gives the number removed. Raises OSError."""
         removed = 0
         for path in self.paths:
             with suppress(FileNotFoundError):
--- a/minthitch/recovery/trust.py
+++ b/minthitch/recovery/trust.py
@@ -1,8 +1,8 @@
-"""What a node takes of a snapshot, and why not the rest. Pure: the times come in, verdicts go out.
+"""Decides which parts of a snapshot a node uses, and why. Pure: clock readings in, verdicts out.
 
-Nothing is taken whose age can't be told. A kept list never sends to a server that may have drained or gone
-longer ago than the grace, unless the operator says for how long old lists may be used; and then its servers
-count as just started, as the loss that stopped this node may have stopped them.
+Nothing of unknown age is used. A stored list is used only within the drain grace, as its servers may have
+drained or gone since, unless the operator allows older lists (`lists_for`). Its servers then count as just
+started, as the failure that stopped this node may have restarted them too.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 from minthitch.interface import SECOND, Settings
 from minthitch.recovery.model import EvidenceSums, HostRow, Snapshot, class_digest, cold_digest
 
-CLOCK_SLACK = 2 * SECOND  # by which two readings of a wall clock may disagree without a step
-MIN_EVIDENCE_WEIGHT = 0.1  # part of its weight that what a class usually takes keeps at the end of `keep_for`
-MAX_RESTORED_OUTCOMES = 4.0  # answers that kept times count for at most: fresh ones soon outweigh them
+CLOCK_SLACK = 2 * SECOND  # two readings of a wall clock may differ by this without a step
+MIN_EVIDENCE_WEIGHT = 0.1  # share of its weight that evidence of age `keep_for` still has
+MAX_RESTORED_OUTCOMES = 4.0  # weight of restored evidence, low so that new outcomes soon outweigh it
 
 
 @dataclass(frozen=True, slots=True)
 class NodeContext:
-    """What the node knows of itself. `wall` and `up` in ns."""
+    """The node's cluster, the machine's boot id and readings of its clocks. `wall` and `up` in ns."""
 
     cluster: str
     boot: str
@@ -30,15 +30,15 @@
 
 @dataclass(frozen=True, slots=True)
 class AgeLimits:
-    """The operator's: how long what was learned, and how long a list, is good for, in ns."""
+    """From the settings: for how many ns learned values and lists may be used."""
 
     keep_for: int = 86_400 * SECOND
-    lists_for: int = 0  # 0: never beyond the grace
+    lists_for: int = 0  # 0: no longer than the drain grace
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """One part of a snapshot: taken or not, and why; for `explain`."""
+    """Whether one part of a snapshot is used, and why; shown by `explain`."""
 
     part: str
     taken: bool
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class Trusted:
-    """What is taken. Times by name; `rate` in calls a second of a warm server; hosts of a list, or None."""
+    """The parts that are used. Evidence is by name, `rate` in calls per second of a warm server."""
 
     age: int | None = None
     classes: dict[str, EvidenceSums] = field(default_factory=dict)
@@ -62,10 +62,10 @@
 
 
 def age_of(boot: str, wall: int, up: int, now: NodeContext) -> int | None:
-    """How long ago, in ns; None where it can't be told.
+    """How many ns ago the snapshot or list was taken; None if unknown.
 
-    Within one boot the monotonic clock tells. Over a loss only the wall clock is left; one that is behind the
-    snapshot has stepped back, and by how much nobody knows.
+    Within one boot the monotonic clock decides. Across boots only the wall clock is left; if it reads earlier
+    than the snapshot, it was set back by an unknown amount.
     """
     if boot and boot == now.boot:
         return now.up - up if now.up >= up else None
@@ -73,72 +73,82 @@
     return max(age, 0) if age >= -CLOCK_SLACK else None
 
 
-def _discounted(times: EvidenceSums, part: float) -> EvidenceSums:
-    """At most MAX_RESTORED_OUTCOMES answers' worth, less by `part`."""
-    least = max(times.trials, times.ends, 1.0)
-    scale = part * min(1.0, MAX_RESTORED_OUTCOMES / least)
+def _discounted(sums: EvidenceSums, weight: float) -> EvidenceSums:
+    """Scales the sums to at most MAX_RESTORED_OUTCOMES outcomes, then by `weight`."""
+    outcomes = max(sums.trials, sums.ends, 1.0)
+    scale = weight * min(1.0, MAX_RESTORED_OUTCOMES / outcomes)
     return EvidenceSums(
-        times.trials * scale, min(times.hits, times.trials) * scale, times.ends * scale, times.time * scale
+        sums.trials * scale, min(sums.hits, sums.trials) * scale, sums.ends * scale, sums.time * scale
     )
 
 
-def evaluate(snapshot: Snapshot, now: NodeContext, settings: Settings, terms: AgeLimits) -> Trusted:
-    """What is taken of it. Total over all snapshots."""
-    found = Trusted()
+def evaluate(snapshot: Snapshot, now: NodeContext, settings: Settings, limits: AgeLimits) -> Trusted:
+    """Gives the parts of `snapshot` that may be used. Never raises, whatever the snapshot holds."""
+    trusted = Trusted()
     if snapshot.cluster != now.cluster:
-        found.add_verdict("all", False, f"it belongs to cluster {snapshot.cluster!r}, not to {now.cluster!r}")
-        return found
-    found.age = age_of(snapshot.boot, snapshot.wall, snapshot.up, now)
-    if found.age is None:
-        found.add_verdict("all", False, "its age can't be told: the clock went back since")
-        return found
-    if found.age > terms.keep_for:
-        found.add_verdict(
-            "all", False, f"it is {found.age / SECOND:.0f} s old, over {terms.keep_for / SECOND:.0f}"
+        trusted.add_verdict(
+            "all", False, f"it belongs to cluster {snapshot.cluster!r}, not to {now.cluster!r}"
+        )
+        return trusted
+    trusted.age = age_of(snapshot.boot, snapshot.wall, snapshot.up, now)
+    if trusted.age is None:
+        trusted.add_verdict("all", False, "its age is unknown: the clock has been set back since")
+        return trusted
+    if trusted.age > limits.keep_for:
+        trusted.add_verdict(
+            "all",
+            False,
+            f"it is {trusted.age / SECOND:.0f} s old, over the limit of {limits.keep_for / SECOND:.0f}",
         )
     else:
-        _evaluate_learned(found, snapshot, settings, found.age, terms)
-    _evaluate_list(found, snapshot, now, settings, terms)
-    return found
+        _evaluate_learned(trusted, snapshot, settings, trusted.age, limits)
+    _evaluate_list(trusted, snapshot, now, settings, limits)
+    return trusted
 
 
 def _evaluate_learned(
-    found: Trusted, snapshot: Snapshot, settings: Settings, age: int, terms: AgeLimits
+    trusted: Trusted, snapshot: Snapshot, settings: Settings, age: int, limits: AgeLimits
 ) -> None:
-    part = math.pow(MIN_EVIDENCE_WEIGHT, age / terms.keep_for) if terms.keep_for else 1.0
+    weight = math.pow(MIN_EVIDENCE_WEIGHT, age / limits.keep_for) if limits.keep_for else 1.0
     known = {spec.name: class_digest(spec) for spec in settings.classes}
-    for name, (digest, times) in snapshot.classes.items():
+    for name, (digest, sums) in snapshot.classes.items():
         if known.get(name) == digest:
-            found.classes[name] = _discounted(times, part)
-    left = sorted(set(snapshot.classes) - set(found.classes))
-    found.add_verdict(
+            trusted.classes[name] = _discounted(sums, weight)
+    skipped = sorted(set(snapshot.classes) - set(trusted.classes))
+    trusted.add_verdict(
         "classes",
-        bool(found.classes),
-        f"{len(found.classes)} of {len(snapshot.classes)}"
-        + (f"; not {left[0][:60]!r}: it is another class now" if left else ""),
+        bool(trusted.classes),
+        f"{len(trusted.classes)} of {len(snapshot.classes)}"
+        + (f"; not {skipped[0][:60]!r}: the class was changed or removed" if skipped else ""),
     )
     if snapshot.cold != cold_digest(settings):
-        found.add_verdict("rate", False, "the cold rules have changed since")
+        trusted.add_verdict("rate", False, "the cold-start settings have changed since")
         return
-    found.kinds = {name: _discounted(times, part) for name, times in snapshot.kinds.items()}
-    # Each node gets its part of what a server answers: with another number of nodes, another part.
-    found.rate = snapshot.rate * part * min(1.0, snapshot.siblings / settings.siblings)
-    found.add_verdict("rate", found.rate > 0, f"{found.rate:.2f} calls a second of a warm server")
+    trusted.kinds = {name: _discounted(sums, weight) for name, sums in snapshot.kinds.items()}
+    # Each node gets its share of a server's capacity, which shrinks as the number of nodes grows.
+    trusted.rate = snapshot.rate * weight * min(1.0, snapshot.siblings / settings.siblings)
+    trusted.add_verdict("rate", trusted.rate > 0, f"{trusted.rate:.2f} calls per second of a warm server")
 
 
 def _evaluate_list(
-    found: Trusted, snapshot: Snapshot, now: NodeContext, settings: Settings, terms: AgeLimits
+    trusted: Trusted, snapshot: Snapshot, now: NodeContext, settings: Settings, limits: AgeLimits
 ) -> None:
     if not snapshot.listed_wall or not snapshot.hosts:
-        found.add_verdict("list", False, "none was held")
+        trusted.add_verdict("list", False, "the snapshot has none")
         return
     age = age_of(snapshot.boot, snapshot.listed_wall, snapshot.listed_up, now)
-    most = max(terms.lists_for, settings.drain_grace)
-    if age is None or age > most:
-        told = "an unknown time" if age is None else f"{age / SECOND:.1f} s"
-        found.add_verdict("list", False, f"discovery told of it {told} ago, over {most / SECOND:.1f}")
+    max_age = max(limits.lists_for, settings.drain_grace)
+    if age is None or age > max_age:
+        age_text = "an unknown time" if age is None else f"{age / SECOND:.1f} s"
+        trusted.add_verdict(
+            "list",
+            False,
+            f"discovery confirmed it {age_text} ago, over the limit of {max_age / SECOND:.1f}",
+        )
         return
-    found.hosts, found.seq = snapshot.hosts, snapshot.seq
-    found.add_verdict(
-        "list", True, f"{len(snapshot.hosts)} servers, told {age / SECOND:.1f} s ago: as just started"
+    trusted.hosts, trusted.seq = snapshot.hosts, snapshot.seq
+    trusted.add_verdict(
+        "list",
+        True,
+        f"{len(snapshot.hosts)} servers, confirmed {age / SECOND:.1f} s ago; treated as just started",
     )
--- a/minthitch/recovery/write_schedule.py
+++ b/minthitch/recovery/write_schedule.py
@@ -1,15 +1,15 @@
-"""When a snapshot is written, and what is said of one that could not be. Pure: times in, actions out."""
+"""Decides when a snapshot is written and what is logged on failure. Pure: clock readings in, actions out."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MAX_BACKOFF = 12  # times the usual pause at most, while writing fails
+MAX_BACKOFF = 12  # the longest pause while writing fails, in intervals
 
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """Make a snapshot of this generation, and write it."""
+    """Create a snapshot of this generation and write it."""
 
     generation: int
 
@@ -22,7 +22,7 @@
 
 
 class WriteSchedule:
-    """One write at a time; a failing disk is tried less and less often, and costs the snapshot only."""
+    """Allows one write at a time, with exponential backoff while writes fail."""
 
     def __init__(self, interval: int, generation: int, now: int) -> None:
         self.interval, self.generation = interval, generation
@@ -38,7 +38,7 @@
         return self._write()
 
     def end(self) -> Write | None:
-        """The last one, as the process ends; None where one is on its way, which then is the last."""
+        """The last write before the process ends; None while one is in progress, which then is the last."""
         self.ending = True
         return None if self.writing else self._write()
 
@@ -51,11 +51,11 @@
         self.writing, self.written_at = False, now
         failures, self.failures = self.failures, 0
         self.next_at = now + self.interval
-        return LogLine(f"snapshots are written again, after {failures} that failed") if failures else None
+        return LogLine(f"snapshots are written again after {failures} failed attempts") if failures else None
 
     def failed(self, now: int, why: str) -> LogLine | None:
-        """Said once, until one is written again."""
+        """Logged once; the next failure is logged only after a write has succeeded."""
         self.writing = False
         self.failures += 1
         self.next_at = now + self.interval * min(1 << min(self.failures, 10), MAX_BACKOFF)
-        return LogLine(f"the snapshot is not written: {why}") if self.failures == 1 else None
+        return LogLine(f"cannot write the snapshot: {why}") if self.failures == 1 else None
--- a/tests/test_powerloss.py
+++ b/tests/test_powerloss.py
@@ -1,4 +1,4 @@
-"""Recovery of the whole fleet from a power loss: the decisions alone, and real processes through the rig."""
+"""Recovery of a whole fleet from a power loss: the decisions in simulation, and real processes in the rig."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def cold_crew(seed: int, nodes: int, servers: int, siblings: int, setup: Settings | None = None) -> Crew:
-    """Nodes that have just started, and have just heard of servers that have, too."""
+    """Nodes that have just started, with a list of servers that have just started too."""
     made = Crew(setup or cold_settings(siblings), nodes, {}, seed)
     made.machines.update({n: Machine(WARM, made.now) for n in range(1, servers + 1)})
     made.tell(
@@ -53,12 +53,12 @@
 @pytest.mark.parametrize(
     ("nodes", "servers", "part"), [(1, 1, 0.4), (6, 12, 0.8), (40, 60, 0.8), (200, 30, 0.5)]
 )
-def test_a_fleet_that_is_cold_as_a_whole_serves_what_it_can(
+def test_fully_cold_fleet_serves_within_its_capacity(
     seed: int, nodes: int, servers: int, part: float
 ) -> None:
-    """No server is warm, so that none tells what a cold one may get: all was refused for `cold_time`.
+    """Without a warm server, the budget of cold ones was unknown and all calls were refused for `cold_time`.
 
-    Of what the cold servers can do, a node with less than a call a second leaves more.
+    A node whose share is below one call per second leaves more of the cold servers' capacity unused.
     """
     fleet = cold_crew(seed, nodes, servers, nodes)
     fleet.run(3 * SECOND, SHARE * WARM * servers, CLASSES)
@@ -70,33 +70,33 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("told", [1.0, 2.0])
-def test_cold_servers_bear_what_all_nodes_send_together(seed: int, told: float) -> None:
-    """Ten times what the cold servers can do, and `siblings` right or too large by twice."""
+def test_cold_servers_are_not_overloaded_by_all_nodes_together(seed: int, told: float) -> None:
+    """Offers ten times what the cold servers can do, with `siblings` right or twice too large."""
     fleet = cold_crew(seed, 20, 30, int(20 * told))
     fleet.run(9 * SECOND, 10 * SHARE * WARM * 30, CLASSES)
     assert fleet.served > 0
     assert not any(fleet.pushed_over(n) for n in fleet.machines)
 
 
-def test_what_is_too_much_for_cold_servers_is_refused_at_once() -> None:
-    """Requests that wait for a server count as a crowd; held to half of their time, all came at once when the
-    servers were warm, and the two seconds behind that were lost.
+def test_excess_for_cold_servers_is_refused_at_once() -> None:
+    """Guards against a queue of excess requests. When they were held for half of their time, all were sent at
+    once as the servers became warm, and the next two seconds were lost.
     """
     fleet = cold_crew(1, 6, 12, 6)
     fleet.run(4 * SECOND, 4 * SHARE * WARM * 12, CLASSES)
     held = sum(len(held) for node in fleet.nodes for held in node.balancer.held)
-    assert held <= 6 * 12, "two or so a server that may be sent to"
+    assert held <= 6 * 12, "about two per server that may be sent to"
     fleet.run(7 * SECOND, 4 * SHARE * WARM * 12, CLASSES)
     asked, served = fleet.requests, fleet.served
     fleet.run(4 * SECOND, 0.5 * WARM * 12, CLASSES)
     assert fleet.served - served >= 0.9 * (fleet.requests - asked), "warm, and no queue from before"
     fleet.run(4 * SECOND + IO, 1.0, CLASSES)
-    assert not any(held for node in fleet.nodes for held in node.balancer.held), "the count is given back"
+    assert not any(held for node in fleet.nodes for held in node.balancer.held), "the count returns to zero"
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_the_worthiest_go_first_while_all_is_cold(seed: int) -> None:
-    """Also where their aim is longer, so that their calls, never seen, pass for long ones."""
+def test_highest_worth_goes_first_while_all_is_cold(seed: int) -> None:
+    """Also if their latency target is longer, so that their unmeasured calls are estimated as long ones."""
     slow = replace(SAFE, aim=3 * SAFE.aim, worth=2 * SAFE.worth)
     setup = cold_settings(6, classes=(SAFE, SAFE, SAFE, slow))
     fleet = cold_crew(seed, 6, 12, 6, setup)
@@ -107,24 +107,24 @@
         a.request for node in fleet.nodes for a in node.log if isinstance(a, Refuse) and a.request > asked
     ]
     worthiest = sum(number % 4 == 3 for number in refused)
-    assert worthiest <= 0.05 * (fleet.requests - asked) / 4, "it fits by itself"
-    assert len(refused) >= 0.1 * (fleet.requests - asked), "and the others do not"
+    assert worthiest <= 0.05 * (fleet.requests - asked) / 4, "the worthiest class fits alone"
+    assert len(refused) >= 0.1 * (fleet.requests - asked), "the others do not fit"
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_nodes_that_come_back_one_after_another(seed: int) -> None:
-    """The first few are asked for the whole load, and leave the cold budget of those to come alone."""
+def test_nodes_returning_one_after_another(seed: int) -> None:
+    """The first few get the whole load and must not use the cold budget of nodes that are still down."""
     fleet = cold_crew(seed, 20, 30, 20)
     for there in range(2, 22, 2):  # two more a second
         fleet.run(SECOND, 0.7 * WARM * 30, CLASSES, among=there)
     assert not any(fleet.pushed_over(n) for n in fleet.machines)
     asked, served = fleet.requests, fleet.served
     fleet.run(3 * SECOND, 0.7 * WARM * 30, CLASSES)
-    assert fleet.served - served >= 0.8 * (fleet.requests - asked), "whole again behind the last"
+    assert fleet.served - served >= 0.8 * (fleet.requests - asked), "full service after the last node"
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_servers_whose_start_is_told_as_in_the_future_are_served_and_spared(seed: int) -> None:
+def test_servers_with_a_start_in_the_future_are_used_and_not_overloaded(seed: int) -> None:
     fleet = cold_crew(seed, 6, 12, 6)
     later = fleet.now + 3_600 * SECOND
     fleet.tell(ListKind.FULL, tuple(ServerEntry(n, cell=n % 4, started=later) for n in fleet.machines))
@@ -133,7 +133,7 @@
     assert not any(fleet.pushed_over(n) for n in fleet.machines)
 
 
-# The rig's own parts ----------------------------------------------------------------------------
+# The rig itself ------------------------------------------------------------------------------
 
 ASKED, HEARD = (
     Event(1.0, "n0", "asked", "w1", "buy-ticket"),
@@ -182,14 +182,14 @@
         ((ASKED, TOOK, DID, HEARD, Event(3.0, "s0", "pushed over")), "pushed over"),
     ],
 )
-def test_the_checker_sees_each_breach_and_no_other(history: tuple[Event, ...], what: str) -> None:
+def test_checker_finds_each_breach_and_no_other(history: tuple[Event, ...], what: str) -> None:
     found = breaches(history, DEADLINES, UNSAFE_CLASSES)
     assert len(found) == bool(what) and all(what in line for line in found)
 
 
-async def _crowded() -> list[Event]:
-    """A cold server whose window bears 14 calls is sent 20 at once, past every node."""
-    make = replace(MAKE, cold_time=9_000.0)  # it bears no more however late they come
+async def _overload() -> list[Event]:
+    """Sends 20 calls at once, bypassing the nodes, to a cold server whose window allows 14."""
+    make = replace(MAKE, cold_time=9_000.0)  # so long that the limit does not grow during the test
     async with Cluster(0, 1, TABLE, make) as cluster:
         server = cluster.servers[0]
         server.links.append(Link("n0-s0"))
@@ -204,18 +204,18 @@
         return read_books(cluster.place)
 
 
-def test_a_cold_server_that_is_sent_too_much_falls_over() -> None:
+def test_overloaded_cold_server_exits() -> None:
     books: list[list[Event]] = []
 
     async def day() -> None:
-        books.append(await _crowded())
+        books.append(await _overload())
 
     run(day)
     assert [event.what for event in books[0]].count("took") == 15 and books[0][-1].what == "pushed over"
     assert any("pushed over" in line for line in breaches(books[0], DEADLINES, UNSAFE_CLASSES))
 
 
-def test_a_failing_schedule_is_cut_down_to_the_faults_that_matter() -> None:
+def test_failing_schedule_is_reduced_to_the_needed_faults() -> None:
     faults = draw(7, 6, 12, 20.0, 12)
     assert faults == draw(7, 6, 12, 20.0, 12) != draw(8, 6, 12, 20.0, 12)
     needed = {faults[3], faults[9]}
@@ -234,7 +234,7 @@
         ("[[faults]]\nat = 1\nwhat = 'cut'\nlast = 1e9", "faults[0].last = 1000000000.0"),
     ],
 )
-def test_a_schedule_that_cannot_be_played_names_key_and_value(text: str, what: str) -> None:
+def test_invalid_schedule_names_key_and_value(text: str, what: str) -> None:
     with pytest.raises(ScheduleError) as err:
         read(text, 6, 12)
     assert what in str(err.value)
@@ -243,7 +243,7 @@
 # Real processes ---------------------------------------------------------------------------------
 
 
-async def _lost(faults: tuple[Fault, ...], rate: float, seconds: float) -> list[Event]:
+async def _power_loss(faults: tuple[Fault, ...], rate: float, seconds: float) -> list[Event]:
     async with Cluster(3, 6, {**TABLE, "limits": {**TABLE["limits"], "siblings": 3}}, MAKE) as cluster:
         await cluster.all_ready()
         return await play(cluster, WANTS, rate, seconds, faults, 1)
@@ -267,30 +267,32 @@
 
 
 @pytest.mark.parametrize("name", list(CASES))
-def test_real_processes_lose_their_power(name: str) -> None:
-    """Served before any server is warm, no rule broken; the text before served nothing until then."""
+def test_real_processes_recover_from_a_power_loss(name: str) -> None:
+    """Calls are served before any server is warm, and no rule is broken. Without the cold budget nothing was
+    served until then.
+    """
     histories: list[list[Event]] = []
 
     async def day() -> None:
-        histories.append(await _lost(CASES[name], 35.0, 7.5))
+        histories.append(await _power_loss(CASES[name], 35.0, 7.5))
 
     run(day)
     (history,) = histories
     assert breaches(history, DEADLINES, UNSAFE_CLASSES) == []
     back = max((e.at for e in history if e.what == "back" and e.word == "killed"), default=0.0)
-    assert back, "the nodes were ready again"
+    assert back, "the nodes are ready again"
     owed = [e for e in history if e.what == "asked" and e.at > back + 1.0]
     assert owed and not excused(history, DEADLINES) >= {e.call for e in owed}
     served = {e.call for e in history if e.what == "heard" and e.word == "served"}
-    # Before, nothing was; a busy machine may be late with its nodes' first seconds.
+    # Without the cold budget none was served. The bound is low, as a busy machine delays the first seconds.
     assert sum(e.call in served for e in owed) >= 0.25 * len(owed), "while all servers are cold"
 
 
-def test_a_link_holds_what_is_cut_and_gives_it_when_healed() -> None:
-    run(_cut_and_healed)
+def test_link_holds_data_while_cut_and_delivers_it_when_healed() -> None:
+    run(_cut_and_heal)
 
 
-async def _cut_and_healed() -> None:
+async def _cut_and_heal() -> None:
     async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while data := await reader.read(100):
             writer.write(data)
@@ -311,7 +313,7 @@
         assert await reader.read(1) == b"b"
         link.left = 1
         writer.write(b"cd")
-        with suppress(ConnectionResetError):  # within the message, whichever side hears of it first
+        with suppress(ConnectionResetError):  # cut within the message; either side may notice first
             assert await reader.read(9) in (b"c", b"")
             assert await reader.read(9) == b""
         link.left = None
--- a/tests/test_powerloss_hard.py
+++ b/tests/test_powerloss_hard.py
@@ -1,4 +1,4 @@
-"""A power loss and what else may be wrong with it: real processes through the rig."""
+"""A power loss combined with other faults: real processes in the rig."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
 from rigs.discovery import entry
 from tests.test_node import run
 
-Do = Callable[[Cluster], Awaitable[None]]
+Action = Callable[[Cluster], Awaitable[None]]
 AWAY = 0.5  # seconds
-LOST = (Fault(0.5, "power", last=AWAY),)
+POWER_LOSS = (Fault(0.5, "power", last=AWAY),)
 
 
 async def _nothing(cluster: Cluster) -> None:
     pass
 
 
-def lost(
-    do: Do = _nothing,
-    after: Do = _nothing,
+def run_power_loss(
+    do: Action = _nothing,
+    after: Action = _nothing,
     nodes: int = 3,
     servers: int = 6,
     load: float = 0.25,
@@ -45,7 +45,7 @@
     keeps: bool = False,
     seconds: float = 7.0,
 ) -> list[Event]:
-    """The history of a day on which all lose their power. `do` beforehand, `after` as it goes on."""
+    """Gives the history of a run in which all lose power. `do` runs before it, `after` alongside."""
     table = {**TABLE, "limits": {**TABLE["limits"], "siblings": siblings or nodes}}
     found: list[list[Event]] = []
 
@@ -55,7 +55,9 @@
             await do(cluster)
             going = asyncio.ensure_future(after(cluster))
             found.append(
-                await play(cluster, WANTS, load * servers * WARM_RATE, seconds, LOST, 1, returns, heedless)
+                await play(
+                    cluster, WANTS, load * servers * WARM_RATE, seconds, POWER_LOSS, 1, returns, heedless
+                )
             )
             await going
 
@@ -66,42 +68,42 @@
 
 
 def served(history: list[Event], since: float) -> float:
-    """Of the calls asked from then on, the part that was served."""
+    """The share of the calls asked from `since` on that was served."""
     asked = {e.call for e in history if e.what == "asked" and e.at >= since}
     heard = {e.call for e in history if e.what == "heard" and e.word == "served"}
     assert asked
     return len(asked & heard) / len(asked)
 
 
-# All short courses ------------------------------------------------------------------------------
+# All short sequences ----------------------------------------------------------------------------
 
 
-def test_each_course_of_two_steps_keeps_the_cold_budget_and_leaves_no_node_dark() -> None:
-    """Crashes, losses and splits at any step; each planted fault is seen."""
+def test_all_two_step_sequences_keep_the_cold_budget_and_leave_no_node_dark() -> None:
+    """Crashes, losses and splits at any step; two deliberately faulty variants are detected."""
     assert [found for found in search(Balancer, 2) if found[1]] == []
     assert {broken for _, broken in search(Dark, 1)} == {"node 0 stays dark"}
     assert "pushed over" in {broken for _, broken in search(Eager, 1)}
 
 
-# What discovery says ----------------------------------------------------------------------------
+# Discovery -------------------------------------------------------------------------------------
 
 
-async def _never(cluster: Cluster) -> None:
+async def _no_discovery(cluster: Cluster) -> None:
     async def back() -> None:
         pass
 
     cluster.discovery_back = back  # type: ignore[method-assign]
 
 
-def test_where_discovery_never_comes_back_nothing_is_sent_and_nobody_is_ready() -> None:
-    history = lost(_never, seconds=4.0)
+def test_without_discovery_nothing_is_sent_and_no_node_is_ready() -> None:
+    history = run_power_loss(_no_discovery, seconds=4.0)
     away = min(e.at for e in history if e.what == "away")
     assert not [e for e in history if e.what == "took" and e.at > away + AWAY]
     assert not [e for e in history if e.what == "back"]
 
 
-def lists(wrong: Callable[[Cluster], None]) -> tuple[Do, Do]:
-    """After the loss discovery tells `wrong`, and what is true 2 s later."""
+def wrong_lists(wrong: Callable[[Cluster], None]) -> tuple[Action, Action]:
+    """After the loss discovery gives the list made by `wrong`, and about 2 s later the right one."""
     true: list[Callable[[], None]] = []
 
     async def do(cluster: Cluster) -> None:
@@ -109,7 +111,7 @@
         cluster.list_servers = lambda: wrong(cluster)  # type: ignore[method-assign]
 
     async def after(cluster: Cluster) -> None:
-        await asyncio.sleep(LOST[0].at + AWAY + 2.5)
+        await asyncio.sleep(POWER_LOSS[0].at + AWAY + 2.5)
         true[0]()
 
     return do, after
@@ -120,8 +122,8 @@
         node.discovery.replace()
 
 
-def _old(cluster: Cluster) -> None:
-    """All as started ten minutes ago, half of them where they are no more."""
+def _outdated(cluster: Cluster) -> None:
+    """All servers as started ten minutes ago, half of them at addresses that are no longer theirs."""
     then = time.time_ns() // 1_000_000 - 600_000
     for n, node in enumerate(cluster.nodes):
         node.discovery.replace(
@@ -132,23 +134,23 @@
         )
 
 
-@pytest.mark.parametrize("wrong", [_empty, _old])
-def test_a_wrong_list_after_the_loss_pushes_nobody_over_and_is_got_over(
+@pytest.mark.parametrize("wrong", [_empty, _outdated])
+def test_wrong_list_after_the_loss_overloads_no_server_and_is_recovered_from(
     wrong: Callable[[Cluster], None],
 ) -> None:
-    do, after = lists(wrong)
-    history = lost(do, after, seconds=8.0)
+    do, after = wrong_lists(wrong)
+    history = run_power_loss(do, after, seconds=8.0)
     start = min(e.at for e in history if e.what == "away") + AWAY
     if wrong is _empty:
         assert not [e for e in history if e.what == "took" and start < e.at < start + 1.0]
     assert served(history, start + 4.5) >= 0.5
 
 
-# What nodes keep and hear -----------------------------------------------------------------------
+# Snapshots and peers ----------------------------------------------------------------------------
 
 
-def test_half_of_the_nodes_were_down_before_and_wake_with_snapshots_of_another_time() -> None:
-    """Of yesterday, and of a clock that went back: one counts for less, the other for nothing."""
+def test_nodes_that_were_down_start_with_snapshots_of_another_time() -> None:
+    """One snapshot is a day old and counts for less; one is from a clock since set back and is ignored."""
 
     async def do(cluster: Cluster) -> None:
         await asyncio.sleep(1.0)
@@ -159,13 +161,13 @@
                 kept = change(kept, wall=kept.wall + hours * 3_600 * SECOND, boot="another")
                 path.write_bytes(encode(kept))
 
-    history = lost(do, nodes=4, keeps=True)
+    history = run_power_loss(do, nodes=4, keeps=True)
     assert served(history, came_back(history) + 1.0) >= 0.5
 
 
 @pytest.mark.parametrize("siblings", [4, 2, 8])
-def test_a_fleet_that_is_split_while_it_recovers_keeps_the_cold_budget(siblings: int) -> None:
-    """With the number of nodes true, too small by half and too large by twice; healed 3 s later."""
+def test_fleet_split_during_recovery_keeps_the_cold_budget(siblings: int) -> None:
+    """With `siblings` right, half and twice the number of nodes; the split heals 3 s later."""
 
     async def split(cluster: Cluster) -> None:
         across = [
@@ -177,22 +179,22 @@
         assert len(across) == 8
         for link in across:
             link.set_cut(BOTH)
-        await asyncio.sleep(LOST[0].at + AWAY + 3.0)
+        await asyncio.sleep(POWER_LOSS[0].at + AWAY + 3.0)
         for link in across:
             link.set_cut(frozenset())
 
-    history = lost(after=split, nodes=4, load=1.2, siblings=siblings, keeps=True)
+    history = run_power_loss(after=split, nodes=4, load=1.2, siblings=siblings, keeps=True)
     since = came_back(history) + 1.0
     assert served(history, since) >= 0.1 and not [e for e in history if e.what == "pushed over"]
 
 
-# Who comes back ---------------------------------------------------------------------------------
+# Clients ----------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("heedless", [0.1, 0.3, 1.0])
 def test_clients_that_ignore_retry_after(heedless: float) -> None:
-    """Each refused one comes back up to eight times; those that heed nothing 20 ms later."""
-    history = lost(load=0.7, returns=8, heedless=heedless)
+    """Each refused client retries up to eight times; those that ignore Retry-After do so after 20 ms."""
+    history = run_power_loss(load=0.7, returns=8, heedless=heedless)
     since = came_back(history) + 1.0
     sales = {
         want_of(e.call) for e in history if e.what == "asked" and e.cls == "buy-ticket" and e.at >= since
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""What a node keeps for after a crash: bytes that are no snapshot, what is trusted, and real processes."""
+"""Snapshots and recovery after a crash: decoding, trust, peers' reports, phases, and real processes."""
 
 from __future__ import annotations
 
@@ -69,8 +69,8 @@
 DATA = encode(KEPT)
 
 
-def test_no_part_of_a_snapshot_passes_for_one() -> None:
-    """As a crash leaves it, at every byte; and with every byte altered."""
+def test_truncated_or_altered_snapshot_is_rejected() -> None:
+    """Cut off at every byte, as a crash leaves it, and with each byte altered."""
     assert decode(DATA) == KEPT
     for size in range(len(DATA)):
         with pytest.raises(FrameError) as err:
@@ -92,14 +92,14 @@
         (DATA[:8] + (VERSION + 1).to_bytes(2, "big") + DATA[10:], Fault.NEWER),
     ],
 )
-def test_what_is_no_snapshot_is_told_apart(data: bytes, fault: Fault) -> None:
+def test_invalid_snapshot_names_its_fault(data: bytes, fault: Fault) -> None:
     with pytest.raises(FrameError) as err:
         decode(data)
     assert err.value.fault is fault
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_are_judged(data: bytes) -> None:
+def test_any_bytes_decode_or_raise_frame_error(data: bytes) -> None:
     for each in (data, DATA[: HEADER.size] + data):
         try:
             decode(each)
@@ -108,12 +108,12 @@
         assert each == DATA
 
 
-def test_a_crash_while_one_is_written_leaves_the_one_before(tmp_path: Path) -> None:
+def test_crash_during_a_write_leaves_the_previous_snapshot(tmp_path: Path) -> None:
     store = Store(tmp_path, "n1")
     assert newest(store.read()) is None
     for generation in (1, 2, 3):
         store.write(change(KEPT, generation=generation))
-    for size in range(0, len(DATA), 7):  # the fourth was on its way: beside the files, or over the older one
+    for size in range(0, len(DATA), 7):  # write 4 is cut off: in the temporary file or in the older slot
         for path in (tmp_path / "n1.a.new", store.paths[1 - store.newest_slot]):
             path.write_bytes(DATA[:size])
             best = newest(Store(tmp_path, "n1").read())
@@ -139,8 +139,8 @@
 """
 
 
-def test_a_process_killed_while_it_writes_leaves_what_it_had_written(tmp_path: Path) -> None:
-    """SIGKILL right behind the nth line, while the next snapshot is on its way."""
+def test_killed_writer_leaves_its_last_complete_snapshot(tmp_path: Path) -> None:
+    """SIGKILL right after the nth snapshot was reported, while the next one is being written."""
     for count in (1, 2, 3, 8, 21):
         writer = subprocess.Popen(
             [sys.executable, "-c", WRITER, str(tmp_path)], stdin=subprocess.PIPE, stdout=subprocess.PIPE
@@ -159,7 +159,7 @@
         Store(tmp_path, "n1").forget()
 
 
-def test_a_full_disk_costs_the_snapshot_only(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_full_disk_leaves_the_previous_snapshot(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     store = Store(tmp_path, "n1")
     store.write(KEPT)
 
@@ -174,19 +174,19 @@
     assert best is not None and best.snapshot == KEPT and not list(tmp_path.glob("*.new"))
 
 
-def test_a_disk_that_fails_is_said_once_and_tried_less_and_less() -> None:
-    cycle, now, tries, said = WriteSchedule(5, 3, 0), 0, list[int](), list[str]()
+def test_failing_disk_is_logged_once_and_backed_off() -> None:
+    schedule, now, tries, said = WriteSchedule(5, 3, 0), 0, list[int](), list[str]()
     while now < 400:
-        action = cycle.tick(now)
+        action = schedule.tick(now)
         if action is not None:
             tries.append(now)
-            line = cycle.failed(now, "disk full") if now < 300 else cycle.written(now)
+            line = schedule.failed(now, "disk full") if now < 300 else schedule.written(now)
             said += [line.text] if line is not None else []
         now += 1
     pauses = [b - a for a, b in zip(tries, tries[1:], strict=False)]
     assert pauses[:3] == [10, 20, 40] and max(pauses) == 5 * MAX_BACKOFF and pauses[-1] == 5
     assert len(said) == 2 and "disk full" in said[0] and "again" in said[1]
-    assert cycle.tick(401) or cycle.end()
+    assert schedule.tick(401) or schedule.end()
 
 
 AGES: list[tuple[str, Callable[[Snapshot, NodeContext], tuple[Snapshot, NodeContext]], set[str]]] = [
@@ -202,15 +202,19 @@
     ),
     ("a minute later", lambda s, n: (s, replace(n, wall=THEN + 60 * SECOND)), {"classes", "rate"}),
     ("two days later", lambda s, n: (s, replace(n, wall=THEN + 48 * HOUR)), set()),
-    ("the clock went forward an hour", lambda s, n: (s, replace(n, wall=THEN + HOUR)), {"classes", "rate"}),
-    ("the clock went back an hour", lambda s, n: (s, replace(n, wall=THEN - HOUR)), set()),
+    (
+        "the clock was set forward an hour",
+        lambda s, n: (s, replace(n, wall=THEN + HOUR)),
+        {"classes", "rate"},
+    ),
+    ("the clock was set back an hour", lambda s, n: (s, replace(n, wall=THEN - HOUR)), set()),
     ("the same boot, yet earlier", lambda s, n: (s, replace(n, boot="boot-1", up=s.up - 1)), set()),
     ("another cluster", lambda s, n: (change(s, cluster="karachi"), n), set()),
-    ("other cold rules", lambda s, n: (change(s, cold="x"), n), {"classes", "list"}),
+    ("other cold-start settings", lambda s, n: (change(s, cold="x"), n), {"classes", "list"}),
     ("other classes", lambda s, n: (change(s, classes={"read": ("x", TIMES)}), n), {"rate", "list"}),
     ("no list was held", lambda s, n: (change(s, listed_wall=0), n), {"classes", "rate"}),
     (
-        "the list was old when it was kept",
+        "the list was old when it was stored",
         lambda s, n: (change(s, listed_wall=THEN - 600 * SECOND), n),
         {"classes", "rate"},
     ),
@@ -218,7 +222,7 @@
 
 
 @pytest.mark.parametrize(("name", "turn", "taken"), AGES, ids=[name for name, _, _ in AGES])
-def test_what_is_trusted(
+def test_which_parts_are_trusted(
     name: str, turn: Callable[[Snapshot, NodeContext], tuple[Snapshot, NodeContext]], taken: set[str]
 ) -> None:
     kept, now = turn(KEPT, NodeContext("lahore", "boot-2", THEN + SECOND // 10, 5 * SECOND))
@@ -228,14 +232,14 @@
     assert all(verdict.why for verdict in found.verdicts)
 
 
-def test_old_lists_are_used_only_for_as_long_as_the_operator_says() -> None:
+def test_old_lists_are_used_only_within_lists_for() -> None:
     now = NodeContext("lahore", "boot-2", THEN + 600 * SECOND, 5 * SECOND)
     for lists_for, used in ((0, False), (599 * SECOND, False), (601 * SECOND, True)):
         found = evaluate(KEPT, now, SETUP, AgeLimits(lists_for=lists_for))
         assert (found.hosts is not None) == used
 
 
-def test_kept_rates_go_with_the_number_of_nodes_and_fade() -> None:
+def test_restored_rate_scales_with_siblings_and_decays() -> None:
     now = NodeContext("lahore", "boot-2", THEN, 0)
     assert evaluate(KEPT, now, SETUP, AgeLimits()).rate == pytest.approx(20.0)
     assert evaluate(KEPT, now, replace(SETUP, siblings=8), AgeLimits()).rate == pytest.approx(10.0)
@@ -250,7 +254,7 @@
     st.integers(0, 1 << 62),
     st.integers(1, 1 << 20),
 )
-def test_any_snapshot_is_judged_and_taken_in(
+def test_any_snapshot_is_evaluated_and_restored_within_bounds(
     per_second: float, trials: float, time: float, wall: int, siblings: int
 ) -> None:
     kept = change(
@@ -267,8 +271,8 @@
     assert all(t.trials <= 4.0 + 1e-6 and t.hits <= t.trials for t in found.kinds.values())
 
 
-def after_a_loss(seed: int, off: float | None) -> Crew:
-    """Two seconds of a cold fleet whose nodes keep `off` times what they knew; None: they know nothing."""
+def recovered_crew(seed: int, off: float | None) -> Crew:
+    """Two seconds of a cold fleet whose nodes restore `off` times the rate they learned; None: nothing."""
     machines = {n: Machine(20.0) for n in range(1, 13)}
     before = Crew(settings(siblings=6, idle_close=30 * SECOND), 6, machines, seed)
     before.tell(ListKind.FULL, tuple(ServerEntry(n, cell=n % 4) for n in before.machines))
@@ -287,52 +291,60 @@
     return fleet
 
 
-def test_what_is_kept_makes_first_calls_more_and_pushes_no_server_over() -> None:
-    """Also where it says twice of what the servers can do."""
+def test_restored_rate_serves_more_first_calls_and_overloads_no_server() -> None:
+    """Also if the restored rate is twice what the servers can do."""
     served = dict.fromkeys((None, 1.0, 2.0), 0)
     for off in served:
         for seed in range(1, 5):
-            fleet = after_a_loss(seed, off)
+            fleet = recovered_crew(seed, off)
             served[off] += fleet.served
             fleet.run(6 * SECOND, 3 * 20.0 * 12, (SAFE,))
             assert not any(fleet.pushed_over(n) for n in fleet.machines), (off, seed)
     assert served[1.0] > 1.1 * served[None], served
 
 
-# What others say --------------------------------------------------------------------------------
+# Peers' reports --------------------------------------------------------------------------------
 
 COLD = cold_digest(SETUP)
 
 
-def word(node: str, said: float, age: int = 0, **changes: Any) -> PeerReport:
+def report(node: str, said: float, age: int = 0, **changes: Any) -> PeerReport:
     return change(PeerReport("lahore", node, COLD, 4, said, age), **changes)
 
 
 @pytest.mark.parametrize(
-    ("words", "own", "believed"),
+    ("reports", "own", "expected"),
     [
         ([], None, 0.0),
         ([], (9.0, 0), 9.0),
-        ([word("a", 9.0)], None, 0.0),  # one alone
-        ([word("a", 0.0), word("b", 0.0)], None, 0.0),  # who knows nothing says so
-        ([word("a", 9.0), word("b", 11.0)], None, 9.0),
-        ([word("a", 9.0), word("b", 9000.0)], None, 9.0),  # a thousand times too high
-        ([word("a", 9.0), word("b", 9000.0), word("c", 10.0)], None, 10.0),
-        ([word("a", 9.0), word("b", 0.001), word("c", 10.0)], None, 9.0),
-        ([word("a", 9.0), word("a", 9000.0)], None, 0.0),  # one that speaks twice
-        ([word("a", 9.0), word("b", 9.0, cluster="other")], None, 0.0),
-        ([word("a", 9.0), word("b", 9.0, cold="other")], None, 0.0),
-        ([word("a", 9.0), word("b", 9.0, 48 * HOUR)], None, 0.0),
-        ([word("a", 9.0, 23 * HOUR), word("b", 5.0, 23 * HOUR), word("c", 7.0)], None, 7.0),  # the fresh one
-        ([word("a", 9000.0)], (9.0, 0), 9.0),
-        ([word("a", 8.0, siblings=2), word("b", 8.0, siblings=2)], None, 4.0),  # shared by more now
+        ([report("a", 9.0)], None, 0.0),  # a single report
+        ([report("a", 0.0), report("b", 0.0)], None, 0.0),  # rate unknown
+        ([report("a", 9.0), report("b", 11.0)], None, 9.0),
+        ([report("a", 9.0), report("b", 9000.0)], None, 9.0),  # a thousand times too high
+        ([report("a", 9.0), report("b", 9000.0), report("c", 10.0)], None, 10.0),
+        ([report("a", 9.0), report("b", 0.001), report("c", 10.0)], None, 9.0),
+        ([report("a", 9.0), report("a", 9000.0)], None, 0.0),  # repeated by one node
+        ([report("a", 9.0), report("b", 9.0, cluster="other")], None, 0.0),
+        ([report("a", 9.0), report("b", 9.0, cold="other")], None, 0.0),
+        ([report("a", 9.0), report("b", 9.0, 48 * HOUR)], None, 0.0),
+        (
+            [report("a", 9.0, 23 * HOUR), report("b", 5.0, 23 * HOUR), report("c", 7.0)],
+            None,
+            7.0,
+        ),  # the fresh one decides
+        ([report("a", 9000.0)], (9.0, 0), 9.0),
+        (
+            [report("a", 8.0, siblings=2), report("b", 8.0, siblings=2)],
+            None,
+            4.0,
+        ),  # fewer nodes shared the servers then
     ],
 )
-def test_what_is_believed_of_others(
-    words: list[PeerReport], own: tuple[float, int] | None, believed: float
+def test_merged_rate_of_reports(
+    reports: list[PeerReport], own: tuple[float, int] | None, expected: float
 ) -> None:
-    heard = merge_reports(words, own, 8, 8, SETUP, "lahore", AgeLimits())
-    assert heard.rate == pytest.approx(believed)
+    heard = merge_reports(reports, own, 8, 8, SETUP, "lahore", AgeLimits())
+    assert heard.rate == pytest.approx(expected)
     assert heard.siblings >= SETUP.siblings and all(verdict.why for verdict in heard.verdicts)
 
 
@@ -340,11 +352,13 @@
     st.floats(0.1, 1e6),
     st.lists(st.tuples(st.sampled_from("abcdefg"), st.floats(0, 1e6), st.integers(0, 1 << 62)), max_size=9),
 )
-def test_one_liar_decides_nothing(lie: float, said: list[tuple[str, float, int]]) -> None:
-    """With three honest nodes that agree, whatever one other says; and any words are judged."""
-    honest = [word(name, 10.0) for name in ("x", "y", "z")]
-    assert merge_reports([*honest, word("liar", lie)], None, 4, 4, SETUP, "lahore", AgeLimits()).rate == 10.0
-    heard = merge_reports([word(*each) for each in said], None, 9, 9, SETUP, "lahore", AgeLimits())
+def test_one_wrong_report_does_not_decide(lie: float, said: list[tuple[str, float, int]]) -> None:
+    """Three honest nodes that agree prevail, whatever a fourth reports; and any reports are accepted."""
+    honest = [report(name, 10.0) for name in ("x", "y", "z")]
+    assert (
+        merge_reports([*honest, report("liar", lie)], None, 4, 4, SETUP, "lahore", AgeLimits()).rate == 10.0
+    )
+    heard = merge_reports([report(*each) for each in said], None, 9, 9, SETUP, "lahore", AgeLimits())
     assert 0 <= heard.rate <= max([rate for _, rate, _ in said], default=0.0)
 
 
@@ -352,65 +366,65 @@
     ("live", "asked", "peers", "count"),
     [(3, 3, 3, 4), (7, 7, 7, 8), (1, 7, 7, 4), (0, 7, 7, 4), (0, 0, 0, 4), (8, 8, 16, 16), (32, 32, 199, 16)],
 )
-def test_who_answers_only_raises_the_number_of_nodes(live: int, asked: int, peers: int, count: int) -> None:
-    """`siblings` says 4. One that hears few may be cut off: the others go on sending."""
-    words = [word(f"n{i}", 1.0) for i in range(live)]
-    assert merge_reports(words, None, asked, peers, SETUP, "lahore", AgeLimits()).siblings == count
+def test_answering_peers_only_raise_siblings(live: int, asked: int, peers: int, count: int) -> None:
+    """`siblings` is set to 4. A node that hears few peers may be cut off while the others go on sending."""
+    reports = [report(f"n{i}", 1.0) for i in range(live)]
+    assert merge_reports(reports, None, asked, peers, SETUP, "lahore", AgeLimits()).siblings == count
 
 
-GOOD_WORD = msgspec.json.encode(word("good", 5.0))
-SICK: dict[str, Callable[[asyncio.StreamWriter], Awaitable[object]]] = {}
+GOOD_REPORT = msgspec.json.encode(report("good", 5.0))
+FAULTY_PEERS: dict[str, Callable[[asyncio.StreamWriter], Awaitable[object]]] = {}
 
 
-def sick(call: Callable[[asyncio.StreamWriter], Awaitable[object]]) -> None:
-    SICK[call.__name__] = call
+def faulty_peer(call: Callable[[asyncio.StreamWriter], Awaitable[object]]) -> None:
+    FAULTY_PEERS[call.__name__] = call
 
 
-@sick
+@faulty_peer
 async def good(writer: asyncio.StreamWriter) -> None:
-    writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + GOOD_WORD)
+    writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + GOOD_REPORT)
 
 
-@sick
+@faulty_peer
 async def never(_writer: asyncio.StreamWriter) -> None:
     await asyncio.sleep(60)
 
 
-@sick
+@faulty_peer
 async def slowly(writer: asyncio.StreamWriter) -> None:
-    for byte in b"HTTP/1.1 200 OK\r\n\r\n" + GOOD_WORD:
+    for byte in b"HTTP/1.1 200 OK\r\n\r\n" + GOOD_REPORT:
         writer.write(bytes([byte]))
         await asyncio.sleep(0.05)
 
 
-@sick
+@faulty_peer
 async def without_end(writer: asyncio.StreamWriter) -> None:
     while True:
         writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + b" " * 4096)
         await writer.drain()
 
 
-@sick
+@faulty_peer
 async def nonsense(writer: asyncio.StreamWriter) -> None:
     writer.write(b"\xff\x00" * 50)
 
 
-@sick
+@faulty_peer
 async def deep(writer: asyncio.StreamWriter) -> None:
     writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + b"[" * 10_000)
 
 
-@sick
+@faulty_peer
 async def refusing(writer: asyncio.StreamWriter) -> None:
-    writer.write(b"HTTP/1.1 503 no\r\n\r\n" + GOOD_WORD)
+    writer.write(b"HTTP/1.1 503 no\r\n\r\n" + GOOD_REPORT)
 
 
-@sick
+@faulty_peer
 async def below_zero(writer: asyncio.StreamWriter) -> None:
-    writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + GOOD_WORD.replace(b"5.0", b"-5.0"))
+    writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + GOOD_REPORT.replace(b"5.0", b"-5.0"))
 
 
-async def _asked() -> None:
+async def _query_faulty_peers() -> None:
     tasks = set[asyncio.Task[object]]()
 
     def serving(call: Callable[[asyncio.StreamWriter], Awaitable[object]]) -> Any:
@@ -425,34 +439,34 @@
 
         return serve
 
-    servers = [await asyncio.start_server(serving(call), "127.0.0.1", 0) for call in SICK.values()]
+    servers = [await asyncio.start_server(serving(call), "127.0.0.1", 0) for call in FAULTY_PEERS.values()]
     peers = [("127.0.0.1", int(server.sockets[0].getsockname()[1])) for server in servers]
-    words = await query_peers([*peers, ("127.0.0.1", free_port())], 1.0)
-    assert words == [msgspec.json.decode(GOOD_WORD, type=PeerReport)]
+    reports = await query_peers([*peers, ("127.0.0.1", free_port())], 1.0)
+    assert reports == [msgspec.json.decode(GOOD_REPORT, type=PeerReport)]
     for task in tasks:
         task.cancel()
     for server in servers:
         server.close()
 
 
-def test_peers_that_are_sick_are_left_out() -> None:
-    run(_asked)
+def test_faulty_peers_are_left_out() -> None:
+    run(_query_faulty_peers)
 
 
 # Real processes ---------------------------------------------------------------------------------
 
-HARM: list[tuple[str, Callable[[Path, Path], object], str]] = [
+DAMAGE: list[tuple[str, Callable[[Path, Path], object], str]] = [
     ("whole", lambda young, old: None, "classes taken"),
     ("the younger is torn", lambda young, old: young.write_bytes(young.read_bytes()[:100]), "torn"),
     (
         "both are torn",
         lambda young, old: [p.write_bytes(p.read_bytes()[:50]) for p in (young, old)],
-        "nothing is known",
+        "no usable snapshot",
     ),
     (
         "both are gone",
         lambda young, old: [p.rename(p.with_suffix(".away")) for p in (young, old)],
-        "nothing is known",
+        "no usable snapshot",
     ),
     (
         "empty and of another program",
@@ -469,33 +483,33 @@
 ]
 
 
-async def _harmed() -> list[str]:
-    async with Cluster(len(HARM), 2, TABLE, MAKE, keeps=True) as cluster:
+async def _restart_with_damage() -> list[str]:
+    async with Cluster(len(DAMAGE), 2, TABLE, MAKE, keeps=True) as cluster:
         await cluster.all_ready()
         kept = cluster.place / "kept"
         async with asyncio.timeout(20):
-            while len(list(kept.glob("*.snapshot"))) < 2 * len(HARM):
+            while len(list(kept.glob("*.snapshot"))) < 2 * len(DAMAGE):
                 await asyncio.sleep(0.05)
         await cluster.power_lost()
         marks = []
-        for n, (_, harm, _) in enumerate(HARM):
+        for n, (_, damage, _) in enumerate(DAMAGE):
             a, b = sorted(kept.glob(f"n{n}.?.snapshot"), key=lambda p: -decode(p.read_bytes()).generation)
-            harm(a, b)
+            damage(a, b)
             marks.append((cluster.place / f"n{n}.log").stat().st_size)
         await cluster.power_back()
         await cluster.all_ready()
         return [(cluster.place / f"n{n}.log").read_text()[mark:] for n, mark in enumerate(marks)]
 
 
-def test_nodes_start_whatever_became_of_their_snapshots() -> None:
+def test_nodes_start_with_damaged_snapshots() -> None:
     logs: list[list[str]] = []
 
     async def day() -> None:
-        logs.append(await _harmed())
+        logs.append(await _restart_with_damage())
 
     run(day)
-    for (name, _, line), log in zip(HARM, logs[0], strict=True):
-        if line != "classes taken":  # nobody had called, so that no class had times
+    for (name, _, line), log in zip(DAMAGE, logs[0], strict=True):
+        if line != "classes taken":  # no calls were made, so that no class has evidence
             assert line in log, (name, log)
         assert "recovery: " in log and "Traceback" not in log, (name, log)
 
@@ -514,7 +528,7 @@
         ('folder = "."\ncluster = "c"\nask = []', r"recovery.ask = \[\] is unknown"),
     ],
 )
-def test_a_bad_recovery_table_names_key_and_value(text: str, what: str, tmp_path: Path) -> None:
+def test_bad_recovery_table_names_key_and_value(text: str, what: str, tmp_path: Path) -> None:
     path = tmp_path / "node.toml"
     path.write_text(tomli_w.dumps(GOOD) + f"\n[recovery]\n{text}\n")
     with pytest.raises(ConfigError) as err:
@@ -523,8 +537,8 @@
     assert os.path.exists(path)
 
 
-async def _explained(tmp_path: Path) -> tuple[str, int]:
-    """One node with snapshots and its operators' listener, killed and started again."""
+async def _operator_output(tmp_path: Path) -> tuple[str, int]:
+    """Runs the operators' commands against one node that was killed and restarted."""
     async with Cluster(1, 1, TABLE, MAKE, keeps=True) as cluster:
         port = cluster.nodes[0].desk
         await cluster.all_ready()
@@ -567,11 +581,11 @@
     return "\n".join(done.stdout for done in said), len(list(tmp_path.iterdir()))
 
 
-def test_operators_see_what_was_trusted_and_why(tmp_path: Path) -> None:
+def test_operator_commands_show_verdicts(tmp_path: Path) -> None:
     found: list[str] = []
 
     async def day() -> None:
-        found.append((await _explained(tmp_path))[0])
+        found.append((await _operator_output(tmp_path))[0])
 
     run(day)
     for what in (
@@ -586,8 +600,8 @@
         assert what in found[0], found[0]
 
 
-async def _hearsay() -> str:
-    """Two of four nodes have lost their disks with the power; the others have not."""
+async def _lose_two_disks() -> str:
+    """All four nodes lose power; two of them lose their disks too."""
     async with Cluster(4, 4, TABLE, MAKE, keeps=True) as cluster:
         await cluster.all_ready()
         load = play(cluster, WANTS, 60.0, 5.0, (), 1)
@@ -603,19 +617,19 @@
         return log
 
 
-def test_a_node_that_lost_its_disk_hears_from_the_others() -> None:
+def test_node_without_snapshot_uses_peer_reports() -> None:
     logs: list[str] = []
 
     async def day() -> None:
-        logs.append(await _hearsay())
+        logs.append(await _lose_two_disks())
 
     run(day)
-    assert "nothing is known from before" in logs[0] and "by 2 of 4 nodes, 3 of 3 asked" in logs[0]
+    assert "no usable snapshot found" in logs[0] and "by 2 of 4 nodes, 3 of 3 asked" in logs[0]
 
 
 # Phases -----------------------------------------------------------------------------------------
 
-SECOND_BY_SECOND: dict[str, tuple[tuple[Observation, Phase | None], ...]] = {
+PHASE_COURSES: dict[str, tuple[tuple[Observation, Phase | None], ...]] = {
     "a cold fleet, step by step": (
         (Observation(1, 0, 0, 0, 0, 0), None),
         (Observation(2, 6, 0, 0, 0, 0), Phase.LISTED),
@@ -650,26 +664,26 @@
 }
 
 
-@pytest.mark.parametrize("name", list(SECOND_BY_SECOND))
-def test_each_phase_has_its_condition(name: str) -> None:
+@pytest.mark.parametrize("name", list(PHASE_COURSES))
+def test_phase_transitions(name: str) -> None:
     phases = PhaseTracker(0)
-    for seen, expected in SECOND_BY_SECOND[name]:
+    for seen, expected in PHASE_COURSES[name]:
         step = phases.observe(seen)
         assert (step.phase if step else None) == expected, seen
 
 
-def test_a_phase_that_lasts_too_long_is_said_once() -> None:
+def test_late_phase_is_reported_once() -> None:
     phases = PhaseTracker(0)
     steps = [phases.observe(Observation(n * SECOND, 0, 0, 0, 0, 0)) for n in range(1, 60)]
     said = [(step.late, step.why) for step in steps if step]
-    assert said == [(True, "still waits for a list with a server")]
+    assert said == [(True, "still waiting for a list with at least one server")]
 
 
 SEEN = st.builds(Observation, st.integers(0, 1 << 50), *[st.integers(0, 9)] * 5, st.booleans())
 
 
 @given(st.lists(SEEN, max_size=40))
-def test_any_looks_are_taken_and_nothing_is_whole_without_warm_servers(looks: list[Observation]) -> None:
+def test_any_observations_never_reach_whole_without_warm_servers(looks: list[Observation]) -> None:
     phases = PhaseTracker(0)
     for seen in sorted(looks, key=lambda seen: seen.now):
         step = phases.observe(seen)
@@ -684,13 +698,13 @@
     [
         ((), SECOND, False),
         ((Observation(1, 6, 0, 0, 0, 0),), SECOND, False),
-        ((Observation(1, 6, 0, 0, 0, 0),), 5 * SECOND + 1, True),  # nobody waits for ever
+        ((Observation(1, 6, 0, 0, 0, 0),), 5 * SECOND + 1, True),  # the wait is limited
         ((Observation(1, 6, 0, 0, 0, 0, True),), 2, True),
         ((Observation(1, 6, 0, 1, 0, 0),), 2, True),
         ((Observation(1, 6, 0, 0, 0, 0, True), Observation(2, 0, 0, 0, 0, 0, True)), 3, False),
     ],
 )
-def test_a_node_below_the_first_tier_is_ready_once_a_server_is_reached(
+def test_node_is_servable_once_a_server_is_reached(
     looks: tuple[Observation, ...], now: int, servable: bool
 ) -> None:
     phases = PhaseTracker(0)
@@ -699,7 +713,7 @@
     assert phases.is_servable(now, 5 * SECOND) == servable
 
 
-async def _beside() -> None:
+async def _ready_only_when_reached() -> None:
     cluster = Cluster(1, 1, TABLE, MAKE, keeps=True)
     cluster.table["recovery"]["ready_within"] = "60s"
     async with cluster:
@@ -715,7 +729,7 @@
         assert not await cluster.ready(0)
         await link.open()
         await cluster.all_ready()
-        link.refuse()  # and once more behind an empty list: what was reached then may be gone
+        link.refuse()  # again after an empty list: the server that was reached may be gone
         mark = log.stat().st_size
         cluster.nodes[0].discovery.replace()
         async with asyncio.timeout(20):
@@ -729,11 +743,11 @@
         await cluster.all_ready()
 
 
-def test_a_node_beside_a_server_is_not_ready_before_the_tier_below_takes_connections() -> None:
-    run(_beside)
+def test_node_beside_a_server_waits_for_the_tier_below() -> None:
+    run(_ready_only_when_reached)
 
 
-def test_seconds_are_told_until_it_is_whole_and_read_back() -> None:
+def test_progress_lines_end_after_whole_and_parse_back() -> None:
     seconds = ProgressLog(["a", "b"], 0)
     lines = [
         seconds.next_line(n * SECOND, THEN, Phase.WORTH if n < 5 else Phase.WHOLE, [(n, 0, 0), (0, 2 * n, n)])
@@ -768,7 +782,7 @@
         max_size=3,
     )
 )
-def test_any_lines_make_a_page(logs: dict[str, list[ProgressLine]]) -> None:
+def test_any_progress_lines_render_a_page(logs: dict[str, list[ProgressLine]]) -> None:
     for by_start in (False, True):
         text = render_page(logs, by_start)
         assert text.startswith("<!doctype html>") and "<script" not in text
