--- a/tests/test_powerloss.py
+++ b/tests/test_powerloss.py
@@ -268,8 +268,8 @@
 
 @pytest.mark.parametrize("name", list(CASES))
 def test_real_processes_recover_from_a_power_loss(name: str) -> None:
-    """Calls are served before any server is warm, and no rule is broken. Without the cold budget nothing was
-    served until then.
+    """Calls are served before any server is warm, and no rule is broken. An earlier version served
+    nothing until then.
     """
     histories: list[list[Event]] = []
 
@@ -284,7 +284,7 @@
     owed = [e for e in history if e.what == "asked" and e.at > back + 1.0]
     assert owed and not excused(history, DEADLINES) >= {e.call for e in owed}
     served = {e.call for e in history if e.what == "heard" and e.word == "served"}
-    # Without the cold budget none was served. The bound is low, as a busy machine delays the first seconds.
+    # An earlier version served none. The bound is low, as a busy machine delays the first seconds.
     assert sum(e.call in served for e in owed) >= 0.25 * len(owed), "while all servers are cold"
 
 
--- a/tests/test_powerloss_hard.py
+++ b/tests/test_powerloss_hard.py
@@ -150,7 +150,7 @@
 
 
 def test_nodes_that_were_down_start_with_snapshots_of_another_time() -> None:
-    """One snapshot is a day old and counts for less; one is from a clock since set back and is ignored."""
+    """One snapshot is 23 hours old and counts for less; one is from a clock since set back and is ignored."""
 
     async def do(cluster: Cluster) -> None:
         await asyncio.sleep(1.0)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -49,7 +49,7 @@
 HOUR = 3_600 * SECOND
 THEN = 1_700_000_000 * SECOND
 TIMES = EvidenceSums(40.0, 38.0, 38.0, 4.0)
-KEPT = Snapshot(
+STORED = Snapshot(
     "lahore",
     "n1",
     7,
@@ -66,12 +66,12 @@
     9,
     (HostRow("s1", "127.0.0.1", 9001, born_ms=3),),
 )
-DATA = encode(KEPT)
+DATA = encode(STORED)
 
 
 def test_truncated_or_altered_snapshot_is_rejected() -> None:
-    """Cut off at every byte, as a crash leaves it, and with each byte altered."""
-    assert decode(DATA) == KEPT
+    """Cut factor at every byte, as a crash leaves it, and with each byte altered."""
+    assert decode(DATA) == STORED
     for size in range(len(DATA)):
         with pytest.raises(FrameError) as err:
             decode(DATA[:size])
@@ -112,15 +112,15 @@
     store = Store(tmp_path, "n1")
     assert newest(store.read()) is None
     for generation in (1, 2, 3):
-        store.write(change(KEPT, generation=generation))
-    for size in range(0, len(DATA), 7):  # write 4 is cut off: in the temporary file or in the older slot
+        store.write(change(STORED, generation=generation))
+    for size in range(0, len(DATA), 7):  # write 4 is cut factor: in the temporary file or in the older slot
         for path in (tmp_path / "n1.a.new", store.paths[1 - store.newest_slot]):
             path.write_bytes(DATA[:size])
             best = newest(Store(tmp_path, "n1").read())
-            assert best is not None and best.snapshot == change(KEPT, generation=3)
+            assert best is not None and best.snapshot == change(STORED, generation=3)
     again = Store(tmp_path, "n1")
     again.read()
-    again.write(change(KEPT, generation=4))
+    again.write(change(STORED, generation=4))
     best = newest(again.read())
     assert best is not None and best.snapshot is not None and best.snapshot.generation == 4
     assert again.forget() == 2 and newest(again.read()) is None
@@ -161,7 +161,7 @@
 
 def test_full_disk_leaves_the_previous_snapshot(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     store = Store(tmp_path, "n1")
-    store.write(KEPT)
+    store.write(STORED)
 
     def full(_descriptor: int) -> None:
         raise OSError(errno.ENOSPC, "No space left on device")
@@ -169,9 +169,9 @@
     monkeypatch.setattr(os, "fsync", full)
     for _ in range(3):
         with pytest.raises(OSError, match="No space"):
-            store.write(change(KEPT, generation=8))
+            store.write(change(STORED, generation=8))
     best = newest(store.read())
-    assert best is not None and best.snapshot == KEPT and not list(tmp_path.glob("*.new"))
+    assert best is not None and best.snapshot == STORED and not list(tmp_path.glob("*.new"))
 
 
 def test_failing_disk_is_logged_once_and_backed_off() -> None:
@@ -225,7 +225,7 @@
 def test_which_parts_are_trusted(
     name: str, turn: Callable[[Snapshot, NodeContext], tuple[Snapshot, NodeContext]], taken: set[str]
 ) -> None:
-    kept, now = turn(KEPT, NodeContext("lahore", "boot-2", THEN + SECOND // 10, 5 * SECOND))
+    kept, now = turn(STORED, NodeContext("lahore", "boot-2", THEN + SECOND // 10, 5 * SECOND))
     found = evaluate(kept, now, SETUP, AgeLimits())
     assert {verdict.part for verdict in found.verdicts if verdict.taken} == taken
     assert (found.hosts is not None) == ("list" in taken) and (found.rate > 0) == ("rate" in taken)
@@ -235,16 +235,16 @@
 def test_old_lists_are_used_only_within_lists_for() -> None:
     now = NodeContext("lahore", "boot-2", THEN + 600 * SECOND, 5 * SECOND)
     for lists_for, used in ((0, False), (599 * SECOND, False), (601 * SECOND, True)):
-        found = evaluate(KEPT, now, SETUP, AgeLimits(lists_for=lists_for))
+        found = evaluate(STORED, now, SETUP, AgeLimits(lists_for=lists_for))
         assert (found.hosts is not None) == used
 
 
 def test_restored_rate_scales_with_siblings_and_decays() -> None:
     now = NodeContext("lahore", "boot-2", THEN, 0)
-    assert evaluate(KEPT, now, SETUP, AgeLimits()).rate == pytest.approx(20.0)
-    assert evaluate(KEPT, now, replace(SETUP, siblings=8), AgeLimits()).rate == pytest.approx(10.0)
-    assert evaluate(KEPT, now, replace(SETUP, siblings=2), AgeLimits()).rate == pytest.approx(20.0)
-    assert evaluate(KEPT, replace(now, wall=THEN + 12 * HOUR), SETUP, AgeLimits()).rate < 7.0
+    assert evaluate(STORED, now, SETUP, AgeLimits()).rate == pytest.approx(20.0)
+    assert evaluate(STORED, now, replace(SETUP, siblings=8), AgeLimits()).rate == pytest.approx(10.0)
+    assert evaluate(STORED, now, replace(SETUP, siblings=2), AgeLimits()).rate == pytest.approx(20.0)
+    assert evaluate(STORED, replace(now, wall=THEN + 12 * HOUR), SETUP, AgeLimits()).rate < 7.0
 
 
 @given(
@@ -258,7 +258,7 @@
     per_second: float, trials: float, time: float, wall: int, siblings: int
 ) -> None:
     kept = change(
-        KEPT,
+        STORED,
         rate=per_second,
         wall=wall,
         siblings=siblings,
@@ -271,20 +271,20 @@
     assert all(t.trials <= 4.0 + 1e-6 and t.hits <= t.trials for t in found.kinds.values())
 
 
-def recovered_crew(seed: int, off: float | None) -> Crew:
-    """Two seconds of a cold fleet whose nodes restore `off` times the rate they learned; None: nothing."""
+def recovered_crew(seed: int, factor: float | None) -> Crew:
+    """Two seconds of a cold fleet whose nodes restore `factor` times the rate they learned; None: nothing."""
     machines = {n: Machine(20.0) for n in range(1, 13)}
     before = Crew(settings(siblings=6, idle_close=30 * SECOND), 6, machines, seed)
     before.tell(ListKind.FULL, tuple(ServerEntry(n, cell=n % 4) for n in before.machines))
     before.run(6 * SECOND, 0.6 * 20.0 * 12)
     fleet = cold_crew(seed, 6, 12, 6)
     for node, old in zip(fleet.nodes, before.nodes, strict=True):
-        if off is not None:
+        if factor is not None:
             times = {name: times for name, (_, times) in class_evidence(old.balancer, old.setup).items()}
             restore(
                 node.balancer,
                 node.now,
-                Trusted(rate=off * warm_rate(old.balancer, old.now), classes=times),
+                Trusted(rate=factor * warm_rate(old.balancer, old.now), classes=times),
                 lambda name: 0,
             )
     fleet.run(2 * SECOND, 0.6 * 20.0 * 12, (SAFE,))
@@ -294,12 +294,12 @@
 def test_restored_rate_serves_more_first_calls_and_overloads_no_server() -> None:
     """Also if the restored rate is twice what the servers can do."""
     served = dict.fromkeys((None, 1.0, 2.0), 0)
-    for off in served:
+    for factor in served:
         for seed in range(1, 5):
-            fleet = recovered_crew(seed, off)
-            served[off] += fleet.served
+            fleet = recovered_crew(seed, factor)
+            served[factor] += fleet.served
             fleet.run(6 * SECOND, 3 * 20.0 * 12, (SAFE,))
-            assert not any(fleet.pushed_over(n) for n in fleet.machines), (off, seed)
+            assert not any(fleet.pushed_over(n) for n in fleet.machines), (factor, seed)
     assert served[1.0] > 1.1 * served[None], served
 
 
@@ -330,22 +330,22 @@
         (
             [report("a", 9.0, 23 * HOUR), report("b", 5.0, 23 * HOUR), report("c", 7.0)],
             None,
-            7.0,
-        ),  # the fresh one decides
+            7.0,  # the fresh one decides
+        ),
         ([report("a", 9000.0)], (9.0, 0), 9.0),
         (
             [report("a", 8.0, siblings=2), report("b", 8.0, siblings=2)],
             None,
-            4.0,
-        ),  # fewer nodes shared the servers then
+            4.0,  # fewer nodes shared the servers then
+        ),
     ],
 )
 def test_merged_rate_of_reports(
     reports: list[PeerReport], own: tuple[float, int] | None, expected: float
 ) -> None:
-    heard = merge_reports(reports, own, 8, 8, SETUP, "lahore", AgeLimits())
-    assert heard.rate == pytest.approx(expected)
-    assert heard.siblings >= SETUP.siblings and all(verdict.why for verdict in heard.verdicts)
+    estimate = merge_reports(reports, own, 8, 8, SETUP, "lahore", AgeLimits())
+    assert estimate.rate == pytest.approx(expected)
+    assert estimate.siblings >= SETUP.siblings and all(verdict.why for verdict in estimate.verdicts)
 
 
 @given(
@@ -358,8 +358,8 @@
     assert (
         merge_reports([*honest, report("liar", lie)], None, 4, 4, SETUP, "lahore", AgeLimits()).rate == 10.0
     )
-    heard = merge_reports([report(*each) for each in said], None, 9, 9, SETUP, "lahore", AgeLimits())
-    assert 0 <= heard.rate <= max([rate for _, rate, _ in said], default=0.0)
+    estimate = merge_reports([report(*each) for each in said], None, 9, 9, SETUP, "lahore", AgeLimits())
+    assert 0 <= estimate.rate <= max([rate for _, rate, _ in said], default=0.0)
 
 
 @pytest.mark.parametrize(
@@ -367,7 +367,7 @@
     [(3, 3, 3, 4), (7, 7, 7, 8), (1, 7, 7, 4), (0, 7, 7, 4), (0, 0, 0, 4), (8, 8, 16, 16), (32, 32, 199, 16)],
 )
 def test_answering_peers_only_raise_siblings(live: int, asked: int, peers: int, count: int) -> None:
-    """`siblings` is set to 4. A node that hears few peers may be cut off while the others go on sending."""
+    """`siblings` is set to 4. A node that hears few peers may be cut factor while the others go on sending."""
     reports = [report(f"n{i}", 1.0) for i in range(live)]
     assert merge_reports(reports, None, asked, peers, SETUP, "lahore", AgeLimits()).siblings == count
 
