--- a/minthitch/recovery/model.py
+++ b/minthitch/recovery/model.py
@@ -50,9 +50,8 @@
     up: Nanoseconds
     siblings: Annotated[int, msgspec.Meta(ge=1, le=1 << 20)]
     cold: Text  # digest of the cold-start settings in force while it was learned
-    classes: Annotated[
-        dict[Text, tuple[Text, EvidenceSums]], msgspec.Meta(max_length=MAX_ROWS)
-    ]  # digest, sums
+    # By class name: the class's digest and the sums of its evidence.
+    classes: Annotated[dict[Text, tuple[Text, EvidenceSums]], msgspec.Meta(max_length=MAX_ROWS)]
     kinds: Annotated[dict[Text, EvidenceSums], msgspec.Meta(max_length=MAX_ROWS)]
     rate: Annotated[float, msgspec.Meta(ge=0.0, le=MAX_RATE)] = 0.0  # answers per second of a warm server
     listed_wall: Nanoseconds = 0  # when discovery last confirmed the list; 0 = never
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -70,7 +70,7 @@
 
 
 def test_truncated_or_altered_snapshot_is_rejected() -> None:
-    """Cut factor at every byte, as a crash leaves it, and with each byte altered."""
+    """Cut off at every byte, as a crash leaves it, and with each byte altered."""
     assert decode(DATA) == STORED
     for size in range(len(DATA)):
         with pytest.raises(FrameError) as err:
@@ -113,7 +113,7 @@
     assert newest(store.read()) is None
     for generation in (1, 2, 3):
         store.write(change(STORED, generation=generation))
-    for size in range(0, len(DATA), 7):  # write 4 is cut factor: in the temporary file or in the older slot
+    for size in range(0, len(DATA), 7):  # write 4 is cut off: in the temporary file or in the older slot
         for path in (tmp_path / "n1.a.new", store.paths[1 - store.newest_slot]):
             path.write_bytes(DATA[:size])
             best = newest(Store(tmp_path, "n1").read())
@@ -272,7 +272,7 @@
 
 
 def recovered_crew(seed: int, factor: float | None) -> Crew:
-    """Two seconds of a cold fleet whose nodes restore `factor` times the rate they learned; None: nothing."""
+    """A cold fleet after 2 s, whose nodes restored `factor` times their learned rate; None: nothing."""
     machines = {n: Machine(20.0) for n in range(1, 13)}
     before = Crew(settings(siblings=6, idle_close=30 * SECOND), 6, machines, seed)
     before.tell(ListKind.FULL, tuple(ServerEntry(n, cell=n % 4) for n in before.machines))
@@ -367,7 +367,7 @@
     [(3, 3, 3, 4), (7, 7, 7, 8), (1, 7, 7, 4), (0, 7, 7, 4), (0, 0, 0, 4), (8, 8, 16, 16), (32, 32, 199, 16)],
 )
 def test_answering_peers_only_raise_siblings(live: int, asked: int, peers: int, count: int) -> None:
-    """`siblings` is set to 4. A node that hears few peers may be cut factor while the others go on sending."""
+    """`siblings` is set to 4. A node that hears few peers may be cut off; the others go on sending."""
     reports = [report(f"n{i}", 1.0) for i in range(live)]
     assert merge_reports(reports, None, asked, peers, SETUP, "lahore", AgeLimits()).siblings == count
 
