--- a/bench/embedded.py
+++ b/bench/embedded.py
@@ -201,20 +201,20 @@
 
     def __init__(self, config: Config) -> None:
         self.engine = Engine(config.settings, 1, LoopClock(asyncio.get_running_loop()), lambda text: None)
-        self.engine.carrier = self.pool = Pool(config.settings, 512)
+        self.engine.transport = self.pool = Pool(config.settings, 512)
         self.engine.listed(config.known, ListKind.CACHED)
         self.late = self.settled = 0
         self.requests: list[Request] = []
 
     def answer(self, call: Call, answer: Answer) -> None:
         self.settled += 1
-        assert call.left is not None
-        self.late += time.monotonic_ns() > call.heard + call.left + LATE
+        assert call.time_left is not None
+        self.late += time.monotonic_ns() > call.received_at + call.time_left + LATE
 
     def begin(self, number: int, left: int, fields: tuple[tuple[bytes, bytes], ...]) -> None:
         cls = number % 2
         message = Message(b"POST" if cls else b"GET", b"/api", ((b"Host", b"bench"), *fields))
-        call = Call(b"%d" % number, cls, message, left=left, heard=time.monotonic_ns())
+        call = Call(b"%d" % number, cls, message, time_left=left, received_at=time.monotonic_ns())
         self.requests.append(self.engine.admit(self, call))
 
 
--- a/minthitch/__main__.py
+++ b/minthitch/__main__.py
@@ -6,7 +6,7 @@
 import sys
 
 from minthitch.config import ConfigError, read_config
-from minthitch.program import complain, run
+from minthitch.program import report_config_error, run
 
 
 def main() -> int:
@@ -20,7 +20,7 @@
             raise ConfigError("BALANCER_CONFIG names no file")
         config = read_config(path)
     except ConfigError as err:
-        return complain(err)
+        return report_config_error(err)
     return run(config, lambda: read_config(path))
 
 
--- a/minthitch/admin/listener.py
+++ b/minthitch/admin/listener.py
@@ -6,30 +6,30 @@
 from collections.abc import Callable
 from typing import cast
 
-from minthitch.admin.desk import Operated, answer
+from minthitch.admin.commands import ManagedNode, answer
 from minthitch.config import ConfigError
 
-MOST_CONNECTIONS = 16
-MOST_LINE = 1024  # bytes
-READ_WITHIN = 5.0  # seconds for a whole line
-TAKEN_WITHIN = 5.0  # seconds for a caller to take the answer
+MAX_CONNECTIONS = 16
+MAX_LINE_BYTES = 1024  # bytes
+READ_TIMEOUT_S = 5.0  # seconds for a whole line
+WRITE_TIMEOUT_S = 5.0  # seconds for a caller to take the answer
 
 
-class Visit(asyncio.Protocol):
+class AdminConnection(asyncio.Protocol):
     """One connection of the staff's."""
 
-    def __init__(self, desk: Desk) -> None:
-        self.desk = desk
+    def __init__(self, listener: AdminListener) -> None:
+        self.listener = listener
         self.line = b""
         self.answered = False
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.desk.joined(self)
+        self.listener.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.desk.visits.pop(self, None)
+        self.listener.connections.pop(self, None)
 
     def data_received(self, data: bytes) -> None:
         if self.answered:
@@ -37,66 +37,68 @@
         self.line += data
         line, newline, _ = self.line.partition(b"\n")
         if newline:
-            self._tell(line)
-        elif len(self.line) > MOST_LINE:
-            self._say(f"error a line of over {MOST_LINE} bytes")
+            self._answer_line(line)
+        elif len(self.line) > MAX_LINE_BYTES:
+            self._reply(f"error a line of over {MAX_LINE_BYTES} bytes")
 
     def eof_received(self) -> None:
         if not self.answered and self.line:
-            self._tell(self.line)
+            self._answer_line(self.line)
 
-    def _tell(self, line: bytes) -> None:
+    def _answer_line(self, line: bytes) -> None:
         try:
-            self._say(answer(line[:MOST_LINE], self.desk.node))
+            self._reply(answer(line[:MAX_LINE_BYTES], self.listener.node))
         except Exception as err:  # danger: a fault here must not end the node that serves callers
-            self.desk.log(f"operators' call {line[:60]!r}: {type(err).__name__}: {err}")
-            self._say("error the call failed; the log has it")
+            self.listener.log(f"operators' call {line[:60]!r}: {type(err).__name__}: {err}")
+            self._reply("error the call failed; the log has it")
 
-    def _say(self, text: str) -> None:
+    def _reply(self, text: str) -> None:
         self.answered = True
         if self.transport is not None:
             self.transport.write(text.encode() + b"\n")
             self.transport.close()
 
 
-class Desk:
+class AdminListener:
     """Listens for staff. Danger: visitors that say nothing must not keep others out, nor take descriptors."""
 
-    def __init__(self, node: Operated, log: Callable[[str], None]) -> None:
+    def __init__(self, node: ManagedNode, log: Callable[[str], None]) -> None:
         self.node, self.log = node, log
         self.loop = asyncio.get_running_loop()
-        self.visits: dict[Visit, None] = {}  # the one that has waited for longest first
+        self.connections: dict[AdminConnection, None] = {}  # the one that has waited for longest first
         self.server: asyncio.Server | None = None
 
     async def start(self, host: str, port: int) -> None:
         """Raises OSError."""
-        self.server = await self.loop.create_server(lambda: Visit(self), host, port)
+        self.server = await self.loop.create_server(lambda: AdminConnection(self), host, port)
 
     @property
     def port(self) -> int:
         assert self.server is not None
         return int(self.server.sockets[0].getsockname()[1])
 
-    def joined(self, visit: Visit) -> None:
-        if len(self.visits) >= MOST_CONNECTIONS:
-            self._cut(next(iter(self.visits)))
-        self.visits[visit] = None
-        self.loop.call_later(READ_WITHIN + TAKEN_WITHIN, self._cut, visit)
+    def add(self, connection: AdminConnection) -> None:
+        if len(self.connections) >= MAX_CONNECTIONS:
+            self._abort(next(iter(self.connections)))
+        self.connections[connection] = None
+        self.loop.call_later(READ_TIMEOUT_S + WRITE_TIMEOUT_S, self._abort, connection)
 
-    def _cut(self, visit: Visit) -> None:
-        if self.visits.pop(visit, self) is None and visit.transport is not None:
-            visit.transport.abort()
+    def _abort(self, connection: AdminConnection) -> None:
+        if self.connections.pop(connection, self) is None and connection.transport is not None:
+            connection.transport.abort()
 
     def close(self) -> None:
         if self.server is not None:
             self.server.close()
-        for visit in list(self.visits):
-            self._cut(visit)
+        for connection in list(self.connections):
+            self._abort(connection)
 
 
-async def open_desk(where: tuple[str, int], node: Operated, log: Callable[[str], None]) -> Desk:
+async def open_admin_listener(
+    where: tuple[str, int], node: ManagedNode, log: Callable[[str], None]
+) -> AdminListener:
     """A desk at work. Raises ConfigError where the address can't be bound."""
-    desk = Desk(node, log)
+    desk = AdminListener(node, log)
     try:
         await desk.start(*where)
     except OSError as err:
--- a/minthitch/admin/figures.py
+++ b/minthitch/admin/metrics.py
@@ -1,10 +1,10 @@
-"""The node's figures as lines of text. No I/O; the names are the operators' own."""
+"""The node's metrics as lines of text. No I/O; the names are the operators' own."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 
-from minthitch.engine.counts import Figures
+from minthitch.engine.counts import NodeMetrics
 
 PREFIX = "edge_balancer"
 
@@ -13,13 +13,13 @@
     return text.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
 
 
-def lines(figures: Figures) -> Iterator[str]:
+def lines(metrics: NodeMetrics) -> Iterator[str]:
     """One figure a line; counts carry the class they are of."""
-    counts = figures.counts
+    counts = metrics.counts
     for name, table in (("success", counts.served), ("busy", counts.refused), ("failure", counts.failed)):
-        for cls, count in zip(figures.classes, table, strict=True):
+        for cls, count in zip(metrics.classes, table, strict=True):
             yield f'{PREFIX}_{name}{{tier="{_escaped(cls)}"}} {count}'
     yield f"{PREFIX}_backend_calls {counts.sends}"
-    yield f"{PREFIX}_inflight {figures.inflight}"
-    yield f"{PREFIX}_hosts_listed {figures.listed}"
-    yield f"{PREFIX}_hosts_down {figures.down}"
+    yield f"{PREFIX}_inflight {metrics.inflight}"
+    yield f"{PREFIX}_hosts_listed {metrics.listed}"
+    yield f"{PREFIX}_hosts_down {metrics.down}"
--- a/minthitch/cli/commands.py
+++ b/minthitch/cli/commands.py
@@ -12,9 +12,9 @@
 from minthitch import config as platform
 from minthitch import operatorfile
 from minthitch.cli import fleet, lab, record, recovery
-from minthitch.config import MOST_SOCKETS, Config, ConfigError
+from minthitch.config import MAX_SOCKETS, Config, ConfigError
 from minthitch.listing import ListError, parse_address, static_listing
-from minthitch.program import complain, run
+from minthitch.program import report_config_error, run
 
 MESH = "mesh"  # its arguments are read by another library, in `minthitch.cli.mesh`
 MIN_SOCKETS = 64
@@ -88,10 +88,10 @@
     except ListError as err:
         raise ConfigError(str(err)) from None
     if args.sockets is not None:
-        if not MIN_SOCKETS <= args.sockets <= MOST_SOCKETS:
-            raise ConfigError(f"--sockets {args.sockets} is not from {MIN_SOCKETS} to {MOST_SOCKETS}")
+        if not MIN_SOCKETS <= args.sockets <= MAX_SOCKETS:
+            raise ConfigError(f"--sockets {args.sockets} is not from {MIN_SOCKETS} to {MAX_SOCKETS}")
         config = replace(config, sockets=args.sockets)
-    if config.listen == operatorfile.NOWHERE:
+    if config.listen == operatorfile.NO_LISTEN_ADDRESS:
         raise ConfigError("listen is missing: in the file or as --listen ADDRESS:PORT")
     return replace(config, name=args.name) if args.name else config
 
@@ -117,9 +117,11 @@
 
         return mesh.main(argv)
     except ModuleNotFoundError as err:
-        return complain(ConfigError(f"mesh: no module {err.name}: the extra `mesh` is not installed"))
+        return report_config_error(
+            ConfigError(f"mesh: no module {err.name}: the extra `mesh` is not installed")
+        )
     except ConfigError as err:
-        return complain(err)
+        return report_config_error(err)
 
 
 def main(argv: Sequence[str]) -> int:
@@ -134,7 +136,7 @@
     try:
         return COMMANDS[args.command](args)
     except ConfigError as err:
-        return complain(err)
+        return report_config_error(err)
 
 
 def _check(args: argparse.Namespace) -> int:
--- a/minthitch/cli/fleet.py
+++ b/minthitch/cli/fleet.py
@@ -8,7 +8,7 @@
 
 from minthitch.config import ConfigError
 from minthitch.fleet.count import count
-from minthitch.fleet.shown import lines
+from minthitch.fleet.report import lines
 
 LEAST_WINDOW, MAX_WINDOW = 0.1, 3_600.0
 
--- a/minthitch/cli/mesh.py
+++ b/minthitch/cli/mesh.py
@@ -245,7 +245,7 @@
 
 
 def _complain_of(file: Path, body: bytes) -> bool:
-    """Whether there is something to complain of: one line each."""
+    """Whether there is something to report_config_error of: one line each."""
     lines = change.problems(body)
     for line in lines:
         print(f"minthitch: {file}: {line}", file=sys.stderr)
--- a/minthitch/config.py
+++ b/minthitch/config.py
@@ -13,8 +13,8 @@
 from minthitch.listing import ListError, Listing, parse_address, parse_listing, static_listing
 
 NO_SERVERS = Listing(0, True, ())
-MOST_SOCKETS = 1024
-MOST_MEMORY = 192 * 1024 * 1024  # bytes, where nothing else is said
+MAX_SOCKETS = 1024
+MAX_MEMORY_BYTES = 192 * 1024 * 1024  # bytes, where nothing else is said
 MIB = 1024 * 1024
 
 
@@ -67,7 +67,7 @@
     recovery: RecoveryConfig | None = None
     operators: tuple[str, int] | None = None  # where operators ask; None = no such listener
     admin: tuple[str, int] | None = None  # where staff call, one line a connection; None = nowhere
-    memory: int = MOST_MEMORY  # bytes for the process
+    memory: int = MAX_MEMORY_BYTES  # bytes for the process
     handover: str = ""  # folder where a process that replaces another finds it; "" = none is replaced
 
 
@@ -103,23 +103,23 @@
         raise ConfigError(f"servers: {err}") from None
 
 
-def most_sockets(table: Mapping[str, Any]) -> int:
+def socket_limit(table: Mapping[str, Any]) -> int:
     limits = table.get("limits") or {}
-    sockets = limits.get("sockets", MOST_SOCKETS) if isinstance(limits, dict) else None
+    sockets = limits.get("sockets", MAX_SOCKETS) if isinstance(limits, dict) else None
     if isinstance(sockets, bool) or not isinstance(sockets, int) or sockets < 64:
         raise ConfigError(f"limits.sockets is not a whole number of 64 or more: {sockets!r}")
-    return min(sockets, MOST_SOCKETS)
+    return min(sockets, MAX_SOCKETS)
 
 
-def memory_of(table: Mapping[str, Any]) -> int:
+def memory_limit(table: Mapping[str, Any]) -> int:
     limits = table.get("limits") or {}
-    memory = limits.get("memory_mb", MOST_MEMORY // MIB) if isinstance(limits, dict) else None
+    memory = limits.get("memory_mb", MAX_MEMORY_BYTES // MIB) if isinstance(limits, dict) else None
     if isinstance(memory, bool) or not isinstance(memory, (int, float)) or not 1 <= memory < 1e9:
         raise ConfigError(f"limits.memory_mb is not a number of 1 or more: {memory!r}")
-    return min(int(memory * MIB), MOST_MEMORY)
+    return min(int(memory * MIB), MAX_MEMORY_BYTES)
 
 
-def seed_of(table: Mapping[str, Any]) -> int:
+def parse_seed(table: Mapping[str, Any]) -> int:
     try:
         return int(str(table.get("seed", "0")), 16)
     except ValueError:
@@ -136,7 +136,7 @@
 
 def from_table(table: Mapping[str, Any], environ: Mapping[str, str]) -> Config:
     """A node's configuration from its decoded JSON. Raises ConfigError."""
-    sockets = most_sockets(table)
+    sockets = socket_limit(table)
     try:
         discovery = "" if "servers" in table else _text(table, "discovery", environ)
         if discovery:
@@ -145,12 +145,12 @@
             _text(table, "name", environ),
             parse_address(_text(table, "listen", environ)),
             discovery,
-            seed_of(table),
+            parse_seed(table),
             sockets,
             known_servers(table),
             settings.from_object(table.get("settings")),
             admin=_admin(table, environ),
-            memory=memory_of(table),
+            memory=memory_limit(table),
             handover=environ.get("TMPDIR", ""),
         )
     except (ValueError, ListError) as err:
--- a/minthitch/embedded/client.py
+++ b/minthitch/embedded/client.py
@@ -45,7 +45,7 @@
     except ListError as err:
         raise ConfigError(f"servers = {list(servers)!r}: {err}") from None
     seed = int.from_bytes(os.urandom(8)) if seed is None else seed
-    return Config(name, operatorfile.NOWHERE, discovery, seed, sockets, known, settings)
+    return Config(name, operatorfile.NO_LISTEN_ADDRESS, discovery, seed, sockets, known, settings)
 
 
 def _config(source: Config | str | os.PathLike[str]) -> Config:
--- a/minthitch/embedded/requests.py
+++ b/minthitch/embedded/requests.py
@@ -12,8 +12,7 @@
 from minthitch import interface as api
 from minthitch.embedded.errors import BadCall
 from minthitch.engine import Call, Message, Refused, Rejected
-from minthitch.engine.fields import MOST_BODY, NOT_FORWARDED, Reader
-from minthitch.engine.fields import key as session_key
+from minthitch.engine.fields import MAX_BODY_BYTES, NOT_FORWARDED, CallParser, session_key
 
 MOST_SECONDS = 1e6
 MOST_HEAD = 32 * 1024  # bytes of a request in front of its body, as at the daemon
@@ -80,7 +79,7 @@
     """Makes calls by the settings of one client."""
 
     def __init__(self, settings: api.Settings, authority: str) -> None:
-        self.settings, self.reader = settings, Reader(settings)
+        self.settings, self.reader = settings, CallParser(settings)
         self.numbers = {spec.name: i for i, spec in enumerate(settings.classes)}
         self.names = [spec.name.encode() for spec in settings.classes]
         self.authority = authority.encode()
@@ -133,8 +132,8 @@
             name.encode(),
             cls,
             message,
-            left=None if timeout is None else int(timeout * api.SECOND),
-            heard=heard,
+            time_left=None if timeout is None else int(timeout * api.SECOND),
+            received_at=heard,
             tenant=self.reader.tenants.get(tenant.encode(), len(self.reader.tenants)),
             key=session_key(table),
             cost=int(cost * api.SECOND),
@@ -145,8 +144,8 @@
     def _check(target: bytes, body: bytes, timeout: float | None) -> None:
         if timeout is not None and not 0 < timeout < MOST_SECONDS:
             raise BadCall(f"timeout {timeout!r} is not a number of seconds above 0")
-        if len(body) > MOST_BODY:
-            raise BadCall(f"the body holds {len(body)} bytes, over {MOST_BODY}", 413)
+        if len(body) > MAX_BODY_BYTES:
+            raise BadCall(f"the body holds {len(body)} bytes, over {MAX_BODY_BYTES}", 413)
         if not TARGET.fullmatch(target):  # danger: a space or line end would begin another request
             raise BadCall(f"bad target {target[:60]!r}")
 
--- a/minthitch/embedded/worker.py
+++ b/minthitch/embedded/worker.py
@@ -20,7 +20,7 @@
 from minthitch.embedded.handover import Handover
 from minthitch.embedded.tickets import Ticket
 from minthitch.engine import Engine, Failed, LoopClock, Refused, Rejected, Source, StaticSource
-from minthitch.engine.core import pause_when_full
+from minthitch.engine.core import retry_after_when_full
 from minthitch.log import LineLog
 from minthitch.net.discovery import Discovery
 from minthitch.net.servers import Pool
@@ -85,7 +85,9 @@
             assert self.inbox is not None
             if len(self.held) >= self.most:
                 spec = self.settings.classes[ticket.call.cls]
-                return Refused(pause_when_full(self.settings, spec, self.random), "too many calls are held")
+                return Refused(
+                    retry_after_when_full(self.settings, spec, self.random), "too many calls are held"
+                )
             self.held.add(ticket)
             self.inbox.put(lambda: self._take(ticket))
         return None
@@ -156,7 +158,7 @@
         )
         clock = LoopClock(loop)
         engine = self.engine = Engine(config.settings, config.seed, clock, log, ended.set)
-        pool = engine.carrier = Pool(config.settings, config.sockets - RESERVE)
+        pool = engine.transport = Pool(config.settings, config.sockets - RESERVE)
         source = engine.source = self._source(engine)
         recording = None
         if config.record is not None:
@@ -212,7 +214,7 @@
     def _leave(self, ticket: Ticket) -> None:
         assert self.engine is not None
         if ticket.request is not None:
-            self.engine.leave(ticket.request)
+            self.engine.abandon(ticket.request)
         self.settled(ticket)
 
     def settled(self, ticket: Ticket) -> None:
--- a/minthitch/engine/__init__.py
+++ b/minthitch/engine/__init__.py
@@ -6,40 +6,40 @@
 
 from typing import TYPE_CHECKING
 
-from minthitch.engine.attempts import Asker, Attempt, Carried, Request
+from minthitch.engine.attempts import Attempt, AttemptHandle, Request, Requester
 from minthitch.engine.calls import Answer, Call, Failed, Fields, Message, Refused, Rejected, Served
 from minthitch.engine.clock import Clock, LoopClock
-from minthitch.engine.fleet import Server
+from minthitch.engine.servers import Server
 
 if TYPE_CHECKING:
     from minthitch.engine.core import Engine
-    from minthitch.engine.ports import Carrier, Decider, Keeper, Source, StaticSource
+    from minthitch.engine.ports import Decider, Recorder, Source, StaticSource, Transport
 
 __all__ = [
     "Answer",
-    "Asker",
     "Attempt",
+    "AttemptHandle",
     "Call",
-    "Carried",
-    "Carrier",
     "Clock",
     "Decider",
     "Engine",
     "Failed",
     "Fields",
-    "Keeper",
     "LoopClock",
     "Message",
+    "Recorder",
     "Refused",
     "Rejected",
     "Request",
+    "Requester",
     "Served",
     "Server",
     "Source",
     "StaticSource",
+    "Transport",
 ]
 
-_PORTS = ("Carrier", "Decider", "Keeper", "Source", "StaticSource")
+_PORTS = ("Transport", "Decider", "Recorder", "Source", "StaticSource")
 
 
 def __getattr__(name: str) -> object:
--- a/minthitch/engine/calls.py
+++ b/minthitch/engine/calls.py
@@ -20,7 +20,7 @@
         self.retry_after = retry_after  # ns after which asking again makes sense; 0 = not stated
 
     @property
-    def refusal(self) -> bool:
+    def is_refusal(self) -> bool:
         """Whether it tells its sender that trying again is harmless."""
         return self.status in (429, 503)
 
@@ -40,7 +40,18 @@
 class Call:
     """A call to the engine: who it is, what the decisions need to know of it, and its message."""
 
-    __slots__ = ("identity", "cls", "message", "left", "heard", "tenant", "key", "cost", "repeat", "streams")
+    __slots__ = (
+        "identity",
+        "cls",
+        "message",
+        "time_left",
+        "received_at",
+        "tenant",
+        "key",
+        "cost",
+        "repeat",
+        "accepts_stream",
+    )
 
     def __init__(
         self,
@@ -48,18 +59,20 @@
         cls: int,
         message: Message,
         *,
-        left: int | None = None,
-        heard: int = 0,
+        time_left: int | None = None,
+        received_at: int = 0,
         tenant: int = 0,
         key: int = 0,
         cost: int = 0,
         repeat: bool = False,
     ) -> None:
         self.identity, self.cls, self.message = identity, cls, message
-        self.left = left  # ns that the asker waits, counted from `heard`; None = the class's deadline
-        self.heard = heard  # when its last byte came, on the monotonic clock; 0 = now
+        self.time_left = (
+            time_left  # ns that the asker waits, counted from `heard`; None = the class's deadline
+        )
+        self.received_at = received_at  # when its last byte came, on the monotonic clock; 0 = now
         self.tenant, self.key, self.cost, self.repeat = tenant, key, cost, repeat
-        self.streams = False  # whether its asker takes a long answer in parts, as they come
+        self.accepts_stream = False  # whether its asker takes a long answer in parts, as they come
 
 
 @dataclass(frozen=True, slots=True)
--- a/minthitch/engine/clock.py
+++ b/minthitch/engine/clock.py
@@ -10,8 +10,8 @@
 
 from minthitch.interface import SECOND
 
-LEAST_DELAY = 0.001  # seconds: the loop's own resolution
-COMPACT_FROM = 1_000  # timers from which cancelled ones are thrown out once they are more than half
+MIN_DELAY_S = 0.001  # seconds: the loop's own resolution
+MIN_COMPACT_SIZE = 1_000  # timers from which cancelled ones are thrown out once they are more than half
 
 
 class Timer(Protocol):
@@ -68,13 +68,13 @@
             self._arm(when, 0.0)
         return timer
 
-    def _arm(self, when: int, least: float) -> None:
+    def _arm(self, when: int, min_delay_s: float) -> None:
         if self.handle is not None:
             self.handle.cancel()
         self.armed = when
-        self.handle = self.loop.call_later(max((when - self.now()) / SECOND, least), self._due)
+        self.handle = self.loop.call_later(max((when - self.now()) / SECOND, min_delay_s), self._run_due)
 
-    def _due(self) -> None:
+    def _run_due(self) -> None:
         self.handle, now = None, self.now()
         while self.heap and (self.heap[0][0] <= now or self.heap[0][2].call is None):
             timer = heapq.heappop(self.heap)[2]
@@ -88,11 +88,11 @@
                 self.loop.call_exception_handler({"message": "a timer failed", "exception": err})
         # Danger: the loop rounds to milliseconds; a timer that comes early is ignored, and none follows.
         if self.heap and (self.handle is None or self.heap[0][0] < self.armed):
-            self._arm(self.heap[0][0], LEAST_DELAY)
+            self._arm(self.heap[0][0], MIN_DELAY_S)
 
     def compact(self) -> None:
         """Danger: at a high rate the cancelled would fill the memory until they are due."""
-        if len(self.heap) >= COMPACT_FROM and 2 * self.cancelled > len(self.heap):
+        if len(self.heap) >= MIN_COMPACT_SIZE and 2 * self.cancelled > len(self.heap):
             self.heap = [entry for entry in self.heap if entry[2].call is not None]
             heapq.heapify(self.heap)
             self.cancelled = 0
--- a/minthitch/engine/core.py
+++ b/minthitch/engine/core.py
@@ -11,26 +11,26 @@
 from collections.abc import Callable
 
 from minthitch import interface as api
-from minthitch import memory
-from minthitch.engine.attempts import Asker, Attempt, Request
+from minthitch import learned_state
+from minthitch.engine.attempts import Attempt, Request, Requester
 from minthitch.engine.calls import Answer, Call, Failed, Refused, Rejected, Served
 from minthitch.engine.clock import Clock
 from minthitch.engine.counts import Counts
-from minthitch.engine.fleet import Fleet, Server
-from minthitch.engine.ports import Carrier, Decider, Keeper, Source
+from minthitch.engine.ports import Decider, Recorder, Source, Transport
+from minthitch.engine.servers import Server, ServerTable
 from minthitch.listing import Listing
 from minthitch.policy import Balancer
 
-BESIDE = 0.5  # part of the calls that a process serves beside the one that it replaces
-GRACE_PART = 2  # a drain may be heard half of its grace late: one in so many parts is left then
-FULL_BACK = 0.04, 0.12  # one over the limit of open requests comes back after this part of its aim
+HANDOVER_SHARE = 0.5  # part of the calls that a process serves beside the one that it replaces
+GRACE_DIVISOR = 2  # a drain may be heard half of its grace late: one in so many parts is left then
+RETRY_AFTER_RANGE = 0.04, 0.12  # one over the limit of open requests comes back after this part of its aim
 
 
-def pause_when_full(settings: api.Settings, spec: api.RequestClass, rng: random.Random) -> int:
+def retry_after_when_full(settings: api.Settings, spec: api.RequestClass, rng: random.Random) -> int:
     """When one that is turned away for room may ask again, in ns; spread, or all would come together."""
     if not settings.retry_after:
         return 0
-    return min(int(rng.uniform(*FULL_BACK) * spec.aim), settings.max_retry_after)
+    return min(int(rng.uniform(*RETRY_AFTER_RANGE) * spec.aim), settings.max_retry_after)
 
 
 class Engine:
@@ -48,38 +48,38 @@
         self.settings, self.clock, self.log, self.on_idle = settings, clock, log, on_idle
         self.balancer: Decider = decider or Balancer(settings, seed)
         self.random = random.Random(seed ^ 2)  # for pauses; the Balancer has its own
-        self.fleet = Fleet(settings)
-        self.carrier: Carrier | None = None
+        self.server_table = ServerTable(settings)
+        self.transport: Transport | None = None
         self.source: Source | None = None
-        self.keeper: Keeper | None = None
+        self.recorder: Recorder | None = None
         self.counts = Counts(len(settings.classes))
         self.events: deque[api.Event] = deque()
-        self.pumping = False
+        self.is_dispatching = False
         self.requests: dict[int, Request] = {}
         self.open: dict[int, Request] = {}  # those that are not answered yet
-        self.untold: dict[int, tuple[Request, Answer]] = {}  # answers that the keeper holds up
-        self.ids: set[bytes] = set()  # the ids of the requests that are open
+        self.held_answers: dict[int, tuple[Request, Answer]] = {}  # answers that the keeper holds up
+        self.open_ids: set[bytes] = set()  # the ids of the requests that are open
         self.next_request = 1
         self.have_list = False
-        self.leaving = 0  # while it drains: by when all is to be answered
+        self.drain_deadline = 0  # while it drains: by when all is to be answered
 
     # Events and actions -------------------------------------------------------------------------
 
     def post(self, event: api.Event) -> None:
         self.events.append(event)
-        if self.pumping:  # danger: the Balancer is at work and keeps its actions in one list
+        if self.is_dispatching:  # danger: the Balancer is at work and keeps its actions in one list
             return
-        self.pumping = True
+        self.is_dispatching = True
         try:
             while self.events:
                 self._handle(self.events.popleft())
         finally:
-            self.pumping = False
+            self.is_dispatching = False
 
     def _handle(self, event: api.Event) -> None:
         try:
             actions = self.balancer.handle(self.clock.now(), event)
-        except Exception as err:  # danger: one bad decision must not leave its asker unanswered
+        except Exception as err:  # danger: one bad decision must not leave its requester unanswered
             self.log_error(f"the decisions failed on {type(event).__name__}", err)
             number = getattr(event, "request", None)
             if number is not None and (request := self.requests.get(number)):
@@ -87,17 +87,17 @@
             return
         for action in actions:
             try:
-                self._act(action)
+                self._execute(action)
             except Exception as err:
                 self.log_error(f"{type(action).__name__} failed", err)
 
-    def _act(self, action: api.Action) -> None:
+    def _execute(self, action: api.Action) -> None:
         if isinstance(action, api.Send):
             self._send(action)
         elif isinstance(action, api.Cancel):
             self._cancel(action)
         elif isinstance(action, (api.Refuse, api.Fail)):
-            self._settle(action)
+            self._refuse_or_fail(action)
         elif isinstance(action, api.SetTimer):
             self.clock.at(self.clock.now() + action.delay, lambda: self.post(api.TimerFired(action.token)))
         elif isinstance(action, api.Subscribe):
@@ -107,8 +107,8 @@
             if self.source is not None:
                 self.source.refresh()
         elif isinstance(action, api.HangUp):
-            if self.carrier is not None and (server := self.fleet.addresses.get(action.server)):
-                self.carrier.hang_up(server)
+            if self.transport is not None and (server := self.server_table.by_number.get(action.server)):
+                self.transport.hang_up(server)
         elif isinstance(action, api.Log):
             self.log(action.text)
         else:
@@ -119,32 +119,34 @@
 
     # Requests -----------------------------------------------------------------------------------
 
-    def admit(self, asker: Asker, call: Call, *, full: bool = False) -> Request:
-        """Takes a call; its asker hears one answer by its deadline. Raises Rejected where it is not taken."""
+    def admit(self, requester: Requester, call: Call, *, full: bool = False) -> Request:
+        """Takes a call; one answer follows by its deadline. Raises Rejected if it is refused at once."""
         try:
-            return self._take(asker, call, full)
+            return self._take(requester, call, full)
         except Rejected as err:
             self.counts.rejected(call.cls, err)
             raise
 
-    def _take(self, asker: Asker, call: Call, full: bool) -> Request:
+    def _take(self, requester: Requester, call: Call, full: bool) -> Request:
         now, spec = self.clock.now(), self.settings.classes[call.cls]
-        if call.identity in self.ids:  # danger: servers would take the two for one
+        if call.identity in self.open_ids:  # danger: servers would take the two for one
             raise Rejected(409, "the id of an open request")
         if full or 0 < self.settings.max_open <= len(self.open):
-            pause = pause_when_full(self.settings, spec, self.random)
+            pause = retry_after_when_full(self.settings, spec, self.random)
             raise Rejected(503, "too many requests are open", pause)
         # One that was pipelined has waited since its last byte came.
-        deadline = (call.heard or now) + min(spec.deadline if call.left is None else call.left, spec.deadline)
-        if self.leaving:  # the decisions then end it in time, by a refusal where that is harmless
-            deadline = min(deadline, self.leaving)
-        request = Request(self.next_request, asker, call, spec, deadline)
+        deadline = (call.received_at or now) + min(
+            spec.deadline if call.time_left is None else call.time_left, spec.deadline
+        )
+        if self.drain_deadline:  # the decisions then end it in time, by a refusal where that is harmless
+            deadline = min(deadline, self.drain_deadline)
+        request = Request(self.next_request, requester, call, spec, deadline)
         self.next_request += 1
         self.requests[request.number] = self.open[request.number] = request
-        self.ids.add(call.identity)
-        if self.keeper is not None:
-            self.keeper.opened(request)
-        request.timer = self.clock.at(deadline, lambda: self._out_of_time(request))
+        self.open_ids.add(call.identity)
+        if self.recorder is not None:
+            self.recorder.opened(request)
+        request.timer = self.clock.at(deadline, lambda: self._expire(request))
         self.post(
             api.RequestArrived(
                 request.number, call.cls, deadline, call.tenant, call.key, call.cost, call.repeat
@@ -152,26 +154,26 @@
         )
         return request
 
-    def leave(self, request: Request) -> None:
-        """The asker has gone: it hears nothing more, and nothing more is sent."""
-        if not request.over:
-            if self.keeper is not None:
-                self.keeper.gone(request)
-            self._over(request)
+    def abandon(self, request: Request) -> None:
+        """The requester has gone: it hears nothing more, and nothing more is sent."""
+        if not request.closed:
+            if self.recorder is not None:
+                self.recorder.requester_left(request)
+            self._close(request)
             self.post(api.RequestGone(request.number))
 
-    def conclude(self, request: Request, answer: Answer) -> None:
+    def resolve(self, request: Request, answer: Answer) -> None:
         """The keeper's own answer, to a request of which nothing is out."""
-        if not request.over:
-            self._over(request)
-            self._hand_over(request, answer)
+        if not request.closed:
+            self._close(request)
+            self._deliver(request, answer)
             self.post(api.RequestGone(request.number))
 
-    def _out_of_time(self, request: Request) -> None:
+    def _expire(self, request: Request) -> None:
         for attempt in request.attempts:
             if attempt is not None:
                 attempt.end(api.Status.TIMEOUT)
-        if not request.over:  # danger: a request that the Balancer still holds would never be answered
+        if not request.closed:  # danger: a request that the Balancer still holds would never be answered
             self._give_up(request, "out of time")
         self._forget(request)
 
@@ -183,9 +185,9 @@
                 attempt.end(api.Status.CANCELLED)
         self.post(api.RequestGone(request.number))
 
-    def _settle(self, action: api.Refuse | api.Fail) -> None:
+    def _refuse_or_fail(self, action: api.Refuse | api.Fail) -> None:
         request = self.requests.get(action.request)
-        if request is None or request.over:
+        if request is None or request.closed:
             return
         if isinstance(action, api.Fail):
             self._answer(request, Failed("no good answer, and it may have run"))
@@ -194,84 +196,84 @@
         self._answer(request, Refused(pause, "not done"))
 
     def _answer(self, request: Request, answer: Answer) -> None:
-        if request.over:  # danger: a second answer would pass for the next request's
+        if request.closed:  # danger: a second answer would pass for the next request's
             return
-        if self.keeper is not None and not self.keeper.may_tell(request, answer):
-            self.untold[request.number] = (request, answer)
-            self._over(request)
+        if self.recorder is not None and not self.recorder.may_answer(request, answer):
+            self.held_answers[request.number] = (request, answer)
+            self._close(request)
             return
-        self._over(request)
-        self._hand_over(request, answer)
+        self._close(request)
+        self._deliver(request, answer)
 
-    def tell(self, number: int) -> None:
+    def release_answer(self, number: int) -> None:
         """Gives the answer that the keeper held up."""
-        held = self.untold.pop(number, None)
+        held = self.held_answers.pop(number, None)
         if held is not None:
-            self._hand_over(*held)
-            self._look_idle()
+            self._deliver(*held)
+            self._check_idle()
 
-    def _hand_over(self, request: Request, answer: Answer) -> None:
+    def _deliver(self, request: Request, answer: Answer) -> None:
         rest, cls = answer.rest if isinstance(answer, Served) else None, request.call.cls
         if rest is None:
             self.counts.answered(cls, answer)
         else:
-            rest.settled = lambda whole: self.counts.passed(cls, whole)
+            rest.on_end = lambda complete: self.counts.stream_ended(cls, complete)
         try:
-            request.asker.answer(request.call, answer)
+            request.requester.answer(request.call, answer)
         except Exception as err:  # danger: a front's fault must not stop the others' answers
             self.log_error("an answer was not taken", err)
             if rest is not None:
                 rest.drop()
 
-    def _over(self, request: Request) -> None:
-        request.over = True
+    def _close(self, request: Request) -> None:
+        request.closed = True
         if self.open.pop(request.number, None) is not None:
-            self.ids.discard(request.call.identity)
+            self.open_ids.discard(request.call.identity)
         self._forget(request)
 
     def _forget(self, request: Request) -> None:
-        if request.over and not request.out and request.timer is not None:
+        if request.closed and not request.in_flight and request.timer is not None:
             self.requests.pop(request.number, None)
             request.timer.cancel()
             request.attempts.clear()  # danger: in a circle its body would stay until the collector comes by
-        self._look_idle()
+        self._check_idle()
 
-    def _look_idle(self) -> None:
-        if self.leaving and not self.open and not self.untold:
+    def _check_idle(self) -> None:
+        if self.drain_deadline and not self.open and not self.held_answers:
             self.on_idle()
 
     # Attempts -----------------------------------------------------------------------------------
 
     def _send(self, action: api.Send) -> None:
-        request, server = self.requests.get(action.request), self.fleet.addresses.get(action.server)
+        request, server = self.requests.get(action.request), self.server_table.by_number.get(action.server)
         if request is None:
             self.log(f"a send for request {action.request}, which is over")
             return
         index = len(request.attempts)
-        barred = index >= self.settings.max_attempts or self.carrier is None
+        barred = index >= self.settings.max_attempts or self.transport is None
         if server is None or barred or not self.may_write(request, server):
             request.attempts.append(None)
             self.post(
-                api.AttemptEnded(request.number, index, action.server, api.Status.MOOT, 0, request.over)
+                api.AttemptEnded(request.number, index, action.server, api.Status.MOOT, 0, request.closed)
             )
             return
         attempt = Attempt(self, request, index, server)
         request.attempts.append(attempt)
-        request.out += 1
+        request.in_flight += 1
         if action.timeout > 0:
             attempt.timer = self.clock.at(
                 attempt.started + action.timeout, lambda: attempt.end(api.Status.TIMEOUT)
             )
-        if self.keeper is None or self.keeper.may_start(attempt):
-            assert self.carrier is not None
-            self.carrier.start(attempt)
+        if self.recorder is None or self.recorder.may_start(attempt):
+            assert self.transport is not None
+            self.transport.start(attempt)
 
-    def release(self, attempt: Attempt) -> None:
+    def release_attempt(self, attempt: Attempt) -> None:
         """Lets a send go that the keeper held up, if it still may."""
         if attempt.status is not None:
             return
-        if self.carrier is not None and attempt.may_write():
-            self.carrier.start(attempt)
+        if self.transport is not None and attempt.may_write():
+            self.transport.start(attempt)
         else:
             attempt.end(api.Status.MOOT)
 
@@ -282,25 +284,27 @@
         it later; what still connects may not use the whole grace from then on.
         """
         now = self.clock.now()
-        drained = server.told and now >= server.told + self.settings.drain_grace // GRACE_PART
-        return not request.over and now < request.deadline and not drained
+        drained = (
+            server.withdrawn_at and now >= server.withdrawn_at + self.settings.drain_grace // GRACE_DIVISOR
+        )
+        return not request.closed and now < request.deadline and not drained
 
-    def sent(self) -> None:
+    def attempt_written(self) -> None:
         """What `Attempt.wrote` tells."""
         self.counts.sends += 1
 
     def may_stream(self, request: Request) -> bool:
         """Whether an answer may be passed on before it is whole; what is kept on record may not."""
-        return request.call.streams and self.keeper is None
+        return request.call.accepts_stream and self.recorder is None
 
-    def ended(self, attempt: Attempt) -> None:
+    def attempt_ended(self, attempt: Attempt) -> None:
         """What `Attempt.end` tells."""
         assert attempt.status is not None
         request = attempt.request
-        request.out -= 1
-        if self.keeper is not None:
-            self.keeper.over(attempt)
-        if attempt.status is api.Status.OK and not request.over:
+        request.in_flight -= 1
+        if self.recorder is not None:
+            self.recorder.attempt_ended(attempt)
+        if attempt.status is api.Status.OK and not request.closed:
             self._answer(request, attempt.answer or Served())
         elif attempt.answer is not None and attempt.answer.rest is not None:
             attempt.answer.rest.drop()
@@ -311,7 +315,7 @@
             attempt.server.number,
             attempt.status,
             self.clock.now() - attempt.started,
-            request.over,
+            request.closed,
         )
         self._forget(request)
         self.post(event)
@@ -325,28 +329,30 @@
 
     def avoided(self) -> int:
         """Servers of the list that get nothing now, or as good as nothing."""
-        told = sum(1 for server in self.fleet.servers.values() if server.told)
+        told = sum(1 for server in self.server_table.by_name.values() if server.withdrawn_at)
         balancer = self.balancer
         return told + (balancer.avoided(self.clock.now()) if isinstance(balancer, Balancer) else 0)
 
-    def learned(self) -> memory.Table:
+    def export_learned(self) -> learned_state.Table:
         """What the decisions have learned, for the process that replaces this one; {} if it can't be told."""
         if not isinstance(self.balancer, Balancer):
             return {}
-        servers = {server.number: server.identity for server in self.fleet.servers.values()}
-        kinds = {number: name for name, number in self.fleet.kinds.items()}
-        return memory.learned(self.balancer, self.clock.now(), servers, kinds)
+        servers = {server.number: server.identity for server in self.server_table.by_name.values()}
+        kinds = {number: name for name, number in self.server_table.kinds.items()}
+        return learned_state.export_state(self.balancer, self.clock.now(), servers, kinds)
 
-    def recall(self, table: memory.Table, last: bool) -> None:
+    def restore_learned(self, table: learned_state.Table, last: bool) -> None:
         """What the process before has learned; `last`: it ends, and its calls come here."""
         if not isinstance(self.balancer, Balancer):
             return
         try:
             if last:
-                memory.take_over(self.balancer, self.clock.now(), table)
+                learned_state.merge_state(self.balancer, self.clock.now(), table)
             else:
-                servers = {server.identity: server.number for server in self.fleet.servers.values()}
-                memory.recall(self.balancer, self.clock.now(), table, servers, self.fleet.kinds, BESIDE)
+                servers = {server.identity: server.number for server in self.server_table.by_name.values()}
+                learned_state.restore_state(
+                    self.balancer, self.clock.now(), table, servers, self.server_table.kinds, HANDOVER_SHARE
+                )
         except (ValueError, KeyError, TypeError, AttributeError) as err:
             self.log(f"what the process before has learned can't be used: {type(err).__name__}: {err}")
 
@@ -354,14 +360,16 @@
 
     def listed(self, listing: Listing, kind: api.ListKind) -> None:
         """A list has come: the whole one, its changes, or the one last held (CACHED)."""
-        if listing.odd:
-            name, why = listing.odd[0]
-            self.log(f"list {listing.seq}: entries left out: {len(listing.odd)}, first {name[:60]!r}: {why}")
-        entries, hang_up = self.fleet.apply(listing, kind, self.clock.now(), self.clock.wall())
-        if self.carrier is not None:
+        if listing.invalid:
+            name, why = listing.invalid[0]
+            self.log(
+                f"list {listing.seq}: entries left out: {len(listing.invalid)}, first {name[:60]!r}: {why}"
+            )
+        entries, hang_up = self.server_table.apply(listing, kind, self.clock.now(), self.clock.wall())
+        if self.transport is not None:
             for server in hang_up:
-                self.carrier.hang_up(server)
-        self.have_list = self.have_list or kind is not api.ListKind.CACHED or bool(self.fleet.servers)
+                self.transport.hang_up(server)
+        self.have_list = self.have_list or kind is not api.ListKind.CACHED or bool(self.server_table.by_name)
         self.post(api.ListUpdate(kind, entries))
 
     def list_failed(self) -> None:
@@ -369,14 +377,14 @@
 
     def drain(self, within: int) -> None:
         """All that is open or still comes is answered within so many ns; then `on_idle` is called."""
-        if not self.leaving:
-            self.leaving = self.clock.now() + within
-            self.clock.at(self.leaving, self.answer_all)
-            self._look_idle()
+        if not self.drain_deadline:
+            self.drain_deadline = self.clock.now() + within
+            self.clock.at(self.drain_deadline, self.answer_all)
+            self._check_idle()
 
     def answer_all(self) -> None:
         """Danger: the end of the process would lose what is still open."""
         for request in list(self.open.values()):
-            self._out_of_time(request)
-        for number in list(self.untold):
-            self.tell(number)
+            self._expire(request)
+        for number in list(self.held_answers):
+            self.release_answer(number)
--- a/minthitch/engine/counts.py
+++ b/minthitch/engine/counts.py
@@ -25,15 +25,15 @@
         table[cls] += 1
 
     def rejected(self, cls: int, err: Rejected) -> None:
-        (self.refused if err.refusal else self.failed)[cls] += 1
+        (self.refused if err.is_refusal else self.failed)[cls] += 1
 
-    def passed(self, cls: int, whole: bool) -> None:
+    def stream_ended(self, cls: int, complete: bool) -> None:
         """An answer that was passed on in parts has come to its end."""
-        (self.served if whole else self.failed)[cls] += 1
+        (self.served if complete else self.failed)[cls] += 1
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
+class NodeMetrics:
     """What a node knows of itself at one moment."""
 
     classes: tuple[str, ...]
--- a/minthitch/engine/fields.py
+++ b/minthitch/engine/fields.py
@@ -9,7 +9,7 @@
 from minthitch import interface as api
 from minthitch.engine.calls import Call, Message, Rejected
 
-MOST_BODY = 64 * 1024  # bytes of a request's body
+MAX_BODY_BYTES = 64 * 1024  # bytes of a request's body
 TIME_LEFT = re.compile(rb"(\d{1,12}(?:\.\d{1,9})?)([mu])")
 DECIMAL = re.compile(rb"\d{1,12}(?:\.\d{1,9})?")
 NOT_FORWARDED = frozenset(
@@ -38,7 +38,7 @@
     return int(float(match[1]) * (1_000_000 if match[2] == b"m" else 1_000))
 
 
-def key(fields: Mapping[bytes, bytes]) -> int:
+def session_key(fields: Mapping[bytes, bytes]) -> int:
     """X-Session-Key is any text; equal texts give equal numbers, and 0 stands for none."""
     value = fields.get(b"x-session-key")
     return int.from_bytes(blake2b(value, digest_size=8).digest()) or 1 if value else 0
@@ -54,7 +54,7 @@
     return int(float(value) * 1_000)
 
 
-class Reader:
+class CallParser:
     """Fields to calls, by the settings' names."""
 
     def __init__(self, settings: api.Settings) -> None:
@@ -76,16 +76,16 @@
         time_left(fields)
         cost(fields)
 
-    def call(self, message: Message, fields: Mapping[bytes, bytes], heard: int = 0) -> Call:
-        """The call of a request whose head has been checked, heard whole at `heard` (monotonic ns)."""
+    def call(self, message: Message, fields: Mapping[bytes, bytes], received_at: int = 0) -> Call:
+        """The call of a request with a checked head, received in full at `received_at` (monotonic ns)."""
         return Call(
             fields[b"x-correlation-id"],
             self.classes[fields[b"x-service-class"]],
             message,
-            left=time_left(fields),
-            heard=heard,
+            time_left=time_left(fields),
+            received_at=received_at,
             tenant=self.tenants.get(fields.get(b"x-account", b""), len(self.tenants)),
-            key=key(fields),
+            key=session_key(fields),
             cost=cost(fields),
             repeat=fields.get(b"x-repeat") == b"1",
         )
--- a/minthitch/engine/ports.py
+++ b/minthitch/engine/ports.py
@@ -7,7 +7,7 @@
 
 from minthitch.engine.attempts import Attempt, Request
 from minthitch.engine.calls import Answer
-from minthitch.engine.fleet import Server
+from minthitch.engine.servers import Server
 from minthitch.interface import Action, Event, ListKind
 from minthitch.listing import Listing
 
@@ -18,7 +18,7 @@
     def handle(self, now: int, event: Event) -> Sequence[Action]: ...
 
 
-class Carrier(Protocol):
+class Transport(Protocol):
     """Takes attempts to servers; each is written once or not at all, and ended by `Attempt.end`.
 
     `start` never ends its attempt before it has returned.
@@ -29,7 +29,7 @@
     def close(self) -> None: ...
 
 
-class Keeper(Protocol):
+class Recorder(Protocol):
     """Notes what becomes of requests where it must not be forgotten; it may hold sends and answers up.
 
     What it holds it gives back by `Engine.release`, `Engine.tell` or `Engine.conclude`.
@@ -37,9 +37,9 @@
 
     def opened(self, request: Request) -> None: ...
     def may_start(self, attempt: Attempt) -> bool: ...
-    def over(self, attempt: Attempt) -> None: ...
-    def may_tell(self, request: Request, answer: Answer) -> bool: ...
-    def gone(self, request: Request) -> None: ...
+    def attempt_ended(self, attempt: Attempt) -> None: ...
+    def may_answer(self, request: Request, answer: Answer) -> bool: ...
+    def requester_left(self, request: Request) -> None: ...
 
 
 class Source(Protocol):
--- a/minthitch/engine/fleet.py
+++ b/minthitch/engine/servers.py
@@ -5,21 +5,21 @@
 from minthitch import interface as api
 from minthitch.listing import Host, Listing
 
-MOST_NAMES = 1_000  # zones, and kinds, told apart; all further ones count as one
+MAX_NAMES = 1_000  # zones, and kinds, told apart; all further ones count as one
 
 
 class Server:
     """A server at one address since one start; a new start or address makes a new one."""
 
-    __slots__ = ("name", "number", "host", "port", "born_ms", "entry", "told", "retired")
+    __slots__ = ("name", "number", "host", "port", "born_ms", "entry", "withdrawn_at", "replaced")
 
     def __init__(
         self, name: str, number: int, host: str, port: int, born_ms: int, entry: api.ServerEntry
     ) -> None:
         self.name, self.number, self.host, self.port = name, number, host, port
         self.born_ms, self.entry = born_ms, entry
-        self.told = 0  # when the node was told that it drains or is gone; 0 = it does not
-        self.retired = False  # started anew, or listed at another address
+        self.withdrawn_at = 0  # when the node was told that it drains or is gone; 0 = it does not
+        self.replaced = False  # started anew, or listed at another address
 
     @property
     def identity(self) -> str:
@@ -27,23 +27,23 @@
         return f"{self.name} {self.born_ms}"
 
     @property
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Whether connections to it are worth keeping."""
-        return not self.told and not self.retired
+        return not self.withdrawn_at and not self.replaced
 
 
-class Fleet:
+class ServerTable:
     """The servers by name and by the number that the decisions use."""
 
     def __init__(self, settings: api.Settings) -> None:
         self.zones = {name: i for i, name in enumerate(settings.zones)}
         self.kinds = {name: i for i, name in enumerate(settings.kinds)}
-        self.servers: dict[str, Server] = {}
-        self.addresses: dict[int, Server] = {}
+        self.by_name: dict[str, Server] = {}
+        self.by_number: dict[int, Server] = {}
         self.next_server = 1
         self.seq = 0
         self._now = self._wall = 0
-        self._hang_up: list[Server] = []
+        self._to_hang_up: list[Server] = []
 
     def apply(
         self, listing: Listing, kind: api.ListKind, now: int, wall: int
@@ -52,33 +52,33 @@
 
         Gives the entries for the decisions, and the servers whose kept connections are to be closed.
         """
-        self._now, self._wall, self._hang_up = now, wall, []
+        self._now, self._wall, self._to_hang_up = now, wall, []
         entries = tuple(entry for host in listing.hosts if (entry := self._entry(host)))
         if kind is not api.ListKind.CHANGES:
             # Danger: one odd entry would take its server, which serves well, out of a whole list.
-            odd = {name for name, _ in listing.odd}
-            entries += tuple(self.servers[name].entry for name in sorted(odd) if name in self.servers)
+            odd = {name for name, _ in listing.invalid}
+            entries += tuple(self.by_name[name].entry for name in sorted(odd) if name in self.by_name)
             named = {host.name for host in listing.hosts} | odd
-            for name in [name for name in self.servers if name not in named]:
-                self._gone(name)
+            for name in [name for name in self.by_name if name not in named]:
+                self._remove(name)
         self.seq = listing.seq
-        return entries, self._hang_up
+        return entries, self._to_hang_up
 
-    def kind(self, name: str) -> int:
+    def kind_number(self, name: str) -> int:
         """The number of a kind, also before any list has named it."""
         return self._number(self.kinds, name)
 
     @staticmethod
     def _number(table: dict[str, int], name: str) -> int:
-        if name not in table and len(table) >= MOST_NAMES:  # danger: odd lists would fill the memory
-            return MOST_NAMES
+        if name not in table and len(table) >= MAX_NAMES:  # danger: odd lists would fill the memory
+            return MAX_NAMES
         return table.setdefault(name, len(table))
 
     def _entry(self, host: Host) -> api.ServerEntry | None:
         if host.state == "removed":
-            server = self._gone(host.name)
+            server = self._remove(host.name)
             return api.ServerEntry(server.number, api.State.GONE) if server else None
-        known = self.servers.get(host.name)
+        known = self.by_name.get(host.name)
         number, started = self._identity(known, host)
         entry = api.ServerEntry(
             number,
@@ -92,15 +92,15 @@
         now_at = (host.address, host.port, host.born_ms)
         if known is None or (known.host, known.port, known.born_ms) != now_at:
             if known is not None:  # danger: kept connections lead to a process that is no more
-                known.retired = True
-                self._hang_up.append(known)
+                known.replaced = True
+                self._to_hang_up.append(known)
             known = Server(host.name, number, host.address, host.port, host.born_ms, entry)
-            self.servers[host.name] = self.addresses[number] = known
+            self.by_name[host.name] = self.by_number[number] = known
         known.entry = entry
         if host.state == "draining":
-            self._tell(known)
+            self._withdraw(known)
         else:
-            known.told = 0
+            known.withdrawn_at = 0
         return entry
 
     def _identity(self, known: Server | None, host: Host) -> tuple[int, int]:
@@ -112,13 +112,13 @@
         started = self._now - (self._wall - host.born_ms * api.MILLISECOND)
         return number, started or 1  # 0 would mean long ago
 
-    def _tell(self, server: Server) -> None:
-        server.told = server.told or self._now
-        self._hang_up.append(server)
+    def _withdraw(self, server: Server) -> None:
+        server.withdrawn_at = server.withdrawn_at or self._now
+        self._to_hang_up.append(server)
 
-    def _gone(self, name: str) -> Server | None:
-        server = self.servers.pop(name, None)
+    def _remove(self, name: str) -> Server | None:
+        server = self.by_name.pop(name, None)
         if server is not None:
-            self._tell(server)
-            self.addresses.pop(server.number, None)
+            self._withdraw(server)
+            self.by_number.pop(server.number, None)
         return server
--- a/minthitch/engine/stream.py
+++ b/minthitch/engine/stream.py
@@ -17,8 +17,8 @@
 class Sink(Protocol):
     """Where they go. `ended` comes once, last."""
 
-    def passed(self, data: bytes) -> None: ...
-    def ended(self, whole: bool) -> None: ...
+    def receive(self, data: bytes) -> None: ...
+    def ended(self, complete: bool) -> None: ...
 
 
 class Stream:
@@ -28,47 +28,47 @@
     with whether all of it was passed on.
     """
 
-    __slots__ = ("length", "producer", "sink", "parts", "whole", "settled")
+    __slots__ = ("length", "producer", "sink", "buffered", "complete", "on_end")
 
     def __init__(self, length: int | None, producer: Producer) -> None:
         self.length = length
         self.producer: Producer | None = producer
         self.sink: Sink | None = None
-        self.parts: list[bytes] = []
-        self.whole: bool | None = None  # None: there is more to come
-        self.settled: Callable[[bool], None] = lambda whole: None
+        self.buffered: list[bytes] = []
+        self.complete: bool | None = None  # None: there is more to come
+        self.on_end: Callable[[bool], None] = lambda complete: None
 
     # Its producer's side ------------------------------------------------------------------------
 
     def feed(self, data: bytes) -> None:
         if self.sink is not None:
-            self.sink.passed(data)
+            self.sink.receive(data)
         else:
-            self.parts.append(data)
+            self.buffered.append(data)
 
-    def finish(self, whole: bool) -> None:
+    def finish(self, complete: bool) -> None:
         """The last byte has been fed, or no more can come. Only the first call counts."""
-        if self.whole is not None:
+        if self.complete is not None:
             return
-        self.whole, self.producer = whole, None
+        self.complete, self.producer = complete, None
         if self.sink is not None:
             self._end()
 
     def _end(self) -> None:
         sink, self.sink = self.sink, None
-        assert sink is not None and self.whole is not None
-        sink.ended(self.whole)
-        self.settled(self.whole)
+        assert sink is not None and self.complete is not None
+        sink.ended(self.complete)
+        self.on_end(self.complete)
 
     # Its sink's side ----------------------------------------------------------------------------
 
     def start(self, sink: Sink) -> None:
         """What has come is passed at once, the rest as it comes."""
         self.sink = sink
-        parts, self.parts = self.parts, []
+        parts, self.buffered = self.buffered, []
         for part in parts:
-            sink.passed(part)
-        if self.whole is not None:
+            sink.receive(part)
+        if self.complete is not None:
             self._end()
         else:
             self.resume()
@@ -84,9 +84,9 @@
     def drop(self) -> None:
         """Nobody takes the rest: it is not read any further."""
         producer, self.producer = self.producer, None
-        self.sink, self.parts = None, []
-        if self.whole is None:
-            self.whole = False
-            self.settled(False)
+        self.sink, self.buffered = None, []
+        if self.complete is None:
+            self.complete = False
+            self.on_end(False)
         if producer is not None:
             producer.drop()
--- a/minthitch/engine/trace.py
+++ b/minthitch/engine/trace.py
@@ -11,23 +11,23 @@
 from collections.abc import Callable
 
 from minthitch import interface as api
-from minthitch.engine.fleet import Fleet
+from minthitch.engine.servers import ServerTable
 from minthitch.policy import Balancer
 
-MOST_NAMES = 10_000  # servers' names held
-FLUSH_FROM = 4_096  # characters that wait to be written at most, beside the line that goes over
+MAX_NAMES = 10_000  # servers' names held
+MAX_BUFFERED_CHARS = 4_096  # characters that wait to be written at most, beside the line that goes over
 
 
-class Traced(Balancer):
+class TracingBalancer(Balancer):
     """A Balancer that tells what it is given and what it does; it decides as the other."""
 
     def __init__(self, settings: api.Settings, seed: int, write: Callable[[str], object]) -> None:
         super().__init__(settings, seed)
         self.write = write
-        self.fleet: Fleet | None = None  # where servers' names come from
+        self.server_table: ServerTable | None = None  # where servers' names come from
         self.names: dict[int, str] = {}  # as last seen: one that is gone is still written by its name
-        self.waiting: list[str] = []
-        self.size = 0
+        self.buffer: list[str] = []
+        self.buffered_chars = 0
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
         actions = super().handle(now, event)
@@ -40,21 +40,21 @@
         return actions
 
     def _line(self, text: str) -> None:
-        self.waiting.append(text)
-        self.size += len(text) + 1
-        if self.size > FLUSH_FROM:
+        self.buffer.append(text)
+        self.buffered_chars += len(text) + 1
+        if self.buffered_chars > MAX_BUFFERED_CHARS:
             self.flush()
 
     def flush(self) -> None:
-        if self.waiting:
-            self.write("\n".join(self.waiting) + "\n")
-            self.waiting, self.size = [], 0
+        if self.buffer:
+            self.write("\n".join(self.buffer) + "\n")
+            self.buffer, self.buffered_chars = [], 0
 
     def _name(self, number: int) -> str:
-        server = self.fleet.addresses.get(number) if self.fleet is not None else None
+        server = self.server_table.by_number.get(number) if self.server_table is not None else None
         if server is not None:
             # Danger: a list that changes for weeks would fill the memory.
-            if number not in self.names and len(self.names) >= MOST_NAMES:
+            if number not in self.names and len(self.names) >= MAX_NAMES:
                 self.names.pop(next(iter(self.names)))
             self.names[number] = f"{server.name}/{server.born_ms}"
         return self.names.get(number, f"?{number}")
--- a/minthitch/fleet/count.py
+++ b/minthitch/fleet/count.py
@@ -9,9 +9,9 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-MARK = "# "
-MOST_OPEN = 100_000  # requests of one node held at once; a node that is over has lost its ends
-ENDS = ("OK", "ERROR", "FULL", "TIMEOUT", "CONNECT_FAILED", "RESET", "CANCELLED", "MOOT")
+LINE_PREFIX = "# "
+MAX_OPEN_REQUESTS = 100_000  # requests of one node held at once; a node that is over has lost its ends
+STATUSES = ("OK", "ERROR", "FULL", "TIMEOUT", "CONNECT_FAILED", "RESET", "CANCELLED", "MOOT")
 
 
 @dataclass
@@ -21,132 +21,134 @@
     arrivals: int = 0
     repeats: int = 0  # of those, by clients that say that they tried before
     sends: int = 0
-    further: int = 0  # of those, copies and retries
+    resends: int = 0  # of those, copies and retries
     ends: Counter[str] = field(default_factory=Counter)
     cancels: int = 0
-    refused_now: int = 0  # by admission, nothing sent
-    refused_held: int = 0  # nothing sent, after a wait for a server
-    refused_after: int = 0  # after a send
+    refused_at_once: int = 0  # by admission, nothing sent
+    refused_after_wait: int = 0  # nothing sent, after a wait for a server
+    refused_after_send: int = 0  # after a send
     failed: int = 0
 
 
 @dataclass
-class Server:
+class ServerCounts:
     """What all nodes together gave one server, by window."""
 
     first_sends: Counter[int] = field(default_factory=Counter)  # seconds after a node heard of it: sends
     sends: Counter[int] = field(default_factory=Counter)
     ends: dict[int, Counter[str]] = field(default_factory=dict)
-    out: Counter[int] = field(default_factory=Counter)  # the most calls out in the window
-    waits: dict[int, list[int]] = field(default_factory=dict)  # ms of the answers
-    heard: dict[str, int] = field(default_factory=dict)  # node: ms at which it was named ready
-    left: dict[str, int] = field(default_factory=dict)  # node: ms at which it was said to drain or be gone
-    now_out: int = 0
+    peak_in_flight: Counter[int] = field(default_factory=Counter)  # the most calls out in the window
+    latencies_ms: dict[int, list[int]] = field(default_factory=dict)  # ms of the answers
+    ready_at: dict[str, int] = field(default_factory=dict)  # node: ms at which it was named ready
+    withdrawn_at: dict[str, int] = field(
+        default_factory=dict
+    )  # node: ms at which it was said to drain or be gone
+    in_flight: int = 0
 
 
 @dataclass
-class Node:
+class NodeState:
     tier: str = "?"
     open: dict[str, list[int]] = field(default_factory=dict)  # request: ms it came at, sends
 
 
-class Fleet:
+class FleetCounts:
     """Counts over all nodes; give it their lines merged by time."""
 
     def __init__(self, window: float) -> None:
-        self.span = int(window * 1_000)
+        self.window_ms = int(window * 1_000)
         self.start: int | None = None
         self.windows: dict[tuple[str, int], Window] = {}
-        self.servers: dict[str, dict[str, Server]] = {}  # tier: name: server
-        self.nodes: dict[str, Node] = {}
-        self.odd = 0  # lines with the mark that could not be read
+        self.servers: dict[str, dict[str, ServerCounts]] = {}  # tier: name: server
+        self.nodes: dict[str, NodeState] = {}
+        self.unreadable = 0  # lines with the mark that could not be read
 
-    def take(self, name: str, at: int, words: list[str]) -> None:
+    def add(self, name: str, at: int, words: list[str]) -> None:
         """One line of the node `name`: `at` in ms, the mark and its fields."""
-        node = self.nodes.setdefault(name, Node())
+        node = self.nodes.setdefault(name, NodeState())
         self.start = at if self.start is None else self.start
         try:
             getattr(self, f"_take_{words[0]}")(name, node, at, words[1:])
         except (AttributeError, IndexError, ValueError):
-            self.odd += 1
+            self.unreadable += 1
 
-    def _number(self, at: int) -> int:
-        return (at - (self.start or 0)) // self.span
+    def _window_index(self, at: int) -> int:
+        return (at - (self.start or 0)) // self.window_ms
 
-    def _window(self, node: Node, at: int) -> Window:
-        return self.windows.setdefault((node.tier, self._number(at)), Window())
+    def _window(self, node: NodeState, at: int) -> Window:
+        return self.windows.setdefault((node.tier, self._window_index(at)), Window())
 
-    def _server(self, node: Node, name: str) -> Server:
-        return self.servers.setdefault(node.tier, {}).setdefault(name, Server())
+    def _server(self, node: NodeState, name: str) -> ServerCounts:
+        return self.servers.setdefault(node.tier, {}).setdefault(name, ServerCounts())
 
-    def _take_l(self, name: str, node: Node, at: int, words: list[str]) -> None:
+    def _take_l(self, name: str, node: NodeState, at: int, words: list[str]) -> None:
         node.tier = words[1]
         for row in words[2:]:
             server, _zone, _kind, state = row.rsplit(":", 3)
             told = self._server(node, server)
-            (told.heard if state == "READY" else told.left).setdefault(name, at)
+            (told.ready_at if state == "READY" else told.withdrawn_at).setdefault(name, at)
 
-    def _take_a(self, name: str, node: Node, at: int, words: list[str]) -> None:
+    def _take_a(self, name: str, node: NodeState, at: int, words: list[str]) -> None:
         window = self._window(node, at)
         window.arrivals += 1
         window.repeats += words[2] == "1"
-        if len(node.open) < MOST_OPEN:
+        if len(node.open) < MAX_OPEN_REQUESTS:
             node.open[words[0]] = [at, 0]
 
-    def _take_s(self, name: str, node: Node, at: int, words: list[str]) -> None:
+    def _take_s(self, name: str, node: NodeState, at: int, words: list[str]) -> None:
         window, server = self._window(node, at), self._server(node, words[1])
         request = node.open.setdefault(words[0], [at, 0])
         request[1] += 1
         window.sends += 1
-        window.further += request[1] > 1
-        number = self._number(at)
+        window.resends += request[1] > 1
+        number = self._window_index(at)
         server.sends[number] += 1
-        server.now_out += 1
-        server.out[number] = max(server.out[number], server.now_out)
-        if name in server.heard:
-            server.first_sends[(at - server.heard[name]) // 1_000] += 1
+        server.in_flight += 1
+        server.peak_in_flight[number] = max(server.peak_in_flight[number], server.in_flight)
+        if name in server.ready_at:
+            server.first_sends[(at - server.ready_at[name]) // 1_000] += 1
 
-    def _take_e(self, name: str, node: Node, at: int, words: list[str]) -> None:
+    def _take_e(self, name: str, node: NodeState, at: int, words: list[str]) -> None:
         request, _attempt, server_name, status, wait, closed = words
-        if status not in ENDS:
+        if status not in STATUSES:
             raise ValueError(status)
         self._window(node, at).ends[status] += 1
-        server, number = self._server(node, server_name), self._number(at)
-        server.now_out -= 1
+        server, number = self._server(node, server_name), self._window_index(at)
+        server.in_flight -= 1
         server.ends.setdefault(number, Counter())[status] += 1
         if status == "OK":
-            server.waits.setdefault(number, []).append(int(wait))
+            server.latencies_ms.setdefault(number, []).append(int(wait))
         if closed == "1":
             node.open.pop(request, None)
 
-    def _take_c(self, name: str, node: Node, at: int, words: list[str]) -> None:
+    def _take_c(self, name: str, node: NodeState, at: int, words: list[str]) -> None:
         self._window(node, at).cancels += 1
 
-    def _take_r(self, name: str, node: Node, at: int, words: list[str]) -> None:
+    def _take_r(self, name: str, node: NodeState, at: int, words: list[str]) -> None:
         came, sends = node.open.pop(words[0], [at, 0])
         window = self._window(node, at)
         if sends:
-            window.refused_after += 1
+            window.refused_after_send += 1
         elif at - came < 20:
-            window.refused_now += 1
+            window.refused_at_once += 1
         else:
-            window.refused_held += 1
+            window.refused_after_wait += 1
 
-    def _take_f(self, name: str, node: Node, at: int, words: list[str]) -> None:
+    def _take_f(self, name: str, node: NodeState, at: int, words: list[str]) -> None:
         node.open.pop(words[0], None)
         self._window(node, at).failed += 1
 
 
 def parse(line: str) -> tuple[int, list[str]] | None:
     """Time in ms and the words behind it, of a traced line; None for any other."""
-    at = line.find(MARK)
-    words = line[at + len(MARK) :].split() if at >= 0 else []
+    at = line.find(LINE_PREFIX)
+    words = line[at + len(LINE_PREFIX) :].split() if at >= 0 else []
     if len(words) < 2 or not words[0].isdecimal():
         return None
     return int(words[0]), words[1:]
 
 
-def count(logs: Mapping[str, Iterable[str]], window: float) -> Fleet:
+def count(logs: Mapping[str, Iterable[str]], window: float) -> FleetCounts:
     """Counts the lines of all nodes, by node name, in the order of their times."""
     rows = [
         (at, name, words)
@@ -155,7 +157,7 @@
         if (parsed := parse(line)) is not None
         for at, words in [parsed]
     ]
-    fleet = Fleet(window)
+    fleet = FleetCounts(window)
     for at, name, words in sorted(rows, key=lambda row: row[0]):
-        fleet.take(name, at, words)
+        fleet.add(name, at, words)
     return fleet
--- a/minthitch/lab/carrier.py
+++ b/minthitch/lab/carrier.py
@@ -50,7 +50,9 @@
         told = carrier.source.told(self.model.name)
         carrier.ledger.written(carrier.heap.time, number, self.model.name, told)
         work = carrier.work_of(attempt)
-        self.job = Job(number, attempt.request.call.cls, carrier.heap.time + attempt.left, work, self._reply)
+        self.job = Job(
+            number, attempt.request.call.cls, carrier.heap.time + attempt.time_left, work, self._reply
+        )
         carrier.network.send(carrier.zone, self.model.zone, self._arrived)
 
     def _arrived(self) -> None:
@@ -107,7 +109,7 @@
     def start(self, attempt: Attempt) -> None:
         model = self.models[attempt.server.name]
         flight = Flight(self, attempt, model)
-        attempt.carried = flight
+        attempt.handle = flight
         epoch, count = self.idle.get(model.name, (0, 0))
         if count and epoch == model.epoch and model.up:  # a process that ended has closed its connections
             self.idle[model.name] = (epoch, count - 1)
@@ -165,7 +167,7 @@
             return
         if listing.whole:
             named = {host.name for host in listing.hosts}
-            for name in self.engine.fleet.servers:
+            for name in self.engine.server_table.by_name:
                 if name not in named:
                     self.words.setdefault(name, self.heap.time)
         for host in listing.hosts:
--- a/minthitch/lab/nodes.py
+++ b/minthitch/lab/nodes.py
@@ -63,7 +63,7 @@
             self.settings, self.seed + self.starts, self.heap, self.log, decider=decider
         )
         self.source = engine.source = LabSource(self.heap, self.discovery, engine)
-        self.carrier = engine.carrier = LabCarrier(
+        self.carrier = engine.transport = LabCarrier(
             self.heap,
             self.network,
             self.ledger,
@@ -88,22 +88,24 @@
         self.asking.clear()
         for request in engine.requests.values():
             for attempt in request.attempts:
-                if attempt is not None and attempt.status is None and attempt.carried is not None:
-                    attempt.carried.drop()
-            request.over = True
-        engine.carrier = None
+                if attempt is not None and attempt.status is None and attempt.handle is not None:
+                    attempt.handle.drop()
+            request.closed = True
+        engine.transport = None
         self.works.clear()
         hosts = tuple(
-            self.discovery.hosts[name] for name in engine.fleet.servers if name in self.discovery.hosts
+            self.discovery.hosts[name] for name in engine.server_table.by_name if name in self.discovery.hosts
         )
-        return Listing(engine.fleet.seq, True, hosts)
+        return Listing(engine.server_table.seq, True, hosts)
 
     # What callers ask ---------------------------------------------------------------------------
 
     def ask(self, hears: Hears, cls: int, work: int, left: int, key: int, repeat: bool) -> int:
         """A request has come whole. Gives the identity by which it can be left; 0 = it is over already."""
         identity, self.next = self.next, self.next + 1
-        call = Call(b"%d" % identity, cls, GET, left=left, heard=self.heap.time, key=key, repeat=repeat)
+        call = Call(
+            b"%d" % identity, cls, GET, time_left=left, received_at=self.heap.time, key=key, repeat=repeat
+        )
         self.works[identity] = (hears.number, work)
         self.asking[identity] = (hears, None)
         spec = self.settings.classes[cls]
@@ -127,7 +129,7 @@
         entry = self.asking.pop(identity, None)
         if entry is not None and entry[1] is not None and self.up:
             self.ledger.left(self.heap.time, entry[0].number)
-            self.engine.leave(entry[1])
+            self.engine.abandon(entry[1])
             self._forget(identity)
 
     def answer(self, call: Call, answer: Answer) -> None:
@@ -154,7 +156,7 @@
 
     def see(self, server: int) -> Sight | None:
         """The server as it is; None where it can't be reached, or says nothing."""
-        known = self.engine.fleet.addresses.get(server)
+        known = self.engine.server_table.by_number.get(server)
         model = self.models[known.name] if known is not None else None
         if model is None or not model.up or model.silent or self.network.apart(self.zone, model.zone):
             return None
@@ -162,7 +164,7 @@
 
     def probe(self, server: int, heard: Callable[[int], None]) -> None:
         """Requests in flight at the server, a round trip later; nothing from one that is down or silent."""
-        known = self.engine.fleet.addresses.get(server)
+        known = self.engine.server_table.by_number.get(server)
         if known is None:
             return
         model = self.models[known.name]
--- a/minthitch/memory.py
+++ b/minthitch/learned_state.py
@@ -14,39 +14,41 @@
 from minthitch.policy import CLASS_HALF_LIFE, Balancer, Evidence
 
 Table = dict[str, Any]
-FIELDS = ("trials", "hits", "ends", "time")
-SHARED = "load", "warm", "flow"  # evidence over all servers
-MOST = 1e12  # no sum is as large; danger: odd values would stay for minutes
+EVIDENCE_FIELDS = ("trials", "hits", "ends", "time")
+SHARED_EVIDENCE = "load", "warm", "flow"  # evidence over all servers
+MAX_SUM = 1e12  # no sum is as large; danger: odd values would stay for minutes
 
 
-def _out(evidence: Evidence, now: int) -> list[float]:
-    return [*(getattr(evidence, field) for field in FIELDS), max(now - evidence.at, 0)]
+def _dump_evidence(evidence: Evidence, now: int) -> list[float]:
+    return [*(getattr(evidence, field) for field in EVIDENCE_FIELDS), max(now - evidence.at, 0)]
 
 
-def _in(evidence: Evidence, row: object, now: int, part: float = 1.0) -> None:
+def _load_evidence(evidence: Evidence, row: object, now: int, part: float = 1.0) -> None:
     """Takes the place of what `evidence` holds; `part` of it. Raises ValueError."""
-    if not isinstance(row, list) or len(row) != len(FIELDS) + 1:
+    if not isinstance(row, list) or len(row) != len(EVIDENCE_FIELDS) + 1:
         raise ValueError(f"{row!r} is not a row of evidence")
     *sums, age = [_number(value) for value in row]
-    for field, value in zip(FIELDS, sums, strict=True):
+    for field, value in zip(EVIDENCE_FIELDS, sums, strict=True):
         setattr(evidence, field, value * part)
     evidence.at = now - int(age)
 
 
 def _number(value: object) -> float:
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 <= value < MOST * 1e6:
+    if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 <= value < MAX_SUM * 1e6:
         raise ValueError(f"{value!r} is not a number of 0 or more")
     return float(value)
 
 
-def learned(balancer: Balancer, now: int, servers: Mapping[int, str], kinds: Mapping[int, str]) -> Table:
+def export_state(balancer: Balancer, now: int, servers: Mapping[int, str], kinds: Mapping[int, str]) -> Table:
     """All that outlasts requests. `servers` and `kinds` give the names of the numbers that are to be told."""
     classes = zip(balancer.settings.classes, balancer.classes, strict=True)
     return {
-        "classes": {spec.name: _out(evidence, now) for spec, evidence in classes},
-        "kinds": {kinds[k]: _out(e, now) for k, e in balancer.kinds.items() if k in kinds},
-        "servers": {servers[n]: _out(s.evidence, now) for n, s in balancer.servers.items() if n in servers},
-        "shared": {name: _out(getattr(balancer, name), now) for name in SHARED},
+        "classes": {spec.name: _dump_evidence(evidence, now) for spec, evidence in classes},
+        "kinds": {kinds[k]: _dump_evidence(e, now) for k, e in balancer.kinds.items() if k in kinds},
+        "servers": {
+            servers[n]: _dump_evidence(s.evidence, now) for n, s in balancer.servers.items() if n in servers
+        },
+        "shared": {name: _dump_evidence(getattr(balancer, name), now) for name in SHARED_EVIDENCE},
         "grown": balancer.extra_limit,
         "spare": balancer.extra_attempts,
         "calm": balancer.baseline_load if math.isfinite(balancer.baseline_load) else 0.0,
@@ -54,7 +56,7 @@
     }
 
 
-def recall(
+def restore_state(
     balancer: Balancer,
     now: int,
     table: Table,
@@ -69,17 +71,17 @@
     """
     for spec, evidence in zip(balancer.settings.classes, balancer.classes, strict=True):
         if spec.name in table["classes"]:
-            _in(evidence, table["classes"][spec.name], now)
+            _load_evidence(evidence, table["classes"][spec.name], now)
     for name, row in table["kinds"].items():
         if name in kinds:
-            _in(balancer.kinds.setdefault(kinds[name], Evidence(CLASS_HALF_LIFE)), row, now)
+            _load_evidence(balancer.kinds.setdefault(kinds[name], Evidence(CLASS_HALF_LIFE)), row, now)
     for name, row in table["servers"].items():
         known = balancer.servers.get(servers.get(name, -1))
         if known is not None:
-            _in(known.evidence, row, now)
-    for name in SHARED:
+            _load_evidence(known.evidence, row, now)
+    for name in SHARED_EVIDENCE:
         # How many answers come belongs to the calls that are served here; their times do not.
-        _in(getattr(balancer, name), table["shared"][name], now, 1.0 if name == "load" else part)
+        _load_evidence(getattr(balancer, name), table["shared"][name], now, 1.0 if name == "load" else part)
     balancer.extra_limit, balancer.extra_attempts = (
         part * _number(table["grown"]),
         part * _number(table["spare"]),
@@ -88,13 +90,13 @@
         balancer.baseline_load, balancer.baseline_at = calm, now - int(_number(table["calm_age"]))
 
 
-def take_over(balancer: Balancer, now: int, table: Table) -> None:
+def merge_state(balancer: Balancer, now: int, table: Table) -> None:
     """The other process ends: its calls come here from now on. Raises ValueError, KeyError or TypeError."""
     balancer.extra_limit += _number(table["grown"])
     for name in ("warm", "flow"):
         mine, other = getattr(balancer, name), Evidence(getattr(balancer, name).half_life)
-        _in(other, table["shared"][name], now)
+        _load_evidence(other, table["shared"][name], now)
         fade, faded = mine.fade(now), other.fade(now)
-        for field in FIELDS:
+        for field in EVIDENCE_FIELDS:
             setattr(mine, field, getattr(mine, field) * fade + getattr(other, field) * faded)
         mine.at = now
--- a/minthitch/listing.py
+++ b/minthitch/listing.py
@@ -36,7 +36,7 @@
     seq: int
     whole: bool
     hosts: tuple[Host, ...]
-    odd: tuple[tuple[str, str], ...] = ()  # entries left out: the host's name, or "", and why
+    invalid: tuple[tuple[str, str], ...] = ()  # entries left out: the host's name, or "", and why
 
 
 def parse_address(text: object) -> tuple[str, int]:
@@ -63,7 +63,7 @@
     return Listing(1, True, tuple(hosts))
 
 
-def _whole(row: dict[str, Any], name: str, default: int | None) -> int:
+def _whole_number(row: dict[str, Any], name: str, default: int | None) -> int:
     value = row.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int) or value < 0:
         raise ListError(f"{name} is not a whole number")
@@ -85,14 +85,14 @@
         port,
         str(row.get("site", "")),
         str(row.get("class", "")),
-        _whole(row, "block", 0),
+        _whole_number(row, "block", 0),
         state,
         float(weight),
-        _whole(row, "born_ms", 0),
+        _whole_number(row, "born_ms", 0),
     )
 
 
-def _withdrawn(row: object) -> Host | None:
+def _as_removed(row: object) -> Host | None:
     """What an entry that can't be read says all the same: that its server is to get nothing new.
 
     Danger: left out like the others, a server that drains or is gone would be sent to past its grace.
@@ -113,11 +113,11 @@
         except ListError as err:
             name = row.get("host") if isinstance(row, dict) else None
             odd.append((name if isinstance(name, str) else "", str(err)))
-            if (gone := _withdrawn(row)) is not None:
+            if (gone := _as_removed(row)) is not None:
                 hosts.append(gone)
     if odd and not hosts:
         raise ListError(f"no entry can be used ({odd[0][1]})")
-    return Listing(_whole(value, "seq", None), value.get("whole") is True, tuple(hosts), tuple(odd))
+    return Listing(_whole_number(value, "seq", None), value.get("whole") is True, tuple(hosts), tuple(odd))
 
 
 def decode(text: bytes) -> Listing:
--- a/minthitch/log.py
+++ b/minthitch/log.py
@@ -5,11 +5,11 @@
 import time
 from collections.abc import Callable
 
-LOG_LINES = 20  # lines in a second at most
+MAX_LINES_PER_SECOND = 20  # lines in a second at most
 
 
 class LineLog:
-    """Gives at most LOG_LINES a second to `write`, and the number of those left out."""
+    """Gives at most MAX_LINES_PER_SECOND a second to `write`, and the number of those left out."""
 
     def __init__(self, write: Callable[[str], None]) -> None:
         self.write = write
@@ -18,9 +18,9 @@
     def __call__(self, text: str) -> None:
         second = int(time.monotonic())
         if second != self.second:
-            if self.lines > LOG_LINES:
-                self.write(f"{self.lines - LOG_LINES} lines left out")
+            if self.lines > MAX_LINES_PER_SECOND:
+                self.write(f"{self.lines - MAX_LINES_PER_SECOND} lines left out")
             self.second, self.lines = second, 0
         self.lines += 1
-        if self.lines <= LOG_LINES:
+        if self.lines <= MAX_LINES_PER_SECOND:
             self.write(text)
--- a/minthitch/mesh/http/upstream.py
+++ b/minthitch/mesh/http/upstream.py
@@ -13,7 +13,7 @@
 from minthitch import interface as api
 from minthitch.engine.attempts import Attempt
 from minthitch.engine.calls import Message, Served
-from minthitch.engine.fleet import Server
+from minthitch.engine.servers import Server
 from minthitch.net.servers import COPIED, IDLE_PART, Connection, Pool
 
 IDLE = 8 * api.SECOND  # servers say Keep-Alive; half of this is used, well below what they state
@@ -27,12 +27,12 @@
 class Upstream:
     """The server beside this sidecar, as the pool knows it."""
 
-    __slots__ = ("host", "port", "usable", "told")
+    __slots__ = ("host", "port", "is_usable", "withdrawn_at")
 
     def __init__(self, address: str) -> None:
         host, _, port = address.rpartition(":")
         self.host, self.port = host, int(port)
-        self.usable, self.told = True, 0
+        self.is_usable, self.withdrawn_at = True, 0
 
 
 class Outcome:
@@ -63,10 +63,10 @@
         "life",
         "caller",
         "deadline",
-        "once",
+        "at_most_once",
         "started",
         "status",
-        "carried",
+        "handle",
         "done",
         "written",
         "may_stream",
@@ -84,19 +84,19 @@
         done: Callable[[Outcome], None],
     ) -> None:
         self.server, self.message, self.identity, self.life = server, message, identity, life
-        self.caller, self.deadline, self.once, self.done = caller, deadline, once, done
+        self.caller, self.deadline, self.at_most_once, self.done = caller, deadline, once, done
         self.started = time.monotonic_ns()
         self.status: api.Status | None = None
-        self.carried: Connection | None = None
+        self.handle: Connection | None = None
         self.written = False  # whether a byte of it may have left: from then on it may have run
         self.may_stream = False
 
     @property
-    def left(self) -> int:
+    def time_left(self) -> int:
         return max(self.deadline - time.monotonic_ns(), 0)
 
     def may_write(self) -> bool:
-        return self.status is None and self.left > 0 and self.server.usable
+        return self.status is None and self.time_left > 0 and self.server.is_usable
 
     def wrote(self) -> None:
         """A byte of it has been handed to the transport, or all of it."""
@@ -111,7 +111,7 @@
         if self.status is not None:
             return
         self.status = status
-        carried, self.carried = self.carried, None
+        carried, self.handle = self.handle, None
         if carried is not None:
             carried.drop()
         self.done(outcome)
@@ -139,7 +139,7 @@
         """
         assert self.transport is not None
         attempt.wrote()
-        self.attempt, attempt.carried = attempt, self
+        self.attempt, attempt.handle = attempt, self
         self.written = False
         errand = cast(UpstreamCall, attempt)
         head, body = _head(errand), errand.message.body
@@ -187,7 +187,7 @@
         keep = self.lasts and self.written and not self.surplus and outcome.kind is not UNKNOWN
         self._reset()
         if keep:
-            self.attempt, attempt.carried = None, None
+            self.attempt, attempt.handle = None, None
             self.pool.keep(self)
         errand.finish(api.Status.OK, outcome)
 
@@ -198,7 +198,7 @@
     head += [b"%s: %s\r\n" % field for field in message.fields]
     head.append(
         b"X-Deadline-Ms: %d\r\nX-Caller-Service: %s\r\nX-Target-Instance: %s\r\n"
-        % (errand.left // 1_000_000, errand.caller, errand.life)
+        % (errand.time_left // 1_000_000, errand.caller, errand.life)
     )
     if message.body or message.method not in (b"GET", b"HEAD"):
         head.append(b"Content-Length: %d\r\n" % len(message.body))
--- a/minthitch/mesh/sidecar/admission.py
+++ b/minthitch/mesh/sidecar/admission.py
@@ -108,7 +108,7 @@
         self._turn_away_queue("another life")
         if self.life:
             self.past.append(self.life)
-        self.upstream.usable = False  # danger: kept connections belong to the life before
+        self.upstream.is_usable = False  # danger: kept connections belong to the life before
         self.shelf.hang_up(self.upstream)  # type: ignore[arg-type]
         self.upstream = Upstream(self.address)
         self.life, self.state = life, "none"
--- a/minthitch/net/discovery.py
+++ b/minthitch/net/discovery.py
@@ -183,7 +183,7 @@
 
     def start(self) -> None:
         """Pushed lists are watched from the start; else the Balancer subscribes."""
-        self.seq = self.engine.fleet.seq
+        self.seq = self.engine.server_table.seq
         if not self.asked and self.watching is None:
             self._watch_anew()
 
--- a/minthitch/net/node.py
+++ b/minthitch/net/node.py
@@ -12,9 +12,9 @@
 from minthitch.config import Config
 from minthitch.engine.calls import Message, Rejected
 from minthitch.engine.clock import LoopClock
-from minthitch.engine.core import Engine, pause_when_full
-from minthitch.engine.counts import Figures
-from minthitch.engine.fields import Reader
+from minthitch.engine.core import Engine, retry_after_when_full
+from minthitch.engine.counts import NodeMetrics
+from minthitch.engine.fields import CallParser
 from minthitch.engine.ports import Decider, StaticSource
 from minthitch.log import LineLog
 from minthitch.net.callers import Caller, Callers, Incoming
@@ -48,9 +48,9 @@
         self.engine = Engine(
             config.settings, config.seed, LoopClock(self.loop), self.log, self._check_finished, decider
         )
-        self.reader = Reader(config.settings)
+        self.reader = CallParser(config.settings)
         self.door = Door()
-        self.pool = self.engine.carrier = Pool(config.settings, 1)
+        self.pool = self.engine.transport = Pool(config.settings, 1)
         self.callers = Callers(self, 1, 1, room_for_bodies(config.memory))
         self.succession: Succession | None = None
         self._share()
@@ -77,8 +77,8 @@
                 f"{host}:{port}",
                 self._share,
                 self.log,
-                self.engine.learned,
-                self.engine.recall,
+                self.engine.export_learned,
+                self.engine.restore_learned,
             )
             await self.succession.start()
             self._share()
@@ -179,12 +179,12 @@
     def take_back(self) -> str:
         return self.door.take_back(self.loop.time())
 
-    def figures(self) -> Figures:
-        return Figures(
+    def metrics(self) -> NodeMetrics:
+        return NodeMetrics(
             tuple(spec.name for spec in self.settings.classes),
             self.engine.counts,
             self.callers.taken(),
-            len(self.engine.fleet.servers),
+            len(self.engine.server_table.by_name),
             self.engine.avoided(),
         )
 
@@ -205,7 +205,7 @@
 
     def pause(self) -> int:
         """When one that found no room may come back, in ns."""
-        return pause_when_full(self.settings, self.settings.classes[0], self.engine.random)
+        return retry_after_when_full(self.settings, self.settings.classes[0], self.engine.random)
 
     @property
     def wanted(self) -> bool:
@@ -228,17 +228,17 @@
     def take(self, caller: Caller, item: Incoming) -> None:
         message = Message(item.method, item.target, item.head, item.body)
         item.call = self.reader.call(message, item.fields, item.heard)
-        item.call.streams = True
+        item.call.accepts_stream = True
         try:
             request = self.engine.admit(caller, item.call, full=caller.surplus)
         except Rejected:
             item.call = None  # danger: an answer to the open request of that id is not this one's
             raise
-        if not request.over:
+        if not request.closed:
             caller.request = request
 
     def left(self, caller: Caller) -> None:
         if caller.request is not None:
-            self.engine.leave(caller.request)
+            self.engine.abandon(caller.request)
             caller.request = None
         self._check_finished()
--- a/minthitch/net/servers.py
+++ b/minthitch/net/servers.py
@@ -17,7 +17,7 @@
 from minthitch import interface as api
 from minthitch.engine.attempts import Attempt
 from minthitch.engine.calls import Served
-from minthitch.engine.fleet import Server
+from minthitch.engine.servers import Server
 from minthitch.engine.stream import Stream
 
 MOST_BODY = 1024 * 1024  # bytes of an answer that must be whole before it is told
@@ -55,7 +55,7 @@
     message = attempt.message
     head = [b"%s %s HTTP/1.1\r\n" % (message.method, message.target)]
     head += [b"%s: %s\r\n" % field for field in message.fields]
-    head.append(b"X-Time-Left: %du\r\n" % (attempt.left // 1_000))
+    head.append(b"X-Time-Left: %du\r\n" % (attempt.time_left // 1_000))
     if message.body or message.method != b"GET":
         head.append(b"Content-Length: %d\r\n" % len(message.body))
     return b"".join(head) + b"\r\n"
@@ -100,7 +100,7 @@
 
     def send(self, attempt: Attempt) -> None:
         assert self.transport is not None
-        self.attempt, attempt.carried = attempt, self
+        self.attempt, attempt.handle = attempt, self
         self.written = False
         head, body = request_head(attempt), attempt.message.body
         if len(body) > COPIED:
@@ -153,7 +153,7 @@
         first, self.parts = b"".join(self.parts), []
         self.pool.held -= self.size
         self.size = 0
-        self.attempt, attempt.carried = None, None
+        self.attempt, attempt.handle = None, None
         self.transport.pause_reading()  # until somebody takes it
         attempt.end(api.Status.OK, Served(first, tuple(self.fields), self.rest))
 
@@ -268,7 +268,7 @@
         keep = self.lasts and self.written and not self.surplus
         self._reset()
         if keep:
-            self.attempt, attempt.carried = None, None
+            self.attempt, attempt.handle = None, None
             self.pool.keep(self)
         attempt.end(status, answer)
 
@@ -362,7 +362,7 @@
         """Sends on a kept connection, else on a new one. Outcomes come later, never from in here."""
         server, now = attempt.server, self.loop.time()
         # Danger: servers that drop kept connections unsaid turn what may not be repeated into a failure.
-        most = YOUNG if attempt.once and now < self.wary else self.idle_for
+        most = YOUNG if attempt.at_most_once and now < self.wary else self.idle_for
         while kept := self.kept.get(server):
             if now - kept[-1].used >= most and most < self.idle_for:
                 break  # the others are older still, and good for what may be repeated
@@ -376,19 +376,19 @@
         task = self.loop.create_task(self._connect(attempt))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
-        attempt.carried = Connecting(task)
+        attempt.handle = Connecting(task)
 
     async def _connect(self, attempt: Attempt) -> None:
         try:
             async with asyncio.timeout(self.connect_timeout):
                 connection = await self._open(attempt.server)
         except (OSError, TimeoutError, ValueError) as err:  # the last for an address that no socket takes
-            attempt.carried = None
+            attempt.handle = None
             # Danger: a lack of our own would pass for a sick server.
             own = isinstance(err, OSError) and err.errno in OWN_LACK
             attempt.end(api.Status.MOOT if own else api.Status.CONNECT_FAILED)
             return
-        attempt.carried = None
+        attempt.handle = None
         if not connection.usable:
             attempt.end(api.Status.CONNECT_FAILED)
         elif attempt.may_write():
@@ -413,7 +413,7 @@
 
     def keep(self, connection: Connection) -> None:
         """Takes a connection back, if its server is still the one that it was opened to."""
-        if not connection.usable or not connection.server.usable:
+        if not connection.usable or not connection.server.is_usable:
             connection.close()
             return
         connection.used = self.loop.time()
--- a/minthitch/operatorfile.py
+++ b/minthitch/operatorfile.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from minthitch import interface as api
-from minthitch.config import MOST_SOCKETS, NO_SERVERS, Config, ConfigError, RecordConfig, RecoveryConfig
+from minthitch.config import MAX_SOCKETS, NO_SERVERS, Config, ConfigError, RecordConfig, RecoveryConfig
 from minthitch.listing import ListError, parse_address, static_listing
 
 UNITS = {
@@ -24,7 +24,7 @@
     "d": 86_400 * api.SECOND,
 }
 DURATION = re.compile(r"(\d{1,9}(?:\.\d{1,6})?)(ms|s|m|h|d)")
-NOWHERE = ("127.0.0.1", 0)  # where a library listens: it does not
+NO_LISTEN_ADDRESS = ("127.0.0.1", 0)  # where a library listens: it does not
 CLASS_KEYS = frozenset(("name", "effect", "aim", "deadline", "group", "window", "worth", "late_worth"))
 TOP_KEYS = frozenset(
     (
@@ -59,8 +59,8 @@
 RECOVERY_KEYS = frozenset(
     ("folder", "cluster", "every", "keep_for", "lists_for", "peers", "ask_within", "ready_within")
 )
-MOST_PEERS = 1_000  # addresses of other nodes
-LEAST_EVERY = 100 * api.MILLISECOND  # between two snapshots: each is fsynced
+MAX_PEERS = 1_000  # addresses of other nodes
+MIN_SNAPSHOT_INTERVAL = 100 * api.MILLISECOND  # between two snapshots: each is fsynced
 OPERATOR_KEYS = frozenset(("listen", "calls", "handover"))
 LIMIT_KEYS = frozenset(
     (
@@ -96,7 +96,7 @@
     "idle_close": 30 * api.SECOND,
 }
 DEFAULT_RULES: dict[str, Any] = {"answer_slack": 20 * api.MILLISECOND, "drain_grace": 500 * api.MILLISECOND}
-TIMES = frozenset(
+DURATION_KEYS = frozenset(
     (
         "aim",
         "deadline",
@@ -119,8 +119,8 @@
         "ready_within",
     )
 )
-FLAGS = frozenset(("retry_after", "may_duplicate"))
-WHOLE = frozenset(("max_open", "max_attempts", "siblings", "keep_answer", "keep_most"))
+BOOLEAN_KEYS = frozenset(("retry_after", "may_duplicate"))
+INTEGER_KEYS = frozenset(("max_open", "max_attempts", "siblings", "keep_answer", "keep_most"))
 FIELD_NAME = re.compile(r"[A-Za-z0-9-]{1,64}")
 
 
@@ -132,37 +132,37 @@
 
 
 def _value(name: str, value: object, where: str) -> Any:
-    if name in TIMES:
+    if name in DURATION_KEYS:
         return duration(value, where)
-    if name in FLAGS:
+    if name in BOOLEAN_KEYS:
         if not isinstance(value, bool):
             raise ConfigError(f"{where} = {value!r} is not true or false")
         return value
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 <= value < math.inf:
         raise ConfigError(f"{where} = {value!r} is not a number of 0 or more")
-    if name in WHOLE and not isinstance(value, int):
+    if name in INTEGER_KEYS and not isinstance(value, int):
         raise ConfigError(f"{where} = {value!r} is not a whole number")
     return value
 
 
-def _known(table: Mapping[str, Any], names: frozenset[str], where: str) -> None:
+def _reject_unknown(table: Mapping[str, Any], names: frozenset[str], where: str) -> None:
     for name, value in table.items():
         if name not in names:
             raise ConfigError(f"{where}{name} = {value!r} is unknown; known are {', '.join(sorted(names))}")
 
 
-def _checked(table: object, name: str, names: frozenset[str]) -> dict[str, Any]:
+def _checked_table(table: object, name: str, names: frozenset[str]) -> dict[str, Any]:
     """The table, where it is one and all of its keys are known."""
     if not isinstance(table, dict):
         raise ConfigError(f"{name} = {table!r} is not a table")
-    _known(table, names, f"{name}.")
+    _reject_unknown(table, names, f"{name}.")
     return table
 
 
 def _section(
     top: Mapping[str, Any], name: str, names: frozenset[str], defaults: dict[str, Any]
 ) -> dict[str, Any]:
-    table = _checked(top.get(name, {}), name, names)
+    table = _checked_table(top.get(name, {}), name, names)
     return defaults | {key: _value(key, value, f"{name}.{key}") for key, value in table.items()}
 
 
@@ -176,7 +176,7 @@
 def _class(row: object, where: str) -> api.RequestClass:
     if not isinstance(row, dict):
         raise ConfigError(f"{where} = {row!r} is not a table")
-    _known(row, CLASS_KEYS, f"{where}.")
+    _reject_unknown(row, CLASS_KEYS, f"{where}.")
     name = row.get("name")
     if not isinstance(name, str) or not name.isascii() or not name.isprintable() or not name or " " in name:
         raise ConfigError(f"{where}.name = {name!r} is not a name without spaces")
@@ -229,7 +229,7 @@
     """The `record` table; None where there is none. Raises ConfigError."""
     if top.get("record") is None:
         return None
-    table = _checked(top["record"], "record", RECORD_KEYS)
+    table = _checked_table(top["record"], "record", RECORD_KEYS)
     store, identity = table.get("store"), table.get("identity", "Idempotency-Key")
     url = isinstance(store, str) and "://" in store
     if (
@@ -247,7 +247,11 @@
             f"record: each class in one of required = {sorted(required)} and "
             f"best_effort = {sorted(best)}, and one class at least"
         )
-    rest = {key: _value(key, value, f"record.{key}") for key, value in table.items() if key in TIMES | WHOLE}
+    rest = {
+        key: _value(key, value, f"record.{key}")
+        for key, value in table.items()
+        if key in DURATION_KEYS | INTEGER_KEYS
+    }
     for key, value in rest.items():
         if value <= 0:
             raise ConfigError(f"record.{key} = {table[key]!r} is not above 0")
@@ -258,29 +262,31 @@
     """The `recovery` table; None where there is none. Raises ConfigError."""
     if top.get("recovery") is None:
         return None
-    table = _checked(top["recovery"], "recovery", RECOVERY_KEYS)
+    table = _checked_table(top["recovery"], "recovery", RECOVERY_KEYS)
     folder, cluster = table.get("folder"), table.get("cluster")
     if not isinstance(folder, str) or not os.path.isdir(folder):
         raise ConfigError(f"recovery.folder = {folder!r} is not a folder")
     if not isinstance(cluster, str) or not 0 < len(cluster) <= 64:
         raise ConfigError(f"recovery.cluster = {cluster!r} is not a name of 1 to 64 letters")
-    rest = {key: _value(key, value, f"recovery.{key}") for key, value in table.items() if key in TIMES}
-    if rest.get("every", LEAST_EVERY) < LEAST_EVERY:
+    rest = {
+        key: _value(key, value, f"recovery.{key}") for key, value in table.items() if key in DURATION_KEYS
+    }
+    if rest.get("every", MIN_SNAPSHOT_INTERVAL) < MIN_SNAPSHOT_INTERVAL:
         raise ConfigError(f"recovery.every = {table['every']!r} is under 100ms")
     if rest.get("keep_for", 1) <= 0:
         raise ConfigError(f"recovery.keep_for = {table['keep_for']!r} is not above 0")
     if rest.get("ask_within", 1) <= 0:
         raise ConfigError(f"recovery.ask_within = {table['ask_within']!r} is not above 0")
     peers = table.get("peers", [])
-    if not isinstance(peers, list) or len(peers) > MOST_PEERS:
-        raise ConfigError(f"recovery.peers = {peers!r:.100} is not a list of up to {MOST_PEERS} addresses")
+    if not isinstance(peers, list) or len(peers) > MAX_PEERS:
+        raise ConfigError(f"recovery.peers = {peers!r:.100} is not a list of up to {MAX_PEERS} addresses")
     where = tuple(_address(peer, f"recovery.peers[{i}]") for i, peer in enumerate(peers))
     return RecoveryConfig(folder, cluster, peers=where, **rest)
 
 
 def operators(top: Mapping[str, Any]) -> dict[str, Any]:
     """The `operators` table as parts of a Config. Raises ConfigError."""
-    table = _checked(top.get("operators", {}), "operators", OPERATOR_KEYS)
+    table = _checked_table(top.get("operators", {}), "operators", OPERATOR_KEYS)
     if "operators" in top and not table:
         raise ConfigError("operators = {} names neither listen, calls nor handover")
     folder = table.get("handover", "")
@@ -298,8 +304,8 @@
 
 
 def _sockets(value: object) -> int:
-    if isinstance(value, bool) or not isinstance(value, int) or not 64 <= value <= MOST_SOCKETS:
-        raise ConfigError(f"sockets = {value!r} is not a whole number from 64 to {MOST_SOCKETS}")
+    if isinstance(value, bool) or not isinstance(value, int) or not 64 <= value <= MAX_SOCKETS:
+        raise ConfigError(f"sockets = {value!r} is not a whole number from 64 to {MAX_SOCKETS}")
     return value
 
 
@@ -312,7 +318,7 @@
 
 def from_table(top: Mapping[str, Any]) -> Config:
     """A Config from the decoded file. Raises ConfigError."""
-    _known(top, TOP_KEYS, "")
+    _reject_unknown(top, TOP_KEYS, "")
     name = top.get("name", "minthitch")
     if not isinstance(name, str) or not name:
         raise ConfigError(f"name = {name!r} is not a text")
@@ -329,14 +335,14 @@
         known = static_listing(servers) if servers is not None else NO_SERVERS
     except ListError as err:
         raise ConfigError(f"servers = {servers!r}: {err}") from None
-    listen = _address(top["listen"], "listen") if "listen" in top else NOWHERE
+    listen = _address(top["listen"], "listen") if "listen" in top else NO_LISTEN_ADDRESS
     limits_and_classes = settings(top)
     return Config(
         name,
         listen,
         discovery,
         _seed(top.get("seed", "0")),
-        _sockets(top.get("sockets", MOST_SOCKETS)),
+        _sockets(top.get("sockets", MAX_SOCKETS)),
         known,
         limits_and_classes,
         record_config(top, limits_and_classes),
--- a/minthitch/operators/listener.py
+++ b/minthitch/operators/listener.py
@@ -16,10 +16,10 @@
 from minthitch.config import ConfigError
 
 Page = Callable[[str], Awaitable[tuple[int, object]]]  # the path behind the page's name to status and JSON
-MOST_CONNECTIONS = 16
-MOST_HEAD = 8 * 1024  # bytes
-READ_WITHIN = 5.0  # seconds for a whole head
-ANSWER_WITHIN = 10.0  # seconds for a page
+MAX_CONNECTIONS = 16
+MAX_HEAD_BYTES = 8 * 1024  # bytes
+READ_TIMEOUT_S = 5.0  # seconds for a whole head
+ANSWER_TIMEOUT_S = 10.0  # seconds for a page
 
 
 class _Head:
@@ -46,7 +46,7 @@
 
     async def start(self, host: str, port: int) -> None:
         """Raises OSError."""
-        self.server = await asyncio.start_server(self._connected, host, port, limit=MOST_HEAD)
+        self.server = await asyncio.start_server(self._serve, host, port, limit=MAX_HEAD_BYTES)
 
     @property
     def port(self) -> int:
@@ -60,15 +60,17 @@
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
-    async def _connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
         self.tasks.add(task)
         self.connections += 1
         try:
             # Danger: an operator's script that loops must not take the descriptors of callers.
-            full = self.connections > MOST_CONNECTIONS
-            status, body = (503, {"error": "too many connections"}) if full else await self._asked(reader)
+            full = self.connections > MAX_CONNECTIONS
+            status, body = (
+                (503, {"error": "too many connections"}) if full else await self._read_request(reader)
+            )
             self._answer(writer, status, body)
             await writer.drain()
         except (OSError, asyncio.IncompleteReadError, TimeoutError):
@@ -78,12 +80,12 @@
             self.tasks.discard(task)
             writer.close()
 
-    async def _asked(self, reader: asyncio.StreamReader) -> tuple[int, object]:
+    async def _read_request(self, reader: asyncio.StreamReader) -> tuple[int, object]:
         try:
-            async with asyncio.timeout(READ_WITHIN):
+            async with asyncio.timeout(READ_TIMEOUT_S):
                 data = await reader.readuntil(b"\r\n\r\n")
         except asyncio.LimitOverrunError:
-            return 431, {"error": f"a head of over {MOST_HEAD} bytes"}
+            return 431, {"error": f"a head of over {MAX_HEAD_BYTES} bytes"}
         head = _Head()
         parser = httptools.HttpRequestParser(head)
         try:
@@ -94,18 +96,18 @@
             return 400, {"error": "not a request"}
         if parser.get_method() != b"GET":
             return 405, {"error": "only GET"}
-        return await self._page(urlsplit(head.target.decode("latin-1")).path)
+        return await self._call_page(urlsplit(head.target.decode("latin-1")).path)
 
-    async def _page(self, path: str) -> tuple[int, object]:
+    async def _call_page(self, path: str) -> tuple[int, object]:
         name, _, rest = path.lstrip("/").partition("/")
         page = self.pages.get(name)
         if page is None:
             return 404, {"error": f"no page {name!r}; there are {', '.join(sorted(self.pages)) or 'none'}"}
         try:
-            async with asyncio.timeout(ANSWER_WITHIN):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 return await page(unquote(rest))
         except TimeoutError:
-            return 504, {"error": f"no answer within {ANSWER_WITHIN:.0f} s"}
+            return 504, {"error": f"no answer within {ANSWER_TIMEOUT_S:.0f} s"}
         except Exception as err:  # danger: a page's fault must not end the node that serves callers
             self.log(f"operators' page {name}: {type(err).__name__}: {err}")
             return 500, {"error": "the page failed; the log has it"}
--- a/minthitch/program.py
+++ b/minthitch/program.py
@@ -14,7 +14,7 @@
 from minthitch.net.node import Node
 
 
-def complain(err: BaseException) -> int:
+def report_config_error(err: BaseException) -> int:
     """One plain line for a configuration that can't be used, and the exit code for it."""
     print("minthitch:", " ".join(str(err).split()), file=sys.stderr)
     return 2
@@ -28,16 +28,16 @@
         node.log(f"configuration not taken: {' '.join(str(err).split())}")
 
 
-def traced(config: Config) -> Node:
+def traced_node(config: Config) -> Node:
     """A node that writes each event and action to the log, for `fleet count`."""
     import atexit
 
-    from minthitch.engine.trace import Traced  # not loaded where it is off
+    from minthitch.engine.trace import TracingBalancer  # not loaded where it is off
 
-    decider = Traced(config.settings, config.seed, sys.stderr.write)
+    decider = TracingBalancer(config.settings, config.seed, sys.stderr.write)
     atexit.register(decider.flush)
     node = Node(config, decider)
-    decider.fleet = node.engine.fleet
+    decider.server_table = node.engine.server_table
     return node
 
 
@@ -46,7 +46,7 @@
 
     Raises OSError if it can't listen, ConfigError for its store or its operators' listener.
     """
-    node = traced(config) if trace else Node(config)
+    node = traced_node(config) if trace else Node(config)
     recording = None
     if config.record is not None:
         from minthitch.record.attach import Recording  # not loaded where it is off
@@ -68,11 +68,11 @@
         if recovery is not None:
             pages["recovery"] = recovery.page
         listener = await open_listener(config.operators, pages, node.log)
-    desk = None
+    admin = None
     if config.admin is not None:
-        from minthitch.admin.listener import open_desk
+        from minthitch.admin.listener import open_admin_listener
 
-        desk = await open_desk(config.admin, node, node.log)
+        admin = await open_admin_listener(config.admin, node, node.log)
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(
         lambda _loop, context: node.log(f"{context.get('message')}: {context.get('exception')!r}")
@@ -84,8 +84,8 @@
     gc.collect()
     gc.freeze()  # what is here now stays; the collector need not walk it
     await node.finished.wait()
-    if desk is not None:
-        desk.close()
+    if admin is not None:
+        admin.close()
     if listener is not None:
         await listener.close()
     if recording is not None:
@@ -101,7 +101,7 @@
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(serve(config, read, trace))
     except ConfigError as err:
-        return complain(err)
+        return report_config_error(err)
     except OSError as err:
         print(f"minthitch: cannot listen on {config.listen[0]}:{config.listen[1]}: {err}", file=sys.stderr)
         return 1
--- a/minthitch/record/attach.py
+++ b/minthitch/record/attach.py
@@ -47,7 +47,9 @@
             if spec.name in config.required | config.best_effort
         }
         life = Life(terms, engine.clock.now() + config.lease)
-        self.keeper = engine.keeper = RecordKeeper(engine, life, self.writer, needs, config.identity.encode())
+        self.keeper = engine.recorder = RecordKeeper(
+            engine, life, self.writer, needs, config.identity.encode()
+        )
 
     def _deliver(self, results: Results) -> None:
         self._on_loop(lambda keeper: keeper.came(results))
--- a/minthitch/record/keeper.py
+++ b/minthitch/record/keeper.py
@@ -92,11 +92,11 @@
         self.feed(SendWanted(attempt.request.number, attempt.index, attempt.server.name, self._wall()))
         return False  # the store has the word
 
-    def over(self, attempt: Attempt) -> None:
+    def attempt_ended(self, attempt: Attempt) -> None:
         if attempt.request.number in self.requests and attempt.status is not None:
             self.feed(AttemptOver(attempt.request.number, attempt.index, attempt.status.never_ran))
 
-    def may_tell(self, request: Request, answer: Answer) -> bool:
+    def may_answer(self, request: Request, answer: Answer) -> bool:
         number = request.number
         if number not in self.requests:
             return True
@@ -114,7 +114,7 @@
             self.requests.pop(number, None)
         return may
 
-    def gone(self, request: Request) -> None:
+    def requester_left(self, request: Request) -> None:
         if self.requests.pop(request.number, None) is not None:
             self.feed(CallerGone(request.number, self._wall()))
 
@@ -152,9 +152,9 @@
         if isinstance(action, Put):
             self.writer.put(action.ticket, action.write)
         elif isinstance(action, Tell):
-            if action.number in self.engine.untold:
+            if action.number in self.engine.held_answers:
                 self.requests.pop(action.number, None)
-                self.engine.tell(action.number)
+                self.engine.release_answer(action.number)
             else:
                 self.told.add(action.number)
         elif (request := self.requests.get(action.number)) is None:
@@ -162,10 +162,10 @@
         elif isinstance(action, Release):
             attempt = request.attempts[action.attempt]
             if attempt is not None:
-                self.engine.release(attempt)
+                self.engine.release_attempt(attempt)
         else:
             del self.requests[action.number]
-            self.engine.conclude(request, _answer(action))
+            self.engine.resolve(request, _answer(action))
 
     def _tick(self) -> None:
         if not self.closed:
--- a/minthitch/recovery/attach.py
+++ b/minthitch/recovery/attach.py
@@ -110,7 +110,12 @@
 
     def _take(self) -> None:
         if isinstance(self.engine.balancer, Balancer):
-            recollect(self.engine.balancer, self.engine.clock.now(), self.trusted, self.engine.fleet.kind)
+            recollect(
+                self.engine.balancer,
+                self.engine.clock.now(),
+                self.trusted,
+                self.engine.server_table.kind_number,
+            )
         if self.trusted.hosts is not None:
             # Danger: what stopped this node may have stopped them too, and cold ones would be pushed over.
             born = self.engine.clock.wall() // MILLISECOND
@@ -161,7 +166,7 @@
 
     async def _reach(self) -> None:
         """Whether a server of the tier below takes connections: nobody may send here before."""
-        servers = list(self.engine.fleet.servers.values())
+        servers = list(self.engine.server_table.by_name.values())
         chosen = self.engine.random.sample(servers, min(len(servers), MOST_REACHED))
 
         async def one(host: str, port: int) -> None:
@@ -202,7 +207,7 @@
             self._say_verdicts(heard.verdicts)
         self.heard_of, now = heard, engine.clock.now()
         if isinstance(engine.balancer, Balancer):
-            recollect(engine.balancer, now, Trusted(rate=heard.rate), engine.fleet.kind)
+            recollect(engine.balancer, now, Trusted(rate=heard.rate), engine.server_table.kind_number)
             engine.balancer.settings = change_settings(engine.settings, siblings=heard.siblings)
             self.news_until = now + LIVE_FOR
 
@@ -238,7 +243,7 @@
     def made(self, generation: int) -> Snapshot:
         """What is known now."""
         engine, now, up = self.engine, self.engine.clock.now(), time.monotonic_ns()
-        wall, fleet, heard = engine.clock.wall(), engine.fleet, self.heard()
+        wall, fleet, heard = engine.clock.wall(), engine.server_table, self.heard()
         empty = Snapshot(
             self.config.cluster,
             self.node,
@@ -273,8 +278,8 @@
                 s.entry.weight,
                 s.born_ms,
             )
-            for s in list(fleet.servers.values())[:MOST_ROWS]
-            if s.usable
+            for s in list(fleet.by_name.values())[:MOST_ROWS]
+            if s.is_usable
         )
         ago = max(now - heard, 0)
         return change(
--- a/minthitch/recovery/learned.py
+++ b/minthitch/recovery/learned.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Mapping
 
 from minthitch.interface import SECOND, Settings
-from minthitch.memory import FIELDS
+from minthitch.learned_state import EVIDENCE_FIELDS
 from minthitch.policy import CLASS_HALF_LIFE, Balancer, Evidence
 from minthitch.recovery.model import MOST_RATE, MOST_ROWS, Times, class_digest
 from minthitch.recovery.trust import Trusted
@@ -14,7 +14,7 @@
 
 def _times(evidence: Evidence) -> Times:
     """As they were at the last outcome: how long ago that was is the snapshot's age, or more."""
-    return Times(**{name: getattr(evidence, name) for name in FIELDS})
+    return Times(**{name: getattr(evidence, name) for name in EVIDENCE_FIELDS})
 
 
 def class_times(balancer: Balancer, settings: Settings) -> dict[str, tuple[str, Times]]:
@@ -54,6 +54,6 @@
 def _take(evidence: Evidence, times: Times, now: int) -> None:
     if evidence.trials or evidence.ends:  # what it has seen itself is younger
         return
-    for name in FIELDS:
+    for name in EVIDENCE_FIELDS:
         setattr(evidence, name, getattr(times, name))
     evidence.at = now
--- a/rigs/doomed.py
+++ b/rigs/doomed.py
@@ -89,8 +89,8 @@
     _around(SqlStore, "apply", batch("before"), batch("after"))
     _around(Pool, "start", lambda pool, attempt: fate.at("before-send"), None)
     _around(Connection, "send", None, lambda connection, attempt: fate.at("after-send"))
-    _around(RecordKeeper, "may_tell", lambda keeper, request, answer: fate.at("after-answer"), None)
-    _around(Engine, "tell", None, lambda engine, number: fate.at("after-tell"))
+    _around(RecordKeeper, "may_answer", lambda keeper, request, answer: fate.at("after-answer"), None)
+    _around(Engine, "release_answer", None, lambda engine, number: fate.at("after-tell"))
 
 
 class IntentAfterSend(Life):
--- a/rigs/simulation/servers.py
+++ b/rigs/simulation/servers.py
@@ -69,7 +69,7 @@
 
     def run(self, call: UpstreamCall) -> None:
         wire = _Wire()
-        call.carried = wire  # type: ignore[assignment]
+        call.handle = wire  # type: ignore[assignment]
         self.loop.after(SIDECAR_DELAY_S, self.machine, self._written, call, wire)
 
     def _written(self, call: UpstreamCall, wire: _Wire) -> None:
@@ -81,7 +81,7 @@
             call.end(api.Status.CONNECT_FAILED)
         else:
             call.wrote()
-            left = call.left / 1e9
+            left = call.time_left / 1e9
             self.loop.after(SIDECAR_DELAY_S, self.loop.world, self.server.take, self, call, wire, left)
 
     def ended(self, call: UpstreamCall, outcome: Outcome | None) -> None:
--- a/tests/mesh/test_admission.py
+++ b/tests/mesh/test_admission.py
@@ -107,7 +107,7 @@
     async def test_gate_that_shuts_down_tells_its_server_the_time_that_is_left(self) -> None:
         self.admission.limit_deadlines(asyncio.get_running_loop().time() + 1.0)
         self.call(1)
-        self.assertAlmostEqual(self.shelf.errands[0].left / 1e9, 1.0, delta=0.1)
+        self.assertAlmostEqual(self.shelf.errands[0].time_left / 1e9, 1.0, delta=0.1)
 
     async def test_calls_given_up_after_long_are_logged_with_their_state(self) -> None:
         long_s = mock.patch("minthitch.mesh.sidecar.admission.LONG_S", 0.0)
--- a/tests/mesh/test_start.py
+++ b/tests/mesh/test_start.py
@@ -22,7 +22,7 @@
     "engine.calls",
     "engine.clock",
     "engine.fields",
-    "engine.fleet",
+    "engine.servers",
     "engine.stream",
     "interface",
     "listing",
--- a/tests/fleet.py
+++ b/tests/simulated_fleet.py
@@ -22,11 +22,11 @@
 )
 from tests.rules import MS, SAFE, Node
 
-IO = 100 * MS  # what a call takes beside its work
+IO_TIME = 100 * MS  # what a call takes beside its work
 
 
 @dataclass
-class Machine:
+class SimulatedServer:
     """A server of one core: one call after another, slower while it is cold."""
 
     rate: float  # calls a second when it is warm
@@ -35,7 +35,7 @@
     sent: list[int] = field(default_factory=list)
     served: int = 0
     out: int = 0
-    table: int = 0  # connections that it takes; 0 = as many as come
+    max_connections: int = 0  # connections that it takes; 0 = as many as come
     silent: bool = False  # takes calls and answers none
     failing: bool = False  # answers at once, with an error
     dead: bool = False  # refuses connections
@@ -47,13 +47,13 @@
         if self.dead:
             return False
         if self.held[node] <= self.busy[node]:
-            if self.table and self.held.total() >= self.table:
+            if self.max_connections and self.held.total() >= self.max_connections:
                 return False
             self.held[node] += 1
         self.busy[node] += 1
         return True
 
-    def can(self, now: int, setup: Settings) -> float:
+    def capacity(self, now: int, setup: Settings) -> float:
         """Calls a second that it can serve now."""
         age = (now - self.started) / setup.cold_time if self.started else 1.0
         return self.rate * min(1.0, setup.cold_share + (1 - setup.cold_share) * age)
@@ -63,21 +63,23 @@
         self.sent.append(now)
         if self.silent or self.failing:
             return 0 if self.silent else now + MS
-        self.free = max(self.free, now) + int(SECOND / self.can(now, setup))
-        return self.free + IO
+        self.free = max(self.free, now) + int(SECOND / self.capacity(now, setup))
+        return self.free + IO_TIME
 
 
-class Crew:
+class SimulatedFleet:
     """`count` nodes that share nothing but their servers; `run` gives them Poisson traffic."""
 
-    def __init__(self, setup: Settings, count: int, machines: dict[int, Machine], seed: int = 1) -> None:
+    def __init__(
+        self, setup: Settings, count: int, machines: dict[int, SimulatedServer], seed: int = 1
+    ) -> None:
         self.setup, self.machines, self.random = setup, machines, random.Random(seed)
         self.nodes = [Node(setup, 1_000 * seed + i) for i in range(count)]
         self.read = [0] * count  # of each node's log
         # When, order, node, request, attempt, how it ends.
         self.events: list[tuple[int, int, int, int, int, Status]] = []
-        self.taken: set[tuple[int, int, int]] = set()  # attempts that a server has
-        self.order = self.requests = self.refused = self.served = self.unconnected = 0
+        self.accepted: set[tuple[int, int, int]] = set()  # attempts that a server has
+        self.order = self.requests = self.refused = self.served = self.connect_failures = 0
         self.by_node = Counter[int]()  # calls served at each node
         self.ended: set[tuple[int, int, int]] = set()
         self.attempts = Counter[tuple[int, int]]()  # node, request: sends so far
@@ -92,7 +94,7 @@
     def replace(self, old: list[int], new: list[int]) -> None:
         """All nodes hear in one instant that servers go, and that others have just started."""
         for number, before in zip(new, old, strict=True):
-            self.machines[number] = Machine(self.machines[before].rate, self.now)
+            self.machines[number] = SimulatedServer(self.machines[before].rate, self.now)
         self.tell(
             ListKind.CHANGES,
             (*(ServerEntry(s, State.GONE) for s in old), *(ServerEntry(s, started=self.now) for s in new)),
@@ -131,7 +133,7 @@
             return
         self.ended.add((i, request, attempt))
         book = self.nodes[i].records[request]
-        if (i, request, attempt) in self.taken:
+        if (i, request, attempt) in self.accepted:
             machine = self.machines[book.sent[attempt][0]]
             machine.out -= 1
             machine.busy[i] = max(machine.busy[i] - 1, 0)  # 0 at a server that started anew meanwhile
@@ -158,24 +160,26 @@
         self.attempts[i, action.request] += 1
         machine = self.machines[action.server]
         if not machine.connects(i):
-            self.unconnected += 1
+            self.connect_failures += 1
             at, status = self.now + MS, Status.CONNECT_FAILED
         else:
             machine.out += 1
-            self.taken.add((i, action.request, attempt))
+            self.accepted.add((i, action.request, attempt))
             at, status = machine.take(self.now, self.setup), Status.ERROR if machine.failing else Status.OK
         if at:
             self.order += 1
             heapq.heappush(self.events, (at, self.order, i, action.request, attempt, status))
 
-    def pushed_over(self, number: int) -> list[tuple[int, float]]:
+    def cold_overloads(self, number: int) -> list[tuple[int, float]]:
         """Windows in which a cold server was sent more than the rule allows: calls sent and allowed."""
         machine, found = self.machines[number], []
         for first, at in enumerate(machine.sent):
             if at >= machine.started + self.setup.cold_time:
                 break
             sent = sum(1 for t in machine.sent[first:] if t < at + self.setup.cold_window)
-            most = self.setup.cold_multiple * machine.can(at, self.setup) * self.setup.cold_window / SECOND
+            most = (
+                self.setup.cold_multiple * machine.capacity(at, self.setup) * self.setup.cold_window / SECOND
+            )
             if sent > most:
                 found.append((sent, most))
         return found
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -10,7 +10,7 @@
 import uvloop
 
 from minthitch.engine import LoopClock
-from minthitch.engine.clock import COMPACT_FROM
+from minthitch.engine.clock import MIN_COMPACT_SIZE
 from minthitch.interface import MILLISECOND, SECOND
 from rigs.servers import PATIENCE
 
@@ -92,9 +92,9 @@
 def test_cancelled_timers_are_thrown_out_before_they_are_due() -> None:
     async def body(clock: LoopClock) -> None:
         kept = [clock.at(clock.now() + 100 * SECOND, lambda: None) for _ in range(100)]
-        for _ in range(20 * COMPACT_FROM):
+        for _ in range(20 * MIN_COMPACT_SIZE):
             clock.at(clock.now() + 60 * SECOND, lambda: None).cancel()
-            assert len(clock.heap) <= COMPACT_FROM + 1
+            assert len(clock.heap) <= MIN_COMPACT_SIZE + 1
         assert len(kept) <= len(clock.heap)
         clock.close()
         assert not clock.heap
--- a/tests/test_embedded.py
+++ b/tests/test_embedded.py
@@ -187,7 +187,7 @@
         found = lib.tier.discovery
         found.change({**found.hosts[0], "health": "draining"})
         worker = lib.client._worker
-        await until(lambda: worker.engine is not None and worker.engine.fleet.seq == 2)
+        await until(lambda: worker.engine is not None and worker.engine.server_table.seq == 2)
         for _ in range(10):
             assert isinstance(await lib.client.call("safe"), Served)
         assert not lib.tier.servers[0].seen and lib.tier.servers[1].seen
@@ -379,7 +379,7 @@
         await until(lambda: lib.client.held == 0)
         engine = lib.client._worker.engine
         assert engine is not None
-        await until(lambda: not engine.requests and not engine.ids)
+        await until(lambda: not engine.requests and not engine.open_ids)
 
 
 def test_a_cancelled_awaiter_counts_as_a_caller_that_left() -> None:
@@ -411,7 +411,7 @@
         assert len(lib.tier.sends) <= 20 and lib.client.held == 0
         engine = lib.client._worker.engine
         assert engine is not None
-        await until(lambda: not engine.requests and not engine.open and not engine.ids)
+        await until(lambda: not engine.requests and not engine.open and not engine.open_ids)
 
 
 def test_a_flood_is_refused_at_once_and_what_is_held_is_bounded() -> None:
@@ -832,7 +832,9 @@
             await asyncio.gather(*(lib.client.call("safe", timeout=6.0) for _ in range(80)))
         engine, worker = lib.client._worker.engine, lib.client._worker
         assert engine is not None and worker.inbox is not None
-        await until(lambda: not engine.requests and not engine.open and not engine.ids and not worker.held)
+        await until(
+            lambda: not engine.requests and not engine.open and not engine.open_ids and not worker.held
+        )
         assert not worker.inbox.items and len(lib.client._mailboxes) == 1
 
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -23,8 +23,8 @@
     Server,
     StaticSource,
 )
-from minthitch.engine.fields import Reader
-from minthitch.engine.fleet import MOST_NAMES, Fleet
+from minthitch.engine.fields import CallParser
+from minthitch.engine.servers import MAX_NAMES, ServerTable
 from minthitch.interface import MILLISECOND, SECOND, Cancel, ListKind, Probe, Settings, Status
 from minthitch.listing import Host, Listing, static_listing
 from tests.rules import KEYED_CELL, SAFE, UNSAFE
@@ -80,7 +80,7 @@
         self.dropped = 0
 
     def start(self, attempt: Attempt) -> None:
-        attempt.carried = self
+        attempt.handle = self
         self.attempts.append(attempt)
 
     def drop(self) -> None:
@@ -116,7 +116,7 @@
         self.clock, self.carrier, self.asker, self.log = HandClock(), HandCarrier(), HandAsker(), list[str]()
         self.idle = 0
         self.engine = Engine(self.settings, 1, self.clock, self.log.append, self._idle)
-        self.engine.carrier = self.carrier
+        self.engine.transport = self.carrier
         self.hosts = [Host(f"s{i}", "127.0.0.1", i + 1, cell=i % 2) for i in range(count)]
         self.engine.listed(Listing(1, True, tuple(self.hosts)), ListKind.CACHED)
         self.numbers = iter(range(1, 1 << 30))
@@ -126,7 +126,7 @@
 
     def ask(self, cls: int = 2, left: int | None = None, **more: Any) -> Request:
         identity = more.pop("identity", b"%d" % next(self.numbers))
-        call = Call(identity, cls, Message(b"POST", b"/api"), left=left, **more)
+        call = Call(identity, cls, Message(b"POST", b"/api"), time_left=left, **more)
         return self.engine.admit(self.asker, call)
 
     def change(self, number: int, state: str = "up", **more: Any) -> None:
@@ -139,7 +139,7 @@
             state=state,
             born_ms=more.get("born_ms", 0),
         )
-        self.engine.listed(Listing(self.engine.fleet.seq + 1, False, (given,)), ListKind.CHANGES)
+        self.engine.listed(Listing(self.engine.server_table.seq + 1, False, (given,)), ListKind.CHANGES)
 
     @property
     def words(self) -> list[str]:
@@ -153,7 +153,7 @@
     w.carrier.attempts[0].end(Status.OK, Served(b"x"))
     w.carrier.attempts[0].end(Status.RESET)  # told twice: it ended before
     assert w.asker.heard == [(request.call, Served(b"x"))]
-    assert not w.engine.requests and not w.engine.open and not w.engine.ids
+    assert not w.engine.requests and not w.engine.open and not w.engine.open_ids
     w.clock.move(60 * SECOND)
     assert len(w.asker.heard) == 1
 
@@ -189,17 +189,17 @@
 def test_time_counts_from_when_the_call_was_heard() -> None:
     w = World()
     heard = w.clock.now() - 800 * MS  # it waited behind others, or for a host that stood still
-    request = w.ask(left=SECOND, heard=heard)
+    request = w.ask(left=SECOND, received_at=heard)
     assert request.deadline == heard + SECOND
-    w.ask(left=SECOND, heard=w.clock.now() - 2 * SECOND)  # over before it came: refused, not sent
+    w.ask(left=SECOND, received_at=w.clock.now() - 2 * SECOND)  # over before it came: refused, not sent
     assert w.words == ["Refused"] and len(w.carrier.attempts) == 1
 
 
 def test_an_asker_that_leaves_hears_nothing_and_its_attempts_are_dropped() -> None:
     w = World()
     request = w.ask()
-    w.engine.leave(request)
-    w.engine.leave(request)
+    w.engine.abandon(request)
+    w.engine.abandon(request)
     assert w.carrier.dropped == 1 and not w.asker.heard and not w.engine.requests
     w.clock.move(10 * SECOND)
     assert not w.asker.heard
@@ -217,7 +217,7 @@
     assert not attempt.may_write()
     w.change(0)
     assert attempt.may_write()
-    w.engine.leave(request)
+    w.engine.abandon(request)
     assert not attempt.may_write()
 
 
@@ -231,7 +231,7 @@
     with pytest.raises(Rejected) as caught:
         w.ask(identity=b"c")
     assert caught.value.status == 503 and 0 < caught.value.retry_after <= 2 * SECOND
-    assert len(w.engine.open) == len(w.engine.ids) == 2
+    assert len(w.engine.open) == len(w.engine.open_ids) == 2
 
 
 def test_a_full_table_promises_nothing_where_the_settings_allow_no_retry_after() -> None:
@@ -293,30 +293,30 @@
 
 def test_actions_that_do_not_apply_are_logged_and_harmless() -> None:
     w = World()
-    w.engine._act(Probe(1))
-    w.engine._act(Cancel(99, 0))
+    w.engine._execute(Probe(1))
+    w.engine._execute(Cancel(99, 0))
     assert w.log == ["not carried out: Probe"]
 
 
 def test_a_restart_or_a_new_address_makes_a_new_server_and_hangs_up_the_old() -> None:
     w = World()
-    old = w.engine.fleet.servers["s0"]
+    old = w.engine.server_table.by_name["s0"]
     w.change(0, port=99)
-    new = w.engine.fleet.servers["s0"]
-    assert new is not old and old.retired and not old.usable and new.number == old.number
-    assert w.carrier.hung_up == [old] and w.engine.fleet.addresses[new.number] is new
+    new = w.engine.server_table.by_name["s0"]
+    assert new is not old and old.replaced and not old.is_usable and new.number == old.number
+    assert w.carrier.hung_up == [old] and w.engine.server_table.by_number[new.number] is new
     w.change(0, "removed")
-    assert "s0" not in w.engine.fleet.servers and not new.usable
+    assert "s0" not in w.engine.server_table.by_name and not new.is_usable
     w.change(0, "removed")  # again: nothing is known of it
 
 
 def test_zones_and_kinds_are_bounded() -> None:
-    fleet = Fleet(Settings(classes=CLASSES, zones=("z",)))
-    for i in range(MOST_NAMES + 500):
+    fleet = ServerTable(Settings(classes=CLASSES, zones=("z",)))
+    for i in range(MAX_NAMES + 500):
         host = Host("s", "127.0.0.1", 1, zone=f"zone{i}", kind=f"kind{i}")
         entries, _ = fleet.apply(Listing(i, False, (host,)), ListKind.CHANGES, 1, 1)
-        assert entries[0].zone <= MOST_NAMES and entries[0].kind <= MOST_NAMES
-    assert len(fleet.zones) == len(fleet.kinds) == MOST_NAMES
+        assert entries[0].zone <= MAX_NAMES and entries[0].kind <= MAX_NAMES
+    assert len(fleet.zones) == len(fleet.kinds) == MAX_NAMES
 
 
 def test_a_static_source_gives_its_list_whenever_it_is_asked() -> None:
@@ -329,7 +329,7 @@
 
 
 def test_fields_tell_tenant_key_cost_and_repeat() -> None:
-    reader = Reader(Settings(classes=CLASSES))
+    reader = CallParser(Settings(classes=CLASSES))
     fields = {
         b"x-correlation-id": b"1",
         b"x-service-class": b"buy",
@@ -341,7 +341,7 @@
     }
     reader.check(b"POST", fields)
     call = reader.call(Message(b"POST", b"/"), fields)
-    assert (call.left, call.cost, call.repeat, call.tenant) == (480 * MS, 12_500, True, 0)
+    assert (call.time_left, call.cost, call.repeat, call.tenant) == (480 * MS, 12_500, True, 0)
     assert call.key and call.key == reader.call(Message(b"POST", b"/"), fields).key
 
 
@@ -364,7 +364,7 @@
                             b"%d" % step,
                             rng.randrange(3),
                             Message(b"POST", b"/"),
-                            left=rng.choice([None, 0, 30 * MS, SECOND]),
+                            time_left=rng.choice([None, 0, 30 * MS, SECOND]),
                         ),
                     )
                 )
@@ -377,9 +377,9 @@
             attempt.end(status, Served(b"x") if status is Status.OK else None)
         elif roll < 0.8 and requests:
             index = rng.randrange(len(requests))
-            if not requests[index].over:
+            if not requests[index].closed:
                 left.add(index)
-            w.engine.leave(requests[index])
+            w.engine.abandon(requests[index])
         elif roll < 0.88:
             w.change(
                 rng.randrange(4),
@@ -392,4 +392,4 @@
     for index, asker in enumerate(askers):
         assert len(asker.heard) == (index not in left), f"seed {seed}, request {index}"
         assert all(isinstance(answer, (Served, Refused, Failed)) for _, answer in asker.heard)
-    assert not w.engine.open and not w.engine.ids and not w.engine.requests
+    assert not w.engine.open and not w.engine.open_ids and not w.engine.requests
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -8,17 +8,17 @@
 
 from minthitch.interface import SECOND, ListKind, ListUpdate, RequestArrived, ServerEntry, Status
 from minthitch.policy import INITIAL_LIMIT, Attempt, Request
-from tests.fleet import Crew, Machine
 from tests.rules import MS, SAFE, UNSAFE, Node, entries, settings
+from tests.simulated_fleet import SimulatedFleet, SimulatedServer
 
 WARM = 20.0  # calls a second that a warm server serves
 
 
-def crew(seed: int, count: int = 40, servers: int = 10, load: float = 0.5) -> Crew:
-    made = Crew(
+def crew(seed: int, count: int = 40, servers: int = 10, load: float = 0.5) -> SimulatedFleet:
+    made = SimulatedFleet(
         settings(siblings=count, cold_share=0.3, cold_time=8 * SECOND),
         count,
-        {number: Machine(WARM) for number in range(1, servers + 1)},
+        {number: SimulatedServer(WARM) for number in range(1, servers + 1)},
         seed,
     )
     made.tell(ListKind.CACHED, entries(servers))
@@ -35,7 +35,7 @@
     fleet.run(8 * SECOND, 0.5 * WARM * 10)
     for number in new:
         assert len(fleet.machines[number].sent) > 20, "a cold server must fill up"
-        assert not fleet.pushed_over(number)
+        assert not fleet.cold_overloads(number)
 
 
 def sent_to_cold(answer: Status, latency: int) -> int:
--- a/tests/test_fleet_count.py
+++ b/tests/test_fleet_count.py
@@ -7,10 +7,10 @@
 import pytest
 
 from minthitch.engine import trace
-from minthitch.engine.fleet import Fleet as Servers
-from minthitch.engine.trace import Traced
-from minthitch.fleet.count import Fleet, count, parse
-from minthitch.fleet.shown import lines
+from minthitch.engine.servers import ServerTable
+from minthitch.engine.trace import TracingBalancer
+from minthitch.fleet.count import FleetCounts, count, parse
+from minthitch.fleet.report import lines
 from minthitch.interface import (
     SECOND,
     AttemptEnded,
@@ -58,44 +58,44 @@
 }
 
 
-def sample() -> Fleet:
+def sample() -> FleetCounts:
     return count(dict(SAMPLE), 1.0)
 
 
 def test_refusals_are_told_apart_by_what_went_before() -> None:
     first, second = sample().windows["0", 0], sample().windows["0", 1]
-    assert (first.refused_now, first.refused_held, first.refused_after) == (1, 1, 0)
-    assert (second.refused_now, second.refused_held, second.refused_after) == (0, 0, 1)
+    assert (first.refused_at_once, first.refused_after_wait, first.refused_after_send) == (1, 1, 0)
+    assert (second.refused_at_once, second.refused_after_wait, second.refused_after_send) == (0, 0, 1)
     assert second.failed == 1
 
 
 def test_sends_and_ends_are_counted_over_all_nodes() -> None:
     first, second = sample().windows["0", 0], sample().windows["0", 1]
-    assert (first.arrivals, first.repeats, first.sends, first.further) == (3, 1, 1, 0)
-    assert (second.arrivals, second.sends, second.further, second.cancels) == (2, 3, 1, 1)
+    assert (first.arrivals, first.repeats, first.sends, first.resends) == (3, 1, 1, 0)
+    assert (second.arrivals, second.sends, second.resends, second.cancels) == (2, 3, 1, 1)
     assert dict(second.ends) == {"CONNECT_FAILED": 1, "CANCELLED": 1, "RESET": 1}
 
 
 def test_calls_out_at_a_server_are_those_of_all_nodes() -> None:
     server = sample().servers["0"]["s1/0"]
-    assert (server.out[0], server.out[1], server.now_out) == (1, 2, 0)
+    assert (server.peak_in_flight[0], server.peak_in_flight[1], server.in_flight) == (1, 2, 0)
 
 
 def test_who_heard_of_a_server_when() -> None:
     server = sample().servers["0"]["s2/0"]
-    assert server.heard == {"n0": 1000, "n1": 1100}
-    assert server.left == {"n1": 2600}
+    assert server.ready_at == {"n0": 1000, "n1": 1100}
+    assert server.withdrawn_at == {"n1": 2600}
     assert server.first_sends == {1: 1}
 
 
 def test_lines_that_can_not_be_read_are_counted_and_spoil_nothing() -> None:
     fleet = sample()
-    assert fleet.odd == 2
+    assert fleet.unreadable == 2
     assert list(lines(fleet, servers=True))[-1] == "2 lines could not be read"
 
 
 def test_open_requests_of_a_node_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("minthitch.fleet.count.MOST_OPEN", 10)
+    monkeypatch.setattr("minthitch.fleet.count.MAX_OPEN_REQUESTS", 10)
     fleet = count({"n": [f"# 1 a {n} read 0 0 900" for n in range(50)]}, 1.0)
     assert len(fleet.nodes["n"].open) == 10
     assert fleet.windows["?", 0].arrivals == 50
@@ -108,9 +108,9 @@
 
 def test_a_traced_balancer_decides_as_the_other_and_its_lines_are_counted() -> None:
     written: list[str] = []
-    traced, plain = Traced(settings(), 3, written.append), Balancer(settings(), 3)
-    traced.fleet = Servers(settings())
-    traced.fleet.apply(
+    traced, plain = TracingBalancer(settings(), 3, written.append), Balancer(settings(), 3)
+    traced.server_table = ServerTable(settings())
+    traced.server_table.apply(
         Listing(1, True, (Host("a", "127.0.0.1", 1), Host("b", "127.0.0.1", 2))), ListKind.FULL, SECOND, 0
     )
     now = 10 * SECOND
@@ -126,17 +126,17 @@
     traced.flush()
     fleet = count({"n": "".join(written).splitlines()}, 1_000.0)
     total = fleet.windows["0", 0]
-    assert total.arrivals == 40 and total.ends["OK"] == total.sends and fleet.odd == 0
+    assert total.arrivals == 40 and total.ends["OK"] == total.sends and fleet.unreadable == 0
     assert set(fleet.servers["0"]) == {"a/0", "b/0"}
 
 
 def test_a_server_that_is_gone_is_written_by_its_name(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(trace, "MOST_NAMES", 3)
-    traced = Traced(settings(), 3, lambda text: None)
-    traced.fleet = Servers(settings())
+    monkeypatch.setattr(trace, "MAX_NAMES", 3)
+    traced = TracingBalancer(settings(), 3, lambda text: None)
+    traced.server_table = ServerTable(settings())
     for number in range(1, 6):
         listing = Listing(number, True, (Host(f"h{number}", "127.0.0.1", 1),))
-        traced.fleet.apply(listing, ListKind.FULL, SECOND, 0)
+        traced.server_table.apply(listing, ListKind.FULL, SECOND, 0)
         assert traced._name(number) == f"h{number}/0"
     assert traced._name(4) == "h4/0", "no list names it any more"
     assert (traced._name(1), len(traced.names)) == ("?1", 3)
@@ -144,10 +144,10 @@
 
 def test_what_waits_to_be_written_is_bounded() -> None:
     written: list[str] = []
-    traced = Traced(settings(), 3, written.append)
+    traced = TracingBalancer(settings(), 3, written.append)
     for number in range(1_000):
         traced.handle(number, RequestArrived(number, 0, SECOND))
-        assert traced.size <= trace.FLUSH_FROM
+        assert traced.buffered_chars <= trace.MAX_BUFFERED_CHARS
     assert written
 
 
--- a/tests/test_fleet_hard.py
+++ b/tests/test_fleet_hard.py
@@ -5,16 +5,16 @@
 import pytest
 
 from minthitch.interface import SECOND, ListKind, ListUpdate, Send, ServerEntry, State
-from tests.fleet import Crew, Machine
 from tests.rules import KEYED_CELL, SAFE, UNSAFE, entries, settings
+from tests.simulated_fleet import SimulatedFleet, SimulatedServer
 
 WARM = 20.0  # calls a second that a server serves
 CLASSES = (SAFE, SAFE, KEYED_CELL, UNSAFE)
 
 
-def crew(seed: int, nodes: int, servers: int) -> Crew:
+def crew(seed: int, nodes: int, servers: int) -> SimulatedFleet:
     setup = settings(siblings=nodes, cold_share=0.3, cold_time=8 * SECOND, idle_close=30 * SECOND)
-    made = Crew(setup, nodes, {n: Machine(WARM) for n in range(1, servers + 1)}, seed)
+    made = SimulatedFleet(setup, nodes, {n: SimulatedServer(WARM) for n in range(1, servers + 1)}, seed)
     made.tell(ListKind.CACHED, entries(servers))
     return made
 
@@ -24,18 +24,18 @@
     """Calls are served, failed connects settle, no node starves, and no server is left out for good."""
     fleet = crew(seed, 40, 20)
     for machine in fleet.machines.values():
-        machine.table = 25
+        machine.max_connections = 25
     fleet.run(10 * SECOND, 0.4 * WARM * 20)
-    first, failed = fleet.by_node.copy(), fleet.unconnected
+    first, failed = fleet.by_node.copy(), fleet.connect_failures
     served, asked = fleet.served, fleet.requests
     fleet.run(10 * SECOND, 0.4 * WARM * 20)
     asked = fleet.requests - asked
     assert fleet.served - served >= 0.95 * asked
-    assert fleet.unconnected - failed <= 0.1 * asked, "failed connects settle"
+    assert fleet.connect_failures - failed <= 0.1 * asked, "failed connects settle"
     assert min((fleet.by_node - first)[i] for i in range(40)) > 0, "no node starves"
     before = {n: machine.served for n, machine in fleet.machines.items()}
     for machine in fleet.machines.values():
-        machine.table = 0  # as many as come
+        machine.max_connections = 0  # as many as come
     fleet.run(10 * SECOND, 0.4 * WARM * 20)
     assert min(machine.served - before[n] for n, machine in fleet.machines.items()) > 0
 
@@ -54,14 +54,14 @@
     fleet.tell(ListKind.CHANGES, tuple(ServerEntry(n, State.GONE) for n in lost))
     fleet.run(3 * SECOND, 0.4 * WARM * 30, CLASSES)
     for number in lost:
-        fleet.machines[number] = Machine(WARM, fleet.now)
+        fleet.machines[number] = SimulatedServer(WARM, fleet.now)
     fleet.tell(
         ListKind.CHANGES,
         tuple(ServerEntry(n, zone=(n - 1) % 2, cell=(n - 1) % 4, started=fleet.now) for n in lost),
     )
     fleet.run(5 * SECOND, 0.4 * WARM * 30, CLASSES)
     assert min(fleet.machines[n].served for n in lost) > 0
-    assert not any(fleet.pushed_over(n) for n in lost)
+    assert not any(fleet.cold_overloads(n) for n in lost)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -80,7 +80,7 @@
     fleet.run(3 * SECOND, 0.2 * WARM * 10, CLASSES)
     assert fleet.served - served >= 0.8 * (fleet.requests - asked), "the others serve on"
     for number in zone:
-        fleet.machines[number] = Machine(WARM, fleet.now)
+        fleet.machines[number] = SimulatedServer(WARM, fleet.now)
     fleet.tell(
         ListKind.CHANGES,
         tuple(ServerEntry(n, zone=(n - 1) % 2, cell=(n - 1) % 4, started=fleet.now) for n in zone),
@@ -90,7 +90,7 @@
     assert not any(node.unanswered() for node in fleet.nodes)
     for number in zone:
         assert len(fleet.machines[number].sent) >= 8
-        assert not fleet.pushed_over(number)
+        assert not fleet.cold_overloads(number)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -126,7 +126,7 @@
     old, kept = entries(10), tuple(e for e in entries(10) if e.server > 6)
     new = (*kept, *(ServerEntry(n, cell=n % 4, started=fleet.now) for n in range(11, 17)))
     for number in range(11, 17):
-        fleet.machines[number] = Machine(WARM, fleet.now)
+        fleet.machines[number] = SimulatedServer(WARM, fleet.now)
     for listing in (new, old, new, new):
         fleet.tell(ListKind.FULL, listing)
         fleet.run(2 * SECOND, 0.3 * WARM * 10)
--- a/tests/test_lab_hunt.py
+++ b/tests/test_lab_hunt.py
@@ -97,7 +97,7 @@
     run = Run(scenario.from_table(day("calm", CALM)), 1, "oracle")
     run.heap.run(2 * SECOND)
     node, tier = run.tiers[0].nodes[0], run.tiers[0]
-    numbers = {known.name: number for number, known in node.engine.fleet.addresses.items()}
+    numbers = {known.name: number for number, known in node.engine.server_table.by_number.items()}
     there = [tier.by_name[name] for name in numbers if tier.by_name[name].zone == node.zone]
     away = next(model for model in tier.models if model.zone != node.zone)
     there[0].silent = True
--- a/tests/test_lab_run.py
+++ b/tests/test_lab_run.py
@@ -117,7 +117,7 @@
 
 
 def test_a_mutant_that_loses_answers_or_gives_two_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    inner = Engine._hand_over
+    inner = Engine._deliver
 
     def every_tenth(self: Engine, request: Request, answer: Answer) -> None:
         if request.number % 10:
@@ -130,7 +130,7 @@
 
 def test_a_mutant_that_writes_to_drained_servers_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     def always(self: Engine, request: Request, server: Server) -> bool:
-        return not request.over
+        return not request.closed
 
     struck = 'deeds=[{do="drain",at=1.5,count=4}]'
 
--- a/tests/test_memory.py
+++ b/tests/test_learned_state.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from minthitch import memory
+from minthitch import learned_state
 from minthitch.interface import ListKind, ListUpdate
 from minthitch.policy import Balancer
 from tests.rules import MS, SAFE, Node, entries, settings
@@ -29,7 +29,9 @@
 
 def told(node: Node) -> dict[str, Any]:
     """Over the wire and back."""
-    table: dict[str, Any] = json.loads(json.dumps(memory.learned(node.balancer, node.now, NAMES, KINDS)))
+    table: dict[str, Any] = json.loads(
+        json.dumps(learned_state.export_state(node.balancer, node.now, NAMES, KINDS))
+    )
     return table
 
 
@@ -43,7 +45,7 @@
 def test_the_next_process_judges_servers_and_classes_as_the_last_one_did() -> None:
     node = taught()
     balancer, now, numbers = fresh()
-    memory.recall(balancer, now, told(node), numbers, {"k": 0}, 0.5)
+    learned_state.restore_state(balancer, now, told(node), numbers, {"k": 0}, 0.5)
     for number, name in NAMES.items():
         old = node.balancer._candidate(node.now, 5.0, node.balancer.servers[number])
         new = balancer._candidate(now, 5.0, balancer.servers[numbers[name]])
@@ -58,10 +60,10 @@
     node = taught()
     assert node.balancer.extra_limit > 0
     balancer, now, numbers = fresh()
-    memory.recall(balancer, now, told(node), numbers, {"k": 0}, 0.5)
+    learned_state.restore_state(balancer, now, told(node), numbers, {"k": 0}, 0.5)
     assert balancer.extra_limit == pytest.approx(node.balancer.extra_limit / 2)
     flow = balancer.flow.time * balancer.flow.fade(now)
-    memory.take_over(balancer, now, told(node))
+    learned_state.merge_state(balancer, now, told(node))
     assert balancer.extra_limit == pytest.approx(1.5 * node.balancer.extra_limit)
     assert balancer.flow.time == pytest.approx(3 * flow)
 
@@ -72,7 +74,7 @@
     del table["classes"][SAFE.name]
     balancer, now, numbers = fresh()
     before = balancer._base_latency(now, 0)
-    memory.recall(balancer, now, table, numbers, {}, 0.5)
+    learned_state.restore_state(balancer, now, table, numbers, {}, 0.5)
     assert balancer._base_latency(now, 0) == before
     assert all(not server.evidence.trials for server in balancer.servers.values())
 
@@ -93,8 +95,8 @@
         node.listed(5)
         table = _spoil(json.loads(json.dumps(good)), random.Random(seed))
         try:
-            memory.recall(node.balancer, node.now, table, {"s1": 1, "s2": 2}, {"k": 0}, 0.5)
-            memory.take_over(node.balancer, node.now, table)
+            learned_state.restore_state(node.balancer, node.now, table, {"s1": 1, "s2": 2}, {"k": 0}, 0.5)
+            learned_state.merge_state(node.balancer, node.now, table)
         except (ValueError, KeyError, TypeError, AttributeError):
             turned_down += 1
         node.queue(20, 20 * MS, 50 * MS)  # its referee sees to the rules
--- a/tests/test_long_bodies.py
+++ b/tests/test_long_bodies.py
@@ -82,7 +82,7 @@
     def drop(self) -> None:
         self.said.append("drop")
 
-    def passed(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
         self.said.append(data)
 
     def ended(self, whole: bool) -> None:
@@ -103,7 +103,7 @@
 def test_a_stream_ends_once_and_in_order(script: str, said: list[object]) -> None:
     ends = _Ends()
     stream = Stream(None, ends)
-    stream.settled = lambda whole: ends.said.append(f"settled {whole}")
+    stream.on_end = lambda whole: ends.said.append(f"settled {whole}")
     for number, deed in enumerate(script.split(), 1):
         if deed == "feed":
             stream.feed(b"%d" % number)
@@ -153,7 +153,7 @@
         for _ in range(3):
             caller.writer.write(call("unsafe"))
             assert await _body(caller) == LONG
-        assert r.servers[0].connections == 1 and r.node.figures().counts.served[2] == 3
+        assert r.servers[0].connections == 1 and r.node.metrics().counts.served[2] == 3
         old = await r.caller()
         old.writer.write(call("unsafe").replace(b"HTTP/1.1", b"HTTP/1.0"))
         assert await _body(old) == LONG  # one that knows no chunks
@@ -185,12 +185,12 @@
         while before != sent:  # until nothing moves any more
             before = sent
             await asyncio.sleep(0.3)
-        assert sent < 16_000_000 and r.node.figures().inflight == 1
+        assert sent < 16_000_000 and r.node.metrics().inflight == 1
         fast = await r.caller()
         assert (await fast.ask(b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 200
         caller.writer.transport.abort()  # and leaves: nothing more is read of its answer
         await r.servers[0].until(lambda: r.servers[0].closed == 1)
-        assert r.node.figures().inflight == 0 and not r.node.pool.opened
+        assert r.node.metrics().inflight == 0 and not r.node.pool.opened
 
 
 def test_a_caller_that_reads_slowly_slows_its_server_and_nobody_else() -> None:
@@ -203,7 +203,7 @@
         first = b"186A0\r\n" + b"x" * 100_000 if how == "chunks" else b"x" * 100_000
         seen.writer.write(b"HTTP/1.1 200 OK\r\n" + framing + b"\r\n\r\n" + first)
         await seen.writer.drain()
-        await r.until(lambda: r.node.figures().inflight == 1 and bool(r.node.callers.all))
+        await r.until(lambda: r.node.metrics().inflight == 1 and bool(r.node.callers.all))
         await asyncio.sleep(0.1)
         if how == "chunks":
             seen.writer.write(b"\r\nno chunk\r\n")
@@ -217,7 +217,7 @@
         with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
             await _body(caller)
         assert len(r.sends) == 1  # its first bytes are told: it can't be asked for again
-        counts = r.node.figures().counts
+        counts = r.node.metrics().counts
         assert counts.failed[0] == 1 and counts.served[0] == 0
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -102,7 +102,7 @@
         port = closed.sockets[0].getsockname()[1]
         closed.close()
         await closed.wait_closed()
-        for name, server in r.node.engine.fleet.servers.items():
+        for name, server in r.node.engine.server_table.by_name.items():
             if name == "s0":
                 server.port = port
         for _ in range(8):
@@ -144,7 +144,7 @@
     async with rig(script, script, script) as r:
         cells = {"s0": 0, "s1": 0, "s2": 1}
         r.discovery.change(*({**host, "block": cells[host["host"]]} for host in r.discovery.hosts))
-        await r.until(lambda: r.node.engine.fleet.seq == 2)
+        await r.until(lambda: r.node.engine.server_table.seq == 2)
         for _ in range(12):
             for server in r.servers:
                 server.seen.clear()
@@ -253,11 +253,11 @@
             host["dial"] = f"127.0.0.1:{second.sockets[0].getsockname()[1]}"
         r.discovery.change(host)
         await r.servers[0].until(lambda: r.servers[0].closed == 1)
-        before = r.node.engine.fleet.servers["s0"].entry.started
+        before = r.node.engine.server_table.by_name["s0"].entry.started
         r.discovery.change(host)
-        await r.until(lambda: r.node.engine.fleet.seq == 3)
+        await r.until(lambda: r.node.engine.server_table.seq == 3)
         # Or all that is known of it would be lost.
-        assert r.node.engine.fleet.servers["s0"].entry.started == before
+        assert r.node.engine.server_table.by_name["s0"].entry.started == before
 
 
 def test_a_new_start_or_address_closes_the_kept_connections() -> None:
@@ -268,12 +268,12 @@
 async def _drained() -> None:
     async with rig(serve_ok, serve_ok) as r:
         r.discovery.change({**r.discovery.hosts[0], "health": "draining"})
-        await r.until(lambda: r.node.engine.fleet.seq == 2)
+        await r.until(lambda: r.node.engine.server_table.seq == 2)
         for _ in range(10):
             assert (await r.ask(call("safe")))[0] == 200
         assert not r.servers[0].seen and r.servers[1].seen
         r.discovery.change(dict(r.discovery.hosts[1], health="removed"), r.discovery.hosts[0])
-        await r.until(lambda: r.node.engine.fleet.seq == 3)
+        await r.until(lambda: r.node.engine.server_table.seq == 3)
         r.servers[1].seen.clear()
         for _ in range(10):
             assert (await r.ask(call("safe")))[0] == 200
@@ -309,7 +309,7 @@
         caller.writer.write(call("unsafe", left="900m"))
         await r.until(lambda: gate.waiting == 1)
         r.discovery.change({**r.discovery.hosts[0], "health": "draining"})
-        await r.until(lambda: r.node.engine.fleet.seq == 2)
+        await r.until(lambda: r.node.engine.server_table.seq == 2)
         gate.opened.set()
         status, _, _ = await caller.answer()
         assert status == 503  # it never left, so a retry is harmless
@@ -516,7 +516,7 @@
         for token in range(300):
             delay = 1_000_000 + token * 70_001
             due[token] = time.monotonic_ns() + delay
-            r.node.engine._act(SetTimer(token, delay))
+            r.node.engine._execute(SetTimer(token, delay))
         await r.until(lambda: not due)
         assert max(early) <= 0  # one that comes early is ignored, and no other follows
 
--- a/tests/test_odd_lists.py
+++ b/tests/test_odd_lists.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from minthitch.engine.fleet import Fleet
+from minthitch.engine.servers import ServerTable
 from minthitch.interface import SECOND, ListKind, ListUpdate, ServerEntry, State
 from minthitch.listing import ListError, Listing, parse_listing
 from minthitch.policy import Balancer
@@ -19,7 +19,7 @@
     return parse_listing({"seq": seq, "whole": whole, "hosts": list(rows)})
 
 
-def applied(fleet: Fleet, told: Listing) -> tuple[ServerEntry, ...]:
+def applied(fleet: ServerTable, told: Listing) -> tuple[ServerEntry, ...]:
     return fleet.apply(told, ListKind.FULL if told.whole else ListKind.CHANGES, SECOND, 0)[0]
 
 
@@ -38,27 +38,27 @@
 def test_an_odd_entry_is_left_out_and_the_rest_is_used(row: Any, name: str, why: str) -> None:
     told = listing(GOOD[0], row, GOOD[1])
     assert [host.name for host in told.hosts] == ["a", "b"]
-    assert told.odd == ((name, why),)
+    assert told.invalid == ((name, why),)
 
 
 def test_an_odd_entry_does_not_withdraw_a_server_that_was_named_before() -> None:
-    fleet = Fleet(settings())
+    fleet = ServerTable(settings())
     balancer = Balancer(settings(), 1)
     balancer.handle(SECOND, ListUpdate(ListKind.FULL, applied(fleet, listing(*GOOD))))
     entries = applied(fleet, listing(GOOD[0], {"host": "b", "dial": "nowhere"}, seq=2))
     balancer.handle(SECOND, ListUpdate(ListKind.FULL, entries))
-    assert set(balancer.servers) == {fleet.servers[name].number for name in "ab"}
-    assert set(fleet.servers) == {"a", "b"} and fleet.servers["b"].usable
+    assert set(balancer.servers) == {fleet.by_name[name].number for name in "ab"}
+    assert set(fleet.by_name) == {"a", "b"} and fleet.by_name["b"].is_usable
 
 
 @pytest.mark.parametrize("health", ["draining", "removed"])
 def test_a_server_that_is_withdrawn_by_an_odd_entry_gets_nothing_more(health: str) -> None:
-    fleet = Fleet(settings())
+    fleet = ServerTable(settings())
     applied(fleet, listing(*GOOD))
     row = {"host": "b", "dial": "nowhere", "health": health, "block": "none"}
     entries = applied(fleet, listing(GOOD[0], row, seq=2))
     assert [entry.state for entry in entries] == [State.READY, State.GONE]
-    assert set(fleet.servers) == {"a"}
+    assert set(fleet.by_name) == {"a"}
 
 
 def test_a_list_of_odd_entries_only_is_no_list() -> None:
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from minthitch.admin.desk import CALLS, answer
-from minthitch.admin.listener import MOST_CONNECTIONS, MOST_LINE, Desk
+from minthitch.admin.commands import COMMANDS, answer
+from minthitch.admin.listener import MAX_CONNECTIONS, MAX_LINE_BYTES, AdminListener
 from minthitch.engine.calls import Failed, Refused, Rejected, Served
-from minthitch.engine.counts import Counts, Figures
+from minthitch.engine.counts import Counts, NodeMetrics
 from minthitch.net.door import ACCEPT_ON, AWAY_LINGER, KEEP_ON, SUCCEEDED_LINGER, Door, State
 from minthitch.net.node import Node
 from minthitch.net.succession import Succession
@@ -36,8 +36,8 @@
     def ready(self) -> bool:
         return self.up and self.door.open
 
-    def figures(self) -> Figures:
-        return Figures(("a", 'b"\\'), self.counts, 7, 5, 1)
+    def metrics(self) -> NodeMetrics:
+        return NodeMetrics(("a", 'b"\\'), self.counts, 7, 5, 1)
 
     def send_away(self) -> str:
         return self.door.send_away(1.0)
@@ -75,7 +75,7 @@
     ]
     assert all("\n" not in text for text in said)
     assert node.ready()  # the call with a word too many changed nothing
-    assert "'halt'" in said[7] and all(name in said[7] for name in CALLS)
+    assert "'halt'" in said[7] and all(name in said[7] for name in COMMANDS)
 
 
 def test_figures_name_each_class_and_end_with_a_line_of_their_own() -> None:
@@ -143,13 +143,13 @@
 
 
 async def _desk() -> None:
-    desk = Desk(Desked(), lambda text: None)
+    desk = AdminListener(Desked(), lambda text: None)
     await desk.start("127.0.0.1", 0)
-    silent = [await asyncio.open_connection("127.0.0.1", desk.port) for _ in range(3 * MOST_CONNECTIONS)]
+    silent = [await asyncio.open_connection("127.0.0.1", desk.port) for _ in range(3 * MAX_CONNECTIONS)]
     assert await _visit(desk.port, b"ready\n") == b"done ready\n"
-    assert len(desk.visits) <= MOST_CONNECTIONS
+    assert len(desk.connections) <= MAX_CONNECTIONS
     assert (await _visit(desk.port, b"show-stat\nmore\n")).endswith(b"\nend\n")
-    assert (await _visit(desk.port, b"x" * (MOST_LINE + 1))).startswith(b"error ")
+    assert (await _visit(desk.port, b"x" * (MAX_LINE_BYTES + 1))).startswith(b"error ")
     for _, writer in silent:
         writer.close()
     desk.close()
@@ -170,19 +170,19 @@
         for cls in ("unsafe", "unsafe", "safe"):
             await r.ask(call(cls))
         await r.ask(call("unsafe").replace(b"POST", b"GET", 1))
-        figures = r.node.figures()
+        metrics = r.node.metrics()
         counts = dict(
             zip(
-                figures.classes,
-                zip(figures.counts.served, figures.counts.refused, figures.counts.failed, strict=True),
+                metrics.classes,
+                zip(metrics.counts.served, metrics.counts.refused, metrics.counts.failed, strict=True),
                 strict=True,
             )
         )
         assert counts["unsafe"] == (1, 0, 2) and counts["safe"] == (1, 0, 0)
-        assert figures.counts.sends == len(r.sends) == 3
-        assert (figures.inflight, figures.listed, figures.down) == (0, 2, 0)
+        assert metrics.counts.sends == len(r.sends) == 3
+        assert (metrics.inflight, metrics.listed, metrics.down) == (0, 2, 0)
         r.discovery.change({**r.discovery.hosts[0], "health": "draining"})
-        await r.until(lambda: r.node.figures().down == 1)
+        await r.until(lambda: r.node.metrics().down == 1)
 
 
 def test_the_figures_are_what_the_peers_saw() -> None:
--- a/tests/test_operatorfile.py
+++ b/tests/test_operatorfile.py
@@ -37,7 +37,7 @@
 def test_what_is_left_out_has_a_default() -> None:
     config = operatorfile.from_table(GOOD)
     assert config.settings.max_open == 1_000 and config.settings.retry_after
-    assert config.listen == operatorfile.NOWHERE and config.sockets == 1024
+    assert config.listen == operatorfile.NO_LISTEN_ADDRESS and config.sockets == 1024
     assert (
         operatorfile.from_table({**GOOD, "classes": [{"name": "buy", "aim": "1s", "deadline": "1s"}]})
         .settings.classes[0]
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -72,7 +72,7 @@
 def test_each_request_gets_one_answer(
     data: bytes, status: int, words: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(listener_module, "ANSWER_WITHIN", 0.1)
+    monkeypatch.setattr(listener_module, "ANSWER_TIMEOUT_S", 0.1)
 
     async def play(made: Listener) -> None:
         got, body = await ask(made.port, data)
@@ -86,12 +86,12 @@
 
 
 def test_connections_are_bounded_and_silent_ones_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(listener_module, "READ_WITHIN", 0.2)
+    monkeypatch.setattr(listener_module, "READ_TIMEOUT_S", 0.2)
 
     async def play(made: Listener) -> None:
         silent = [
             await asyncio.open_connection("127.0.0.1", made.port)
-            for _ in range(listener_module.MOST_CONNECTIONS)
+            for _ in range(listener_module.MAX_CONNECTIONS)
         ]
         async with asyncio.timeout(PATIENCE):
             while made.connections < len(silent):
--- a/tests/test_powerloss.py
+++ b/tests/test_powerloss.py
@@ -18,8 +18,8 @@
 from rigs.cluster.powerloss import DEADLINES, MAKE, TABLE, UNSAFE_CLASSES, WANTS
 from rigs.cluster.relay import BACK, TO, Link
 from rigs.cluster.schedule import Fault, ScheduleError, draw, fewest, read
-from tests.fleet import IO, Crew, Machine
 from tests.rules import KEYED_CELL, SAFE, UNSAFE, settings
+from tests.simulated_fleet import IO_TIME, SimulatedFleet, SimulatedServer
 from tests.test_node import run
 
 WARM = 20.0  # calls a second that a warm server of the pure tests serves
@@ -39,10 +39,12 @@
     )
 
 
-def cold_crew(seed: int, nodes: int, servers: int, siblings: int, setup: Settings | None = None) -> Crew:
+def cold_crew(
+    seed: int, nodes: int, servers: int, siblings: int, setup: Settings | None = None
+) -> SimulatedFleet:
     """Nodes that have just started, and have just heard of servers that have, too."""
-    made = Crew(setup or cold_settings(siblings), nodes, {}, seed)
-    made.machines.update({n: Machine(WARM, made.now) for n in range(1, servers + 1)})
+    made = SimulatedFleet(setup or cold_settings(siblings), nodes, {}, seed)
+    made.machines.update({n: SimulatedServer(WARM, made.now) for n in range(1, servers + 1)})
     made.tell(
         ListKind.FULL, tuple(ServerEntry(n, zone=n % 2, cell=n % 4, started=made.now) for n in made.machines)
     )
@@ -65,7 +67,7 @@
     asked, served = fleet.requests, fleet.served
     fleet.run(5 * SECOND, SHARE * WARM * servers, CLASSES)
     assert fleet.served - served >= part * (fleet.requests - asked)
-    assert not any(fleet.pushed_over(n) for n in fleet.machines)
+    assert not any(fleet.cold_overloads(n) for n in fleet.machines)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -75,7 +77,7 @@
     fleet = cold_crew(seed, 20, 30, int(20 * told))
     fleet.run(9 * SECOND, 10 * SHARE * WARM * 30, CLASSES)
     assert fleet.served > 0
-    assert not any(fleet.pushed_over(n) for n in fleet.machines)
+    assert not any(fleet.cold_overloads(n) for n in fleet.machines)
 
 
 def test_what_is_too_much_for_cold_servers_is_refused_at_once() -> None:
@@ -90,7 +92,7 @@
     asked, served = fleet.requests, fleet.served
     fleet.run(4 * SECOND, 0.5 * WARM * 12, CLASSES)
     assert fleet.served - served >= 0.9 * (fleet.requests - asked), "warm, and no queue from before"
-    fleet.run(4 * SECOND + IO, 1.0, CLASSES)
+    fleet.run(4 * SECOND + IO_TIME, 1.0, CLASSES)
     assert not any(held for node in fleet.nodes for held in node.balancer.held), "the count is given back"
 
 
@@ -117,7 +119,7 @@
     fleet = cold_crew(seed, 20, 30, 20)
     for there in range(2, 22, 2):  # two more a second
         fleet.run(SECOND, 0.7 * WARM * 30, CLASSES, among=there)
-    assert not any(fleet.pushed_over(n) for n in fleet.machines)
+    assert not any(fleet.cold_overloads(n) for n in fleet.machines)
     asked, served = fleet.requests, fleet.served
     fleet.run(3 * SECOND, 0.7 * WARM * 30, CLASSES)
     assert fleet.served - served >= 0.8 * (fleet.requests - asked), "whole again behind the last"
@@ -130,7 +132,7 @@
     fleet.tell(ListKind.FULL, tuple(ServerEntry(n, cell=n % 4, started=later) for n in fleet.machines))
     fleet.run(8 * SECOND, 3 * SHARE * WARM * 12, CLASSES)
     assert fleet.served >= 0.5 * SHARE * WARM * 12 * 8
-    assert not any(fleet.pushed_over(n) for n in fleet.machines)
+    assert not any(fleet.cold_overloads(n) for n in fleet.machines)
 
 
 # The rig's own parts ----------------------------------------------------------------------------
--- a/tests/test_record_keeper.py
+++ b/tests/test_record_keeper.py
@@ -48,7 +48,7 @@
         self.path, self.faults = path, Faults()
         loop = asyncio.get_running_loop()
         self.engine = Engine(SETTINGS, 1, LoopClock(loop), lambda text: None)
-        self.carrier = self.engine.carrier = HandCarrier()
+        self.carrier = self.engine.transport = HandCarrier()
         self.engine.listed(static_listing(["127.0.0.1:1", "127.0.0.1:2"]), ListKind.CACHED)
         self.keeper: RecordKeeper | None = None
 
@@ -61,7 +61,7 @@
         terms = Terms(name, epoch, intent_within=400 * MILLISECOND, answer_within=200 * MILLISECOND)
         life = Life(terms, self.engine.clock.now() + terms.lease)
         self.keeper = RecordKeeper(self.engine, life, self.writer, {2: need}, b"X-Sale-Id")
-        self.engine.keeper = self.keeper
+        self.engine.recorder = self.keeper
 
     def _came(self, results: Results) -> None:
         if self.keeper is not None:
@@ -79,7 +79,7 @@
     ) -> tuple[Asker, Request]:
         asker = Asker()
         fields = [(b"X-Sale-Id", sale.encode())] if sale else []
-        call = Call(identity.encode(), cls, Message(b"POST", b"/tickets", fields, body), left=left)
+        call = Call(identity.encode(), cls, Message(b"POST", b"/tickets", fields, body), time_left=left)
         return asker, self.engine.admit(asker, call)
 
     async def until(self, ready: Callable[[], object]) -> None:
@@ -142,7 +142,7 @@
         asker, _ = n.ask("a", cls=0)
         assert len(n.carrier.attempts) >= 1  # at once
         n.carrier.attempts[0].end(Status.OK, Served(b"x"))
-        assert asker.words == ["Served"] and n.writer.writes == 0 and not n.engine.untold
+        assert asker.words == ["Served"] and n.writer.writes == 0 and not n.engine.held_answers
         assert n.keeper is not None and not n.keeper.requests and not n.keeper.life.calls
 
 
@@ -164,7 +164,7 @@
             await old.until(lambda: late.heard)
             assert late.words == ["Refused"] and len(old.carrier.attempts) == 1
             old.carrier.attempts[0].end(Status.OK, Served(b"ticket"))
-            await old.until(lambda: not old.engine.untold)
+            await old.until(lambda: not old.engine.held_answers)
             record = new.look("sale-1")
             assert record is not None and record.state is State.DOUBT
             store = SqliteStore(path)
@@ -328,7 +328,7 @@
     async with node(path) as n:
         asker, request = n.ask("a", "sale-1")
         await n.sent()
-        n.engine.leave(request)
+        n.engine.abandon(request)
         await n.until(lambda: (r := n.look("sale-1")) is not None and r.state is State.FAILED)
         assert not asker.heard and n.keeper is not None
         await n.until(lambda: n.keeper is not None and not n.keeper.life.calls)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -38,8 +38,8 @@
 from rigs.cluster.play import play
 from rigs.cluster.powerloss import MAKE, TABLE, WANTS
 from rigs.process import free_port
-from tests.fleet import Crew, Machine
 from tests.rules import CLASSES, SAFE, settings
+from tests.simulated_fleet import SimulatedFleet, SimulatedServer
 from tests.test_cli import command
 from tests.test_node import run
 from tests.test_operatorfile import GOOD
@@ -257,16 +257,16 @@
         KEPT, rate=per_second, wall=wall, siblings=siblings, kinds={"k": Times(trials, 1e12, trials, time)}
     )
     found = judge(kept, Now("lahore", "", THEN, 0), SETUP, Terms())
-    node = Crew(SETUP, 1, {}, 1).nodes[0]
+    node = SimulatedFleet(SETUP, 1, {}, 1).nodes[0]
     recollect(node.balancer, node.now, found, lambda name: 0)
     assert 0 <= rate(node.balancer, node.now) <= 1e6
     assert all(t.trials <= 4.0 + 1e-6 and t.hits <= t.trials for t in found.kinds.values())
 
 
-def after_a_loss(seed: int, off: float | None) -> Crew:
+def after_a_loss(seed: int, off: float | None) -> SimulatedFleet:
     """Two seconds of a cold fleet whose nodes keep `off` times what they knew; None: they know nothing."""
-    machines = {n: Machine(20.0) for n in range(1, 13)}
-    before = Crew(settings(siblings=6, idle_close=30 * SECOND), 6, machines, seed)
+    machines = {n: SimulatedServer(20.0) for n in range(1, 13)}
+    before = SimulatedFleet(settings(siblings=6, idle_close=30 * SECOND), 6, machines, seed)
     before.tell(ListKind.FULL, tuple(ServerEntry(n, cell=n % 4) for n in before.machines))
     before.run(6 * SECOND, 0.6 * 20.0 * 12)
     fleet = cold_crew(seed, 6, 12, 6)
@@ -291,7 +291,7 @@
             fleet = after_a_loss(seed, off)
             served[off] += fleet.served
             fleet.run(6 * SECOND, 3 * 20.0 * 12, (SAFE,))
-            assert not any(fleet.pushed_over(n) for n in fleet.machines), (off, seed)
+            assert not any(fleet.cold_overloads(n) for n in fleet.machines), (off, seed)
     assert served[1.0] > 1.1 * served[None], served
 
 
--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -132,7 +132,7 @@
 async def _unread_bytes() -> None:
     async with rig(serve_ok) as r:
         assert (await r.ask(call("unsafe")))[0] == 200
-        server = next(iter(r.node.engine.fleet.servers.values()))
+        server = next(iter(r.node.engine.server_table.by_name.values()))
         kept = r.node.pool.kept[server][0]
         assert kept.transport is not None
         kept.transport.pause_reading()  # as when the loop has not come to it yet
@@ -241,7 +241,7 @@
         assert (await one.answer())[0] == 200
         assert len(r.sends) == 1
         assert (await one.ask(data))[0] == 200  # it is free again
-        assert not r.node.engine.ids
+        assert not r.node.engine.open_ids
 
 
 def test_the_id_of_another_open_request_is_turned_away() -> None:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -175,14 +175,14 @@
         await r.discovery.watches(1)
         assert r.discovery.targets == ["/v1/endpoints?watch=1&after=7"]  # from the known list's version
         r.discovery.change(dict(r.discovery.hosts[0], health="draining"))
-        await r.until(lambda: r.node.engine.fleet.seq == 2)
+        await r.until(lambda: r.node.engine.server_table.seq == 2)
         r.discovery.hosts[0]["health"] = "draining"
         r.discovery.writers[0].transport.abort()
         await r.discovery.watches(2)
         assert r.discovery.targets[1] == "/v1/endpoints?watch=1&after=2"
         assert (await r.ask(call("safe")))[0] == 200
         r.discovery.change(dict(r.discovery.hosts[1], health="removed"))
-        await r.until(lambda: list(r.node.engine.fleet.servers) == ["s0"])
+        await r.until(lambda: list(r.node.engine.server_table.by_name) == ["s0"])
 
 
 def test_a_watch_that_ends_is_opened_again_from_where_it_was() -> None:
@@ -207,11 +207,11 @@
     async def bad() -> None:
         async with rig(serve_ok) as r:
             await r.discovery.watches(1)
-            await r.until(lambda: r.node.engine.fleet.seq == 1)
+            await r.until(lambda: r.node.engine.server_table.seq == 1)
             r.discovery.send(r.discovery.writers[0], line)
             await r.discovery.watches(2)
             assert "watch: " in capfd.readouterr().err
-            assert list(r.node.engine.fleet.servers) == ["s0"]
+            assert list(r.node.engine.server_table.by_name) == ["s0"]
             assert (await r.ask(call("safe")))[0] == 200
 
     run(bad)
--- a/tests/test_silent_discovery.py
+++ b/tests/test_silent_discovery.py
@@ -119,13 +119,13 @@
     @property
     def told(self) -> float:
         """When the node heard that the server drains, in seconds; 0 for never."""
-        server = self.engine.fleet.servers.get("s0")
-        return server.told / SECOND if server is not None else 0.0
+        server = self.engine.server_table.by_name.get("s0")
+        return server.withdrawn_at / SECOND if server is not None else 0.0
 
     def look(self) -> None:
         """Notes whether an attempt that was decided before, and connects still, might be written now."""
         request = cast(Request, SimpleNamespace(over=False, deadline=60 * SECOND))
-        server = self.engine.fleet.servers.get("s0")
+        server = self.engine.server_table.by_name.get("s0")
         self.writes.append(server is not None and self.engine.may_write(request, server))
 
 
