--- a/minthitch/__init__.py
+++ b/minthitch/__init__.py
@@ -1,12 +1,12 @@
 """minthitch: load balancing for services that call services, as a node or in your own service.
 
-What stands here is the public surface and stays. Names are loaded when first used, so that the node
-and the simulator's adapter load no library.
+These names are the public API and stay stable. Each is imported on first use, so that the node and the
+simulator's adapter load no library.
 """
 
 from __future__ import annotations
 
-TYPE_CHECKING = False  # typing itself is not loaded for it
+TYPE_CHECKING = False  # avoids importing typing
 if TYPE_CHECKING:
     from typing import Any
 
@@ -36,7 +36,7 @@
     "Settings",
     "configure",
 ]
-_HOMES = {
+_NAMES = {
     "minthitch.config": ("Config", "ConfigError"),
     "minthitch.embedded.client": ("BlockingClient", "Client", "configure"),
     "minthitch.embedded.errors": ("BadCall", "ClientClosed", "ClientError"),
@@ -44,15 +44,15 @@
     "minthitch.interface": ("Effect", "Group", "RequestClass", "Settings"),
     "minthitch.policy": ("Balancer",),
 }
-_HOME_OF = {name: module for module, names in _HOMES.items() for name in names}
+_MODULE_OF = {name: module for module, names in _NAMES.items() for name in names}
 
 
 def __getattr__(name: str) -> Any:
-    if name not in _HOME_OF:
+    if name not in _MODULE_OF:
         raise AttributeError(f"module 'minthitch' has no attribute {name!r}")
     from importlib import import_module
 
-    return getattr(import_module(_HOME_OF[name]), name)
+    return getattr(import_module(_MODULE_OF[name]), name)
 
 
 def __dir__() -> list[str]:
--- a/minthitch/__main__.py
+++ b/minthitch/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m minthitch`: one node, told what it is by the file named in BALANCER_CONFIG; or a command."""
+"""`python -m minthitch`: a node configured by the file in BALANCER_CONFIG, or a command."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 def main() -> int:
     if len(sys.argv) > 1:
-        from minthitch.cli.commands import main as command  # not needed, and not loaded, on the platform
+        from minthitch.cli.commands import main as command  # not loaded for a node
 
         return command(sys.argv[1:])
     path = os.environ.get("BALANCER_CONFIG")
--- a/minthitch/admin/__init__.py
+++ b/minthitch/admin/__init__.py
@@ -1,1 +1,1 @@
-"""What staff ask of a running node: one line in, an answer out. Loaded only where an address is given."""
+"""Admin commands to a running node, one line each. Loaded only if an address is configured."""
--- a/minthitch/admin/commands.py
+++ b/minthitch/admin/commands.py
@@ -1,4 +1,4 @@
-"""What is answered to a line of the staff's. No I/O: text in, text out, deeds by a port."""
+"""Executes admin commands. No I/O: text in, text out, through the protocol ManagedNode."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 class ManagedNode(Protocol):
-    """A node as its staff see it."""
+    """What the commands need of a node."""
 
     def ready(self) -> bool: ...
     def metrics(self) -> NodeMetrics: ...
     def send_away(self) -> str:
-        """Gives why not, or "" once the clients are being sent away."""
+        """Starts to close client connections. Returns the reason if it can't, else ""."""
 
     def take_back(self) -> str:
-        """Gives why not, or "" once clients are taken in again."""
+        """Accepts clients again. Returns the reason if it can't, else ""."""
 
 
 def answer(line: bytes, node: ManagedNode) -> str:
-    """The whole answer to one line, without its last newline. A line that is not known changes nothing."""
+    """Returns the answer to one line, without the last newline. Unknown commands change nothing."""
     words = line.decode("latin-1").split()
     if not words:
         return f"error an empty line; calls are {', '.join(COMMANDS)}"
--- a/minthitch/admin/listener.py
+++ b/minthitch/admin/listener.py
@@ -1,4 +1,4 @@
-"""The sockets round the desk: one line a connection, bounded in number, size and time."""
+"""Listener for admin commands: one line per connection, bounded in number, size and time."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from minthitch.config import ConfigError
 
 MAX_CONNECTIONS = 16
-MAX_LINE_BYTES = 1024  # bytes
-READ_TIMEOUT_S = 5.0  # seconds for a whole line
-WRITE_TIMEOUT_S = 5.0  # seconds for a caller to take the answer
+MAX_LINE_BYTES = 1024
+READ_TIMEOUT_S = 5.0  # for a complete line
+WRITE_TIMEOUT_S = 5.0  # for the client to read the answer
 
 
 class AdminConnection(asyncio.Protocol):
-    """One connection of the staff's."""
+    """One client connection."""
 
     def __init__(self, listener: AdminListener) -> None:
         self.listener = listener
@@ -48,7 +48,7 @@
     def _answer_line(self, line: bytes) -> None:
         try:
             self._reply(answer(line[:MAX_LINE_BYTES], self.listener.node))
-        except Exception as err:  # danger: a fault here must not end the node that serves callers
+        except Exception as err:  # a fault here must not stop the node
             self.listener.log(f"operators' call {line[:60]!r}: {type(err).__name__}: {err}")
             self._reply("error the call failed; the log has it")
 
@@ -60,12 +60,12 @@
 
 
 class AdminListener:
-    """Listens for staff. Danger: visitors that say nothing must not keep others out, nor take descriptors."""
+    """Listens for admin commands. Silent clients must not block others or use up file descriptors."""
 
     def __init__(self, node: ManagedNode, log: Callable[[str], None]) -> None:
         self.node, self.log = node, log
         self.loop = asyncio.get_running_loop()
-        self.connections: dict[AdminConnection, None] = {}  # the one that has waited for longest first
+        self.connections: dict[AdminConnection, None] = {}  # oldest first
         self.server: asyncio.Server | None = None
 
     async def start(self, host: str, port: int) -> None:
@@ -97,10 +97,10 @@
 async def open_admin_listener(
     where: tuple[str, int], node: ManagedNode, log: Callable[[str], None]
 ) -> AdminListener:
-    """A desk at work. Raises ConfigError where the address can't be bound."""
-    desk = AdminListener(node, log)
+    """Returns a started listener. Raises ConfigError if the address can't be bound."""
+    listener = AdminListener(node, log)
     try:
-        await desk.start(*where)
+        await listener.start(*where)
     except OSError as err:
         raise ConfigError(f"admin = {where[0]}:{where[1]}: {err.strerror or err}") from None
-    return desk
+    return listener
--- a/minthitch/admin/metrics.py
+++ b/minthitch/admin/metrics.py
@@ -1,4 +1,4 @@
-"""The node's metrics as lines of text. No I/O; the names are the operators' own."""
+"""Formats a node's metrics as lines of text, under the operators' names. No I/O."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def lines(metrics: NodeMetrics) -> Iterator[str]:
-    """One figure a line; counts carry the class they are of."""
+    """Yields one metric per line; counts are labelled with their class."""
     counts = metrics.counts
     for name, table in (("success", counts.served), ("busy", counts.refused), ("failure", counts.failed)):
         for cls, count in zip(metrics.classes, table, strict=True):
--- a/minthitch/config.py
+++ b/minthitch/config.py
@@ -1,4 +1,4 @@
-"""The configuration of a node, from JSON as the platform gives it. One error line: key and value."""
+"""Configuration of a node, from JSON. An error is one line with key and value."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 NO_SERVERS = Listing(0, True, ())
 MAX_SOCKETS = 1024
-MAX_MEMORY_BYTES = 192 * 1024 * 1024  # bytes, where nothing else is said
+MAX_MEMORY_BYTES = 192 * 1024 * 1024  # also the default
 MIB = 1024 * 1024
 
 
 class ConfigError(Exception):
-    """A configuration that can't be used; the text is one plain line."""
+    """An invalid configuration; the text is one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class RecordConfig:
-    """The store of record, where one is wanted. Times in ns."""
+    """Settings of the store of record. Times in ns."""
 
-    store: str  # a file's path
-    identity: str  # the field that names a sale
-    required: frozenset[str]  # classes that are not sent without a durable intent
-    best_effort: frozenset[str]  # classes that are sent all the same
+    store: str  # path of a file, or a postgresql:// URL
+    identity: str  # header field with the identity of a request
+    required: frozenset[str]  # classes sent only after a durable intent
+    best_effort: frozenset[str]  # classes sent even if the intent can't be stored
     intent_within: int = 250 * api.MILLISECOND
     answer_within: int = 250 * api.MILLISECOND
     lease: int = 10 * api.SECOND
@@ -40,21 +40,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveryConfig:
-    """What a node keeps for the time after a crash, where it does. Times in ns."""
+    """Settings of the snapshots used after a crash. Times in ns."""
 
     folder: str
-    cluster: str  # the installation's name: snapshots of another are not used
+    cluster: str  # name of the installation; snapshots of others are ignored
     every: int = 5 * api.SECOND
-    keep_for: int = 86_400 * api.SECOND  # how long what was learned is good for
-    lists_for: int = 0  # how long a kept list is; 0: within the grace only
-    peers: tuple[tuple[str, int], ...] = ()  # other nodes' operators' listeners
-    ask_within: int = 500 * api.MILLISECOND  # for their answers
-    ready_within: int = 0  # how long `/ready` waits for a server that takes connections; 0: it does not
+    keep_for: int = 86_400 * api.SECOND  # how long learned values stay valid
+    lists_for: int = 0  # how long a kept list stays valid; 0: within the grace only
+    peers: tuple[tuple[str, int], ...] = ()  # operators' listeners of other nodes
+    ask_within: int = 500 * api.MILLISECOND  # timeout for their answers
+    ready_within: int = 0  # how long `/ready` waits for a server that accepts connections; 0 = no wait
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """What a node is told. `discovery` is "" where the list is `known` and stays so."""
+    """Configuration of a node. With `discovery` "", the list `known` is fixed."""
 
     name: str
     listen: tuple[str, int]
@@ -65,10 +65,10 @@
     settings: api.Settings
     record: RecordConfig | None = None
     recovery: RecoveryConfig | None = None
-    operators: tuple[str, int] | None = None  # where operators ask; None = no such listener
-    admin: tuple[str, int] | None = None  # where staff call, one line a connection; None = nowhere
+    operators: tuple[str, int] | None = None  # address of the operators' pages; None = none
+    admin: tuple[str, int] | None = None  # address of the admin commands; None = none
     memory: int = MAX_MEMORY_BYTES  # bytes for the process
-    handover: str = ""  # folder where a process that replaces another finds it; "" = none is replaced
+    handover: str = ""  # folder in which a replacing process finds the old one; "" = off
 
 
 def _text(table: Mapping[str, Any], name: str, environ: Mapping[str, str]) -> str:
@@ -79,7 +79,7 @@
 
 
 def load_object(path: str | os.PathLike[str]) -> dict[str, Any]:
-    """A file's JSON object. Raises ConfigError."""
+    """Reads a JSON object from a file. Raises ConfigError."""
     try:
         with open(path, encoding="utf-8") as file:
             table = json.load(file)
@@ -91,7 +91,7 @@
 
 
 def known_servers(table: Mapping[str, Any]) -> Listing:
-    """The list in a configuration: `servers` (addresses, for good) or `known` (a list that may be old)."""
+    """Returns the list: `servers` (fixed addresses) or `known` (a list that may be outdated)."""
     addresses = table.get("servers")
     if addresses is None:
         return parse_listing(table["known"]) if table.get("known") else NO_SERVERS
@@ -135,7 +135,7 @@
 
 
 def from_table(table: Mapping[str, Any], environ: Mapping[str, str]) -> Config:
-    """A node's configuration from its decoded JSON. Raises ConfigError."""
+    """Builds a node's configuration from decoded JSON. Raises ConfigError."""
     sockets = socket_limit(table)
     try:
         discovery = "" if "servers" in table else _text(table, "discovery", environ)
@@ -158,5 +158,5 @@
 
 
 def read_config(path: str | os.PathLike[str]) -> Config:
-    """A node's configuration from its file. Raises ConfigError."""
+    """Reads a node's configuration from a file. Raises ConfigError."""
     return from_table(load_object(path), os.environ)
--- a/minthitch/engine/__init__.py
+++ b/minthitch/engine/__init__.py
@@ -1,7 +1,7 @@
-"""The transport-neutral host of one Balancer: requests, attempts, timers, lists and the end of life.
+"""Transport-neutral host of one Balancer: requests, attempts, timers, server lists and draining.
 
-It knows an asker, a carrier of attempts and a source of lists by the protocols in `ports`, and no
-parser, socket or file. Fronts and carriers stand beside each other on it.
+It reaches requesters, transports and list sources through protocols only (see `ports`), and uses no parser,
+socket or file. Several front ends and transports share it.
 """
 
 from typing import TYPE_CHECKING
@@ -43,7 +43,7 @@
 
 
 def __getattr__(name: str) -> object:
-    """The engine itself brings all decisions with it: programs that take only parts don't pay for them."""
+    """Imports the engine on first use: it loads all decisions, which users of other parts don't need."""
     if name == "Engine":
         from minthitch.engine.core import Engine
 
--- a/minthitch/engine/attempts.py
+++ b/minthitch/engine/attempts.py
@@ -1,4 +1,4 @@
-"""A request that was taken, and each send of it to a server, which ends once, with an exact outcome."""
+"""An admitted request and its attempts: each is one send to a server and ends once, with one status."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 class Requester(Protocol):
-    """Who asked: hears one answer to each call, perhaps before `Engine.admit` has returned."""
+    """Receives one answer to each call, possibly before `Engine.admit` has returned."""
 
     def answer(self, call: Call, answer: Answer) -> None: ...
 
 
 class AttemptHandle(Protocol):
-    """An attempt as its carrier holds it: dropped when the engine gives it up."""
+    """The transport's handle on an attempt; the engine drops it when the attempt ends."""
 
     def drop(self) -> None: ...
 
 
 class AttemptOwner(Protocol):
-    """What an attempt needs of the engine that decided it."""
+    """What an attempt needs from its engine."""
 
     @property
     def clock(self) -> Clock: ...
@@ -34,7 +34,7 @@
 
 
 class Request:
-    """A request that was taken, until it is answered and its last attempt has ended."""
+    """An admitted request, kept until it is answered and its last attempt has ended."""
 
     __slots__ = (
         "number",
@@ -58,14 +58,14 @@
             spec,
             deadline,
         )
-        self.attempts: list[Attempt | None] = []  # None: one that never left
+        self.attempts: list[Attempt | None] = []  # None: not started
         self.in_flight = 0
-        self.closed = False  # answered, or its asker has gone
+        self.closed = False  # answered, or the requester has left
         self.timer: Timer | None = None
 
 
 class Attempt:
-    """What a carrier is given: it sets `carried`, asks `may_write` before it writes, calls `end` once."""
+    """One send, given to a transport, which sets `handle`, checks `may_write` before writing, calls `end`."""
 
     __slots__ = (
         "engine",
@@ -82,9 +82,7 @@
 
     def __init__(self, engine: AttemptOwner, request: Request, index: int, server: Server) -> None:
         self.engine, self.request, self.index, self.server = engine, request, index, server
-        self.at_most_once = (
-            request.spec.effect is api.Effect.UNSAFE
-        )  # may not go out again once it may have run
+        self.at_most_once = request.spec.effect is api.Effect.UNSAFE  # no retry once it may have run
         self.started = engine.clock.now()
         self.status: api.Status | None = None
         self.answer: Served | None = None
@@ -97,7 +95,7 @@
 
     @property
     def time_left(self) -> int:
-        """Nanoseconds until the request's deadline, 0 at least."""
+        """Nanoseconds until the request's deadline, at least 0."""
         return max(self.request.deadline - self.engine.clock.now(), 0)
 
     def may_write(self) -> bool:
@@ -106,21 +104,21 @@
 
     @property
     def may_stream(self) -> bool:
-        """Whether `end` may be given an answer with a rest that is still to come."""
+        """Whether `end` may get an answer whose body is not complete yet."""
         return self.engine.may_stream(self.request)
 
     def wrote(self) -> None:
-        """Its last byte has left for the server; told once by its carrier."""
+        """Called once by the transport when the request's last byte has been written."""
         self.engine.attempt_written()
 
     def end(self, status: api.Status, answer: Served | None = None) -> None:
-        """Ends the attempt, once; what its carrier still holds of it is dropped."""
+        """Ends the attempt and drops the transport's handle. Later calls do nothing."""
         if self.status is not None:
             return
         self.status, self.answer = status, answer
         if self.timer is not None:
             self.timer.cancel()
-        carried, self.handle = self.handle, None
-        if carried is not None:
-            carried.drop()  # danger: an answer to a given-up attempt must not meet the next request
+        handle, self.handle = self.handle, None
+        if handle is not None:
+            handle.drop()  # a late answer must not reach the connection's next request
         self.engine.attempt_ended(self)
--- a/minthitch/engine/calls.py
+++ b/minthitch/engine/calls.py
@@ -1,4 +1,4 @@
-"""What is asked and what is answered, as values that belong to no transport."""
+"""Calls and answers as values, independent of any transport."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 from minthitch.engine.stream import Stream
 from minthitch.interface import SECOND
 
-Fields = tuple[tuple[bytes, bytes], ...]  # names in lower case or as they came, values
+Fields = tuple[tuple[bytes, bytes], ...]  # (name, value); names in lower case or as received
 
 
 class Rejected(Exception):
-    """A call that is not taken: `status` in HTTP's terms, and what the log says. Nothing of it was sent."""
+    """A call that is not admitted: an HTTP status and a text for the log. Nothing was sent."""
 
     def __init__(self, status: int, text: str, retry_after: int = 0) -> None:
         super().__init__(text)
         self.status = status
-        self.retry_after = retry_after  # ns after which asking again makes sense; 0 = not stated
+        self.retry_after = retry_after  # ns after which to retry; 0 = not stated
 
     @property
     def is_refusal(self) -> bool:
-        """Whether it tells its sender that trying again is harmless."""
+        """Whether the status tells the sender that a retry is safe."""
         return self.status in (429, 503)
 
 
 class Message:
-    """A request as it goes on to a server, without the time that is left."""
+    """A request as forwarded to a server, without the header for the remaining time."""
 
     __slots__ = ("method", "target", "fields", "body")
 
@@ -38,7 +38,7 @@
 
 
 class Call:
-    """A call to the engine: who it is, what the decisions need to know of it, and its message."""
+    """A call to the engine: its ID, what the decisions need to know about it, and its message."""
 
     __slots__ = (
         "identity",
@@ -67,17 +67,15 @@
         repeat: bool = False,
     ) -> None:
         self.identity, self.cls, self.message = identity, cls, message
-        self.time_left = (
-            time_left  # ns that the asker waits, counted from `heard`; None = the class's deadline
-        )
-        self.received_at = received_at  # when its last byte came, on the monotonic clock; 0 = now
+        self.time_left = time_left  # ns from `received_at` to the deadline; None = that of the class
+        self.received_at = received_at  # when its last byte arrived, monotonic ns; 0 = now
         self.tenant, self.key, self.cost, self.repeat = tenant, key, cost, repeat
-        self.accepts_stream = False  # whether its asker takes a long answer in parts, as they come
+        self.accepts_stream = False  # whether the requester accepts a streamed answer
 
 
 @dataclass(frozen=True, slots=True)
 class Served:
-    """A server's good answer, unchanged. Where there is a `rest`, `body` is the first part."""
+    """A server's successful answer, unchanged. With `rest`, `body` is only the first part."""
 
     body: bytes = b""
     fields: Fields = ()
@@ -90,20 +88,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Not done, and trying again is harmless."""
+    """The request was not executed; a retry is safe."""
 
     retry_after_ns: int = 0
     reason: str = ""
 
     @property
     def retry_after(self) -> float:
-        """Seconds after which asking again makes sense; 0.0 = not stated."""
+        """Seconds after which to retry; 0.0 = not stated."""
         return self.retry_after_ns / SECOND
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """Nothing is promised about the effect: it may have run."""
+    """Failed; the request may have been executed."""
 
     reason: str = ""
 
--- a/minthitch/engine/clock.py
+++ b/minthitch/engine/clock.py
@@ -1,4 +1,4 @@
-"""Time for the engine: monotonic nanoseconds, and timers that never come early."""
+"""Clock of the engine: monotonic nanoseconds, and timers that never fire early."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 from minthitch.interface import SECOND
 
-MIN_DELAY_S = 0.001  # seconds: the loop's own resolution
-MIN_COMPACT_SIZE = 1_000  # timers from which cancelled ones are thrown out once they are more than half
+MIN_DELAY_S = 0.001  # the loop's resolution
+MIN_COMPACT_SIZE = 1_000  # timers; from here on, cancelled ones are removed once they are over half
 
 
 class Timer(Protocol):
@@ -19,7 +19,7 @@
 
 
 class Clock(Protocol):
-    """Monotonic and wall time in ns, and calls at a time."""
+    """Monotonic and wall time in ns, and timers."""
 
     def now(self) -> int: ...
     def wall(self) -> int: ...
@@ -35,23 +35,23 @@
 
     def cancel(self) -> None:
         if self.call is not None:
-            self.call = None  # what it held is free now, though its place in the heap stays for a while
+            self.call = None  # frees the callback now; the heap entry is removed later
             self.clock.cancelled += 1
             self.clock.compact()
 
 
 class LoopClock:
-    """The clock of an asyncio loop. All timers share one of the loop's, armed for the earliest.
+    """Clock of an asyncio loop. One loop timer, armed for the earliest deadline, serves all timers.
 
-    A request has three, most of them never due; a heap holds them for a tenth of what the loop's cost.
+    A request sets three timers and most never fire; a heap entry costs a tenth of a loop timer.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
         self.heap: list[tuple[int, int, _HeapTimer]] = []
-        self.count = self.cancelled = 0  # timers made so far; cancelled ones that are in the heap
+        self.count = self.cancelled = 0  # timers set so far; cancelled ones still in the heap
         self.handle: asyncio.TimerHandle | None = None
-        self.armed = 0  # for when
+        self.armed = 0  # time for which `handle` is set
 
     def now(self) -> int:
         return time.monotonic_ns()
@@ -60,7 +60,7 @@
         return time.time_ns()
 
     def at(self, when: int, call: Callable[[], None]) -> Timer:
-        """Calls at or after `when`, those for the same time in the order in which they were set."""
+        """Calls at or after `when`; timers for the same time fire in the order in which they were set."""
         timer = _HeapTimer(self, call)
         self.count += 1
         heapq.heappush(self.heap, (when, self.count, timer))
@@ -84,21 +84,22 @@
                 continue
             try:
                 call()
-            except Exception as err:  # danger: one fault would take the other timers with it
+            except Exception as err:  # a failing timer must not stop the others
                 self.loop.call_exception_handler({"message": "a timer failed", "exception": err})
-        # Danger: the loop rounds to milliseconds; a timer that comes early is ignored, and none follows.
+        # The loop rounds to milliseconds and may fire before the earliest timer is due: arm it again, or it
+        # would never fire.
         if self.heap and (self.handle is None or self.heap[0][0] < self.armed):
             self._arm(self.heap[0][0], MIN_DELAY_S)
 
     def compact(self) -> None:
-        """Danger: at a high rate the cancelled would fill the memory until they are due."""
+        """Removes cancelled timers: at a high request rate they would fill memory until they are due."""
         if len(self.heap) >= MIN_COMPACT_SIZE and 2 * self.cancelled > len(self.heap):
             self.heap = [entry for entry in self.heap if entry[2].call is not None]
             heapq.heapify(self.heap)
             self.cancelled = 0
 
     def close(self) -> None:
-        """Nothing more comes due."""
+        """Stops all timers."""
         if self.handle is not None:
             self.handle.cancel()
         self.heap.clear()
--- a/minthitch/engine/core.py
+++ b/minthitch/engine/core.py
@@ -1,6 +1,6 @@
-"""The host of one Balancer: numbers, timers, the table of attempts, and carrying out its actions.
+"""The host of one Balancer: request numbers, timers, the table of attempts, execution of its actions.
 
-Decides nothing. Events wait in one queue, so that the Balancer is never entered while it is at work.
+It makes no decisions. Events are queued, so that the Balancer is never reentered.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
 from minthitch.listing import Listing
 from minthitch.policy import Balancer
 
-HANDOVER_SHARE = 0.5  # part of the calls that a process serves beside the one that it replaces
-GRACE_DIVISOR = 2  # a drain may be heard half of its grace late: one in so many parts is left then
-RETRY_AFTER_RANGE = 0.04, 0.12  # one over the limit of open requests comes back after this part of its aim
+HANDOVER_SHARE = 0.5  # part of the calls served by each process while one replaces the other
+GRACE_DIVISOR = 2  # a drain may become known half of its grace late, which leaves this part
+RETRY_AFTER_RANGE = 0.04, 0.12  # retry-after over the limit of open requests, as part of the class's aim
 
 
 def retry_after_when_full(settings: api.Settings, spec: api.RequestClass, rng: random.Random) -> int:
-    """When one that is turned away for room may ask again, in ns; spread, or all would come together."""
+    """Random retry-after in ns when too many requests are open; at a fixed one all would retry together."""
     if not settings.retry_after:
         return 0
     return min(int(rng.uniform(*RETRY_AFTER_RANGE) * spec.aim), settings.max_retry_after)
 
 
 class Engine:
-    """One Balancer and all it needs of the world, by ports. Not thread-safe: it lives on one loop."""
+    """Runs one Balancer against its ports. Not thread-safe: it belongs to one event loop."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
     ) -> None:
         self.settings, self.clock, self.log, self.on_idle = settings, clock, log, on_idle
         self.balancer: Decider = decider or Balancer(settings, seed)
-        self.random = random.Random(seed ^ 2)  # for pauses; the Balancer has its own
+        self.random = random.Random(seed ^ 2)  # for retry-after times; the Balancer has its own
         self.server_table = ServerTable(settings)
         self.transport: Transport | None = None
         self.source: Source | None = None
@@ -56,18 +56,18 @@
         self.events: deque[api.Event] = deque()
         self.is_dispatching = False
         self.requests: dict[int, Request] = {}
-        self.open: dict[int, Request] = {}  # those that are not answered yet
-        self.held_answers: dict[int, tuple[Request, Answer]] = {}  # answers that the keeper holds up
-        self.open_ids: set[bytes] = set()  # the ids of the requests that are open
+        self.open: dict[int, Request] = {}  # not answered yet
+        self.held_answers: dict[int, tuple[Request, Answer]] = {}  # answers delayed by the recorder
+        self.open_ids: set[bytes] = set()  # IDs of open requests
         self.next_request = 1
         self.have_list = False
-        self.drain_deadline = 0  # while it drains: by when all is to be answered
+        self.drain_deadline = 0  # while draining: all requests are answered by then; 0 = not draining
 
     # Events and actions -------------------------------------------------------------------------
 
     def post(self, event: api.Event) -> None:
         self.events.append(event)
-        if self.is_dispatching:  # danger: the Balancer is at work and keeps its actions in one list
+        if self.is_dispatching:  # the Balancer is running and collects its actions in one list
             return
         self.is_dispatching = True
         try:
@@ -79,7 +79,7 @@
     def _handle(self, event: api.Event) -> None:
         try:
             actions = self.balancer.handle(self.clock.now(), event)
-        except Exception as err:  # danger: one bad decision must not leave its requester unanswered
+        except Exception as err:  # a failing decision must not leave its requester unanswered
             self.log_error(f"the decisions failed on {type(event).__name__}", err)
             number = getattr(event, "request", None)
             if number is not None and (request := self.requests.get(number)):
@@ -120,7 +120,7 @@
     # Requests -----------------------------------------------------------------------------------
 
     def admit(self, requester: Requester, call: Call, *, full: bool = False) -> Request:
-        """Takes a call; one answer follows by its deadline. Raises Rejected if it is refused at once."""
+        """Admits a call; one answer follows by its deadline. Raises Rejected if it is refused at once."""
         try:
             return self._take(requester, call, full)
         except Rejected as err:
@@ -129,16 +129,16 @@
 
     def _take(self, requester: Requester, call: Call, full: bool) -> Request:
         now, spec = self.clock.now(), self.settings.classes[call.cls]
-        if call.identity in self.open_ids:  # danger: servers would take the two for one
+        if call.identity in self.open_ids:  # servers would take the two for one request
             raise Rejected(409, "the id of an open request")
         if full or 0 < self.settings.max_open <= len(self.open):
             pause = retry_after_when_full(self.settings, spec, self.random)
             raise Rejected(503, "too many requests are open", pause)
-        # One that was pipelined has waited since its last byte came.
+        # A pipelined request has waited since its last byte arrived.
         deadline = (call.received_at or now) + min(
             spec.deadline if call.time_left is None else call.time_left, spec.deadline
         )
-        if self.drain_deadline:  # the decisions then end it in time, by a refusal where that is harmless
+        if self.drain_deadline:  # the decisions then end it in time, with a refusal if nothing ran
             deadline = min(deadline, self.drain_deadline)
         request = Request(self.next_request, requester, call, spec, deadline)
         self.next_request += 1
@@ -155,7 +155,7 @@
         return request
 
     def abandon(self, request: Request) -> None:
-        """The requester has gone: it hears nothing more, and nothing more is sent."""
+        """The requester has left: sends no further attempt and no answer."""
         if not request.closed:
             if self.recorder is not None:
                 self.recorder.requester_left(request)
@@ -163,7 +163,7 @@
             self.post(api.RequestGone(request.number))
 
     def resolve(self, request: Request, answer: Answer) -> None:
-        """The keeper's own answer, to a request of which nothing is out."""
+        """Answers a request on behalf of the recorder; no attempt of it is in flight."""
         if not request.closed:
             self._close(request)
             self._deliver(request, answer)
@@ -173,12 +173,12 @@
         for attempt in request.attempts:
             if attempt is not None:
                 attempt.end(api.Status.TIMEOUT)
-        if not request.closed:  # danger: a request that the Balancer still holds would never be answered
+        if not request.closed:  # a request still held by the Balancer would never be answered
             self._give_up(request, "out of time")
         self._forget(request)
 
     def _give_up(self, request: Request, reason: str) -> None:
-        """A failure, where no decision came: it promises nothing."""
+        """Answers with a failure if there is no decision; the request may have run."""
         self._answer(request, Failed(reason))
         for attempt in request.attempts:
             if attempt is not None:
@@ -196,7 +196,7 @@
         self._answer(request, Refused(pause, "not done"))
 
     def _answer(self, request: Request, answer: Answer) -> None:
-        if request.closed:  # danger: a second answer would pass for the next request's
+        if request.closed:  # a second answer would be taken for that to the next request
             return
         if self.recorder is not None and not self.recorder.may_answer(request, answer):
             self.held_answers[request.number] = (request, answer)
@@ -206,7 +206,7 @@
         self._deliver(request, answer)
 
     def release_answer(self, number: int) -> None:
-        """Gives the answer that the keeper held up."""
+        """Delivers an answer that the recorder delayed."""
         held = self.held_answers.pop(number, None)
         if held is not None:
             self._deliver(*held)
@@ -220,7 +220,7 @@
             rest.on_end = lambda complete: self.counts.stream_ended(cls, complete)
         try:
             request.requester.answer(request.call, answer)
-        except Exception as err:  # danger: a front's fault must not stop the others' answers
+        except Exception as err:  # a fault in one front end must not stop other answers
             self.log_error("an answer was not taken", err)
             if rest is not None:
                 rest.drop()
@@ -235,7 +235,7 @@
         if request.closed and not request.in_flight and request.timer is not None:
             self.requests.pop(request.number, None)
             request.timer.cancel()
-            request.attempts.clear()  # danger: in a circle its body would stay until the collector comes by
+            request.attempts.clear()  # breaks a reference cycle, which would keep the body until a collection
         self._check_idle()
 
     def _check_idle(self) -> None:
@@ -247,11 +247,11 @@
     def _send(self, action: api.Send) -> None:
         request, server = self.requests.get(action.request), self.server_table.by_number.get(action.server)
         if request is None:
-            self.log(f"a send for request {action.request}, which is over")
+            self.log(f"send ignored: request {action.request} has ended")
             return
         index = len(request.attempts)
-        barred = index >= self.settings.max_attempts or self.transport is None
-        if server is None or barred or not self.may_write(request, server):
+        cannot_start = index >= self.settings.max_attempts or self.transport is None
+        if server is None or cannot_start or not self.may_write(request, server):
             request.attempts.append(None)
             self.post(
                 api.AttemptEnded(request.number, index, action.server, api.Status.MOOT, 0, request.closed)
@@ -269,7 +269,7 @@
             self.transport.start(attempt)
 
     def release_attempt(self, attempt: Attempt) -> None:
-        """Lets a send go that the keeper held up, if it still may."""
+        """Starts an attempt that the recorder delayed, if it may still be sent."""
         if attempt.status is not None:
             return
         if self.transport is not None and attempt.may_write():
@@ -280,8 +280,8 @@
     def may_write(self, request: Request, server: Server) -> bool:
         """Whether bytes of the request may still go to the server, now.
 
-        Danger: where lists are pushed, a drain counts from when discovery had it, and the node may have heard
-        it later; what still connects may not use the whole grace from then on.
+        With pushed lists the grace of a drain starts when discovery learns of it, and the node may learn
+        of it later. So attempts may use only a part of the grace as seen by the node.
         """
         now = self.clock.now()
         drained = (
@@ -290,15 +290,15 @@
         return not request.closed and now < request.deadline and not drained
 
     def attempt_written(self) -> None:
-        """What `Attempt.wrote` tells."""
+        """Called by `Attempt.wrote`."""
         self.counts.sends += 1
 
     def may_stream(self, request: Request) -> bool:
-        """Whether an answer may be passed on before it is whole; what is kept on record may not."""
+        """Whether an answer may be passed on before it is complete. Recorded answers may not."""
         return request.call.accepts_stream and self.recorder is None
 
     def attempt_ended(self, attempt: Attempt) -> None:
-        """What `Attempt.end` tells."""
+        """Called by `Attempt.end`."""
         assert attempt.status is not None
         request = attempt.request
         request.in_flight -= 1
@@ -308,7 +308,7 @@
             self._answer(request, attempt.answer or Served())
         elif attempt.answer is not None and attempt.answer.rest is not None:
             attempt.answer.rest.drop()
-        attempt.answer = None  # danger: its body would stay until the last of a race has ended
+        attempt.answer = None  # frees the body; other attempts of the request may still run
         event = api.AttemptEnded(
             request.number,
             attempt.index,
@@ -328,13 +328,13 @@
                 attempt.end(api.Status.CANCELLED)
 
     def avoided(self) -> int:
-        """Servers of the list that get nothing now, or as good as nothing."""
-        told = sum(1 for server in self.server_table.by_name.values() if server.withdrawn_at)
+        """Number of listed servers that get no or almost no requests now."""
+        withdrawn = sum(1 for server in self.server_table.by_name.values() if server.withdrawn_at)
         balancer = self.balancer
-        return told + (balancer.avoided(self.clock.now()) if isinstance(balancer, Balancer) else 0)
+        return withdrawn + (balancer.avoided(self.clock.now()) if isinstance(balancer, Balancer) else 0)
 
     def export_learned(self) -> learned_state.Table:
-        """What the decisions have learned, for the process that replaces this one; {} if it can't be told."""
+        """Exports what the decisions have learned for a replacing process; {} if unsupported."""
         if not isinstance(self.balancer, Balancer):
             return {}
         servers = {server.number: server.identity for server in self.server_table.by_name.values()}
@@ -342,7 +342,7 @@
         return learned_state.export_state(self.balancer, self.clock.now(), servers, kinds)
 
     def restore_learned(self, table: learned_state.Table, last: bool) -> None:
-        """What the process before has learned; `last`: it ends, and its calls come here."""
+        """Imports what the replaced process has learned. `last`: it has ended, and its calls come here."""
         if not isinstance(self.balancer, Balancer):
             return
         try:
@@ -356,10 +356,10 @@
         except (ValueError, KeyError, TypeError, AttributeError) as err:
             self.log(f"what the process before has learned can't be used: {type(err).__name__}: {err}")
 
-    # Lists and the end --------------------------------------------------------------------------
+    # Lists and draining --------------------------------------------------------------------------
 
     def listed(self, listing: Listing, kind: api.ListKind) -> None:
-        """A list has come: the whole one, its changes, or the one last held (CACHED)."""
+        """Applies a list: a full one, changes, or the one last known (CACHED)."""
         if listing.invalid:
             name, why = listing.invalid[0]
             self.log(
@@ -376,14 +376,14 @@
         self.post(api.ListUpdate(api.ListKind.FAILED))
 
     def drain(self, within: int) -> None:
-        """All that is open or still comes is answered within so many ns; then `on_idle` is called."""
+        """Answers all requests, also new ones, within so many ns, then calls `on_idle`."""
         if not self.drain_deadline:
             self.drain_deadline = self.clock.now() + within
             self.clock.at(self.drain_deadline, self.answer_all)
             self._check_idle()
 
     def answer_all(self) -> None:
-        """Danger: the end of the process would lose what is still open."""
+        """Answers all open requests, which would be lost when the process ends."""
         for request in list(self.open.values()):
             self._expire(request)
         for number in list(self.held_answers):
--- a/minthitch/engine/counts.py
+++ b/minthitch/engine/counts.py
@@ -1,4 +1,4 @@
-"""What became of requests, by class, since the process began. Counted once each, where they end. No I/O."""
+"""Outcomes of requests by class since the process started. Each is counted once, when it ends. No I/O."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Counts:
-    """`served`, `refused` and `failed` by class; `sends` are attempts written whole to servers."""
+    """`served`, `refused` and `failed` by class; `sends` counts attempts fully written to a server."""
 
     __slots__ = ("served", "refused", "failed", "sends")
 
@@ -28,16 +28,16 @@
         (self.refused if err.is_refusal else self.failed)[cls] += 1
 
     def stream_ended(self, cls: int, complete: bool) -> None:
-        """An answer that was passed on in parts has come to its end."""
+        """Counts a streamed answer when its stream ends."""
         (self.served if complete else self.failed)[cls] += 1
 
 
 @dataclass(frozen=True, slots=True)
 class NodeMetrics:
-    """What a node knows of itself at one moment."""
+    """Snapshot of a node's metrics."""
 
     classes: tuple[str, ...]
     counts: Counts
-    inflight: int  # requests taken and not ended
+    inflight: int  # admitted requests that have not ended
     listed: int  # servers in the list
-    down: int  # of these, the ones that it now avoids
+    down: int  # of these, the ones avoided now
--- a/minthitch/engine/fields.py
+++ b/minthitch/engine/fields.py
@@ -1,4 +1,4 @@
-"""What the fields of a request tell of it, for every front that carries fields. No I/O."""
+"""Parses the header fields of requests, for all front ends that have them. No I/O."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from minthitch import interface as api
 from minthitch.engine.calls import Call, Message, Rejected
 
-MAX_BODY_BYTES = 64 * 1024  # bytes of a request's body
+MAX_BODY_BYTES = 64 * 1024  # of a request
 TIME_LEFT = re.compile(rb"(\d{1,12}(?:\.\d{1,9})?)([mu])")
 DECIMAL = re.compile(rb"\d{1,12}(?:\.\d{1,9})?")
 NOT_FORWARDED = frozenset(
-    (  # they belong to one connection, or are written anew
+    (  # hop-by-hop, or written anew
         b"connection",
         b"keep-alive",
         b"proxy-connection",
@@ -29,7 +29,7 @@
 
 
 def time_left(fields: Mapping[bytes, bytes]) -> int | None:
-    """X-Time-Left in nanoseconds; None where there is none. Raises Rejected."""
+    """X-Time-Left in nanoseconds, None if absent. Raises Rejected."""
     value = fields.get(b"x-time-left")
     if value is None:
         return None
@@ -39,13 +39,13 @@
 
 
 def session_key(fields: Mapping[bytes, bytes]) -> int:
-    """X-Session-Key is any text; equal texts give equal numbers, and 0 stands for none."""
+    """Hash of X-Session-Key, which may be any text; 0 if absent."""
     value = fields.get(b"x-session-key")
     return int.from_bytes(blake2b(value, digest_size=8).digest()) or 1 if value else 0
 
 
 def cost(fields: Mapping[bytes, bytes]) -> int:
-    """X-Weight-Hint in nanoseconds; 0 where there is none. Raises Rejected."""
+    """X-Weight-Hint in nanoseconds, 0 if absent. Raises Rejected."""
     value = fields.get(b"x-weight-hint")
     if value is None:
         return 0
@@ -55,7 +55,7 @@
 
 
 class CallParser:
-    """Fields to calls, by the settings' names."""
+    """Builds calls from header fields, using the names of classes and tenants in the settings."""
 
     def __init__(self, settings: api.Settings) -> None:
         self.settings = settings
@@ -63,21 +63,21 @@
         self.tenants = {t.name.encode(): i for i, t in enumerate(settings.tenants)}
 
     def check(self, method: bytes, fields: Mapping[bytes, bytes]) -> None:
-        """Turns away by its head what no server could use. Raises Rejected."""
+        """Checks the head of a request. Raises Rejected for one that no server could use."""
         cls = self.classes.get(fields.get(b"x-service-class", b""))
         if cls is None or not fields.get(b"x-correlation-id"):
             raise Rejected(400, "no X-Correlation-Id" if cls is not None else "unknown X-Service-Class")
         effect = self.settings.classes[cls].effect
         if (method == b"GET") != (effect is api.Effect.SAFE):
             raise Rejected(400, "the method does not fit the class")
-        # Danger: a keyed request without its key could be repeated by no server.
+        # Without its key no server could recognize a repeat of a keyed request.
         if bool(fields.get(b"idempotency-key")) != (effect is api.Effect.KEYED):
             raise Rejected(400, "Idempotency-Key does not fit the class")
         time_left(fields)
         cost(fields)
 
     def call(self, message: Message, fields: Mapping[bytes, bytes], received_at: int = 0) -> Call:
-        """The call of a request with a checked head, received in full at `received_at` (monotonic ns)."""
+        """Builds the call of a checked request, received in full at `received_at` (monotonic ns)."""
         return Call(
             fields[b"x-correlation-id"],
             self.classes[fields[b"x-service-class"]],
--- a/minthitch/engine/ports.py
+++ b/minthitch/engine/ports.py
@@ -1,4 +1,4 @@
-"""What the engine knows of the world beside its askers: a carrier, a keeper, a source of lists."""
+"""Protocols of what the engine works with, apart from requesters: transport, recorder, list source."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 class Decider(Protocol):
-    """What decides: the Balancer, or in the lab something that it is measured against."""
+    """Makes the decisions: the Balancer, or in the lab another algorithm to compare it with."""
 
     def handle(self, now: int, event: Event) -> Sequence[Action]: ...
 
 
 class Transport(Protocol):
-    """Takes attempts to servers; each is written once or not at all, and ended by `Attempt.end`.
+    """Sends attempts to servers. Each is written at most once and ended by `Attempt.end`.
 
-    `start` never ends its attempt before it has returned.
+    `start` must return before its attempt ends.
     """
 
     def start(self, attempt: Attempt) -> None: ...
@@ -30,9 +30,9 @@
 
 
 class Recorder(Protocol):
-    """Notes what becomes of requests where it must not be forgotten; it may hold sends and answers up.
+    """Records outcomes of requests durably. It may delay sends and answers until its writes are done.
 
-    What it holds it gives back by `Engine.release`, `Engine.tell` or `Engine.conclude`.
+    It ends a delay with `Engine.release_attempt`, `Engine.release_answer` or `Engine.resolve`.
     """
 
     def opened(self, request: Request) -> None: ...
@@ -43,7 +43,7 @@
 
 
 class Source(Protocol):
-    """Where lists come from, besides what it gives unasked."""
+    """Source of server lists. It may also deliver lists without being asked."""
 
     def subscribe(self) -> None: ...
     def refresh(self) -> None: ...
@@ -51,7 +51,7 @@
 
 
 class StaticSource:
-    """A list that does not change: whoever asks gets it again."""
+    """A fixed list, delivered again on each request."""
 
     def __init__(self, listing: Listing, listed: Callable[[Listing, ListKind], None]) -> None:
         self.listing, self.listed = listing, listed
--- a/minthitch/engine/servers.py
+++ b/minthitch/engine/servers.py
@@ -1,15 +1,15 @@
-"""The servers of a tier as lists name them, as the decisions see them. No I/O; times are given in."""
+"""Maps servers from their names in lists to the numbers used by the decisions. No I/O; takes times."""
 
 from __future__ import annotations
 
 from minthitch import interface as api
 from minthitch.listing import Host, Listing
 
-MAX_NAMES = 1_000  # zones, and kinds, told apart; all further ones count as one
+MAX_NAMES = 1_000  # distinct zones, and kinds; all further ones share one number
 
 
 class Server:
-    """A server at one address since one start; a new start or address makes a new one."""
+    """One process of a server at one address. A restart or a new address makes a new Server."""
 
     __slots__ = ("name", "number", "host", "port", "born_ms", "entry", "withdrawn_at", "replaced")
 
@@ -18,22 +18,22 @@
     ) -> None:
         self.name, self.number, self.host, self.port = name, number, host, port
         self.born_ms, self.entry = born_ms, entry
-        self.withdrawn_at = 0  # when the node was told that it drains or is gone; 0 = it does not
-        self.replaced = False  # started anew, or listed at another address
+        self.withdrawn_at = 0  # when a list said that it drains or is gone; 0 = neither
+        self.replaced = False  # restarted, or listed at another address
 
     @property
     def identity(self) -> str:
-        """The same in each process, for as long as the server runs."""
+        """Equal in all nodes, for as long as the server process runs."""
         return f"{self.name} {self.born_ms}"
 
     @property
     def is_usable(self) -> bool:
-        """Whether connections to it are worth keeping."""
+        """Whether idle connections to it should be kept."""
         return not self.withdrawn_at and not self.replaced
 
 
 class ServerTable:
-    """The servers by name and by the number that the decisions use."""
+    """Servers by name, and by the number that the decisions use."""
 
     def __init__(self, settings: api.Settings) -> None:
         self.zones = {name: i for i, name in enumerate(settings.zones)}
@@ -48,14 +48,14 @@
     def apply(
         self, listing: Listing, kind: api.ListKind, now: int, wall: int
     ) -> tuple[tuple[api.ServerEntry, ...], list[Server]]:
-        """Takes a list in at `now` (monotonic ns) and `wall` (Unix ns).
+        """Applies a list at `now` (monotonic ns) and `wall` (Unix ns).
 
-        Gives the entries for the decisions, and the servers whose kept connections are to be closed.
+        Returns the entries for the decisions, and the servers whose idle connections must be closed.
         """
         self._now, self._wall, self._to_hang_up = now, wall, []
         entries = tuple(entry for host in listing.hosts if (entry := self._entry(host)))
         if kind is not api.ListKind.CHANGES:
-            # Danger: one odd entry would take its server, which serves well, out of a whole list.
+            # An invalid entry in a full list must not remove its server, which may serve well.
             odd = {name for name, _ in listing.invalid}
             entries += tuple(self.by_name[name].entry for name in sorted(odd) if name in self.by_name)
             named = {host.name for host in listing.hosts} | odd
@@ -65,12 +65,12 @@
         return entries, self._to_hang_up
 
     def kind_number(self, name: str) -> int:
-        """The number of a kind, also before any list has named it."""
+        """Returns the number of a kind, assigning one if no list has named it yet."""
         return self._number(self.kinds, name)
 
     @staticmethod
     def _number(table: dict[str, int], name: str) -> int:
-        if name not in table and len(table) >= MAX_NAMES:  # danger: odd lists would fill the memory
+        if name not in table and len(table) >= MAX_NAMES:  # bounds memory against bad lists
             return MAX_NAMES
         return table.setdefault(name, len(table))
 
@@ -91,7 +91,7 @@
         )
         now_at = (host.address, host.port, host.born_ms)
         if known is None or (known.host, known.port, known.born_ms) != now_at:
-            if known is not None:  # danger: kept connections lead to a process that is no more
+            if known is not None:  # idle connections lead to the old process
                 known.replaced = True
                 self._to_hang_up.append(known)
             known = Server(host.name, number, host.address, host.port, host.born_ms, entry)
@@ -104,13 +104,13 @@
         return entry
 
     def _identity(self, known: Server | None, host: Host) -> tuple[int, int]:
-        """Number and start on the module's clock, the same as long as the start is the same."""
+        """Returns number and start time (monotonic ns); neither changes until the server restarts."""
         number = self.next_server if known is None else known.number
         self.next_server += known is None
         if not host.born_ms or (known is not None and known.born_ms == host.born_ms):
             return number, known.entry.started if known is not None and host.born_ms else 0
         started = self._now - (self._wall - host.born_ms * api.MILLISECOND)
-        return number, started or 1  # 0 would mean long ago
+        return number, started or 1  # 0 means long ago
 
     def _withdraw(self, server: Server) -> None:
         server.withdrawn_at = server.withdrawn_at or self._now
--- a/minthitch/engine/stream.py
+++ b/minthitch/engine/stream.py
@@ -1,4 +1,4 @@
-"""A long body on its way: a carrier feeds it, an asker takes it, both at the pace of the slower. No I/O."""
+"""A long body in transit from a transport to a requester, at the pace of the slower of the two. No I/O."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Producer(Protocol):
-    """Where the bytes come from."""
+    """The source of the bytes."""
 
     def pause(self) -> None: ...
     def resume(self) -> None: ...
@@ -15,17 +15,17 @@
 
 
 class Sink(Protocol):
-    """Where they go. `ended` comes once, last."""
+    """The destination of the bytes. `ended` is called once, last."""
 
     def receive(self, data: bytes) -> None: ...
     def ended(self, complete: bool) -> None: ...
 
 
 class Stream:
-    """The rest of a body, behind its first part. `length` is that of the whole body, None if not known.
+    """The rest of a body after its first part. `length` is that of the whole body, None if unknown.
 
-    Until it has a sink nothing more is read, so that it holds one read at most. `settled` is called once,
-    with whether all of it was passed on.
+    Without a sink the producer is paused, so at most one read is buffered. `on_end` is called once, with
+    whether the whole body was passed on.
     """
 
     __slots__ = ("length", "producer", "sink", "buffered", "complete", "on_end")
@@ -35,10 +35,10 @@
         self.producer: Producer | None = producer
         self.sink: Sink | None = None
         self.buffered: list[bytes] = []
-        self.complete: bool | None = None  # None: there is more to come
+        self.complete: bool | None = None  # None: more follows
         self.on_end: Callable[[bool], None] = lambda complete: None
 
-    # Its producer's side ------------------------------------------------------------------------
+    # Producer's side ------------------------------------------------------------------------
 
     def feed(self, data: bytes) -> None:
         if self.sink is not None:
@@ -47,7 +47,7 @@
             self.buffered.append(data)
 
     def finish(self, complete: bool) -> None:
-        """The last byte has been fed, or no more can come. Only the first call counts."""
+        """Marks the end: the last byte has been fed, or none can follow. Later calls do nothing."""
         if self.complete is not None:
             return
         self.complete, self.producer = complete, None
@@ -60,10 +60,10 @@
         sink.ended(self.complete)
         self.on_end(self.complete)
 
-    # Its sink's side ----------------------------------------------------------------------------
+    # Sink's side ----------------------------------------------------------------------------
 
     def start(self, sink: Sink) -> None:
-        """What has come is passed at once, the rest as it comes."""
+        """Passes on what is buffered, then the rest as it arrives."""
         self.sink = sink
         parts, self.buffered = self.buffered, []
         for part in parts:
@@ -82,7 +82,7 @@
             self.producer.resume()
 
     def drop(self) -> None:
-        """Nobody takes the rest: it is not read any further."""
+        """Discards the rest and stops reading it."""
         producer, self.producer = self.producer, None
         self.sink, self.buffered = None, []
         if self.complete is None:
--- a/minthitch/engine/trace.py
+++ b/minthitch/engine/trace.py
@@ -1,9 +1,9 @@
-"""Each event and action of a node's decisions as a line, for counts across a fleet. Off by default.
+"""Writes each event and action of a node's decisions as a line, for `fleet count`. Off by default.
 
-A line is `# MS MARK FIELDS`: MS on the machine's monotonic clock, MARK one of
+A line is `# MS MARK FIELDS`: MS is on the machine's monotonic clock, MARK one of
 `l` list, `a` arrival, `s` send, `e` end of an attempt, `c` cancel, `r` refusal, `f` failure.
-Servers are written as `name/born_ms`, the same at every node; in a list `:ZONE:KIND:STATE` follows, an
-arrival has its class, 1 for a repeat, its tenant and the milliseconds that it has left.
+Servers are written as `name/born_ms`, the same at every node, in a list followed by `:ZONE:KIND:STATE`.
+An arrival has its class, 1 for a repeat, its tenant and the milliseconds until its deadline.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 from minthitch.engine.servers import ServerTable
 from minthitch.policy import Balancer
 
-MAX_NAMES = 10_000  # servers' names held
-MAX_BUFFERED_CHARS = 4_096  # characters that wait to be written at most, beside the line that goes over
+MAX_NAMES = 10_000  # server names kept
+MAX_BUFFERED_CHARS = 4_096  # a line that exceeds it triggers a flush
 
 
 class TracingBalancer(Balancer):
-    """A Balancer that tells what it is given and what it does; it decides as the other."""
+    """A Balancer that writes its events and actions; its decisions are the same."""
 
     def __init__(self, settings: api.Settings, seed: int, write: Callable[[str], object]) -> None:
         super().__init__(settings, seed)
         self.write = write
-        self.server_table: ServerTable | None = None  # where servers' names come from
-        self.names: dict[int, str] = {}  # as last seen: one that is gone is still written by its name
+        self.server_table: ServerTable | None = None  # gives server names
+        self.names: dict[int, str] = {}  # last known, so that a removed server is still named
         self.buffer: list[str] = []
         self.buffered_chars = 0
 
@@ -53,7 +53,7 @@
     def _name(self, number: int) -> str:
         server = self.server_table.by_number.get(number) if self.server_table is not None else None
         if server is not None:
-            # Danger: a list that changes for weeks would fill the memory.
+            # Bounded: lists that change for weeks would fill memory.
             if number not in self.names and len(self.names) >= MAX_NAMES:
                 self.names.pop(next(iter(self.names)))
             self.names[number] = f"{server.name}/{server.born_ms}"
--- a/minthitch/fleet/__init__.py
+++ b/minthitch/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Many nodes looked at together."""
+"""Statistics over many nodes."""
--- a/minthitch/fleet/count.py
+++ b/minthitch/fleet/count.py
@@ -1,6 +1,6 @@
-"""What a fleet did, counted from the traces of all its nodes. No I/O; lines in, figures out.
+"""Counts over a fleet, from the traces of all nodes (`engine/trace.py`). No I/O.
 
-The lines are those of `engine/trace.py`. Of each node only its open requests are held, and a bounded number.
+Of each node only its open requests are kept, in bounded number.
 """
 
 from __future__ import annotations
@@ -10,50 +10,50 @@
 from dataclasses import dataclass, field
 
 LINE_PREFIX = "# "
-MAX_OPEN_REQUESTS = 100_000  # requests of one node held at once; a node that is over has lost its ends
+MAX_OPEN_REQUESTS = 100_000  # per node; a node with more has lost the ends of its requests
 STATUSES = ("OK", "ERROR", "FULL", "TIMEOUT", "CONNECT_FAILED", "RESET", "CANCELLED", "MOOT")
 
 
 @dataclass
 class Window:
-    """What all nodes before one tier did in one window of time."""
+    """Counts over all nodes of one tier in one time window."""
 
     arrivals: int = 0
-    repeats: int = 0  # of those, by clients that say that they tried before
+    repeats: int = 0  # of those, marked by the client as a repeat
     sends: int = 0
-    resends: int = 0  # of those, copies and retries
+    resends: int = 0  # of those, hedged copies and retries
     ends: Counter[str] = field(default_factory=Counter)
     cancels: int = 0
-    refused_at_once: int = 0  # by admission, nothing sent
-    refused_after_wait: int = 0  # nothing sent, after a wait for a server
+    refused_at_once: int = 0  # at admission, nothing sent
+    refused_after_wait: int = 0  # after waiting for a server, nothing sent
     refused_after_send: int = 0  # after a send
     failed: int = 0
 
 
 @dataclass
 class ServerCounts:
-    """What all nodes together gave one server, by window."""
+    """Counts over all nodes for one server, by window."""
 
-    first_sends: Counter[int] = field(default_factory=Counter)  # seconds after a node heard of it: sends
+    first_sends: Counter[int] = field(default_factory=Counter)  # seconds since a node knew of it: sends
     sends: Counter[int] = field(default_factory=Counter)
     ends: dict[int, Counter[str]] = field(default_factory=dict)
-    peak_in_flight: Counter[int] = field(default_factory=Counter)  # the most calls out in the window
-    latencies_ms: dict[int, list[int]] = field(default_factory=dict)  # ms of the answers
-    ready_at: dict[str, int] = field(default_factory=dict)  # node: ms at which it was named ready
+    peak_in_flight: Counter[int] = field(default_factory=Counter)  # in flight at most in the window
+    latencies_ms: dict[int, list[int]] = field(default_factory=dict)  # of successful answers
+    ready_at: dict[str, int] = field(default_factory=dict)  # node: ms at which a list named it ready
     withdrawn_at: dict[str, int] = field(
         default_factory=dict
-    )  # node: ms at which it was said to drain or be gone
+    )  # node: ms at which a list named it draining or gone
     in_flight: int = 0
 
 
 @dataclass
 class NodeState:
     tier: str = "?"
-    open: dict[str, list[int]] = field(default_factory=dict)  # request: ms it came at, sends
+    open: dict[str, list[int]] = field(default_factory=dict)  # request: arrival in ms, sends
 
 
 class FleetCounts:
-    """Counts over all nodes; give it their lines merged by time."""
+    """Counts over all nodes, from their lines in the order of time."""
 
     def __init__(self, window: float) -> None:
         self.window_ms = int(window * 1_000)
@@ -61,10 +61,10 @@
         self.windows: dict[tuple[str, int], Window] = {}
         self.servers: dict[str, dict[str, ServerCounts]] = {}  # tier: name: server
         self.nodes: dict[str, NodeState] = {}
-        self.unreadable = 0  # lines with the mark that could not be read
+        self.unreadable = 0  # trace lines that could not be parsed
 
     def add(self, name: str, at: int, words: list[str]) -> None:
-        """One line of the node `name`: `at` in ms, the mark and its fields."""
+        """Adds one line of the node `name`: `at` in ms, the mark and its fields."""
         node = self.nodes.setdefault(name, NodeState())
         self.start = at if self.start is None else self.start
         try:
@@ -125,11 +125,11 @@
         self._window(node, at).cancels += 1
 
     def _take_r(self, name: str, node: NodeState, at: int, words: list[str]) -> None:
-        came, sends = node.open.pop(words[0], [at, 0])
+        arrived_at, sends = node.open.pop(words[0], [at, 0])
         window = self._window(node, at)
         if sends:
             window.refused_after_send += 1
-        elif at - came < 20:
+        elif at - arrived_at < 20:
             window.refused_at_once += 1
         else:
             window.refused_after_wait += 1
@@ -140,7 +140,7 @@
 
 
 def parse(line: str) -> tuple[int, list[str]] | None:
-    """Time in ms and the words behind it, of a traced line; None for any other."""
+    """Returns the time in ms and the words of a trace line; None for any other line."""
     at = line.find(LINE_PREFIX)
     words = line[at + len(LINE_PREFIX) :].split() if at >= 0 else []
     if len(words) < 2 or not words[0].isdecimal():
@@ -149,7 +149,7 @@
 
 
 def count(logs: Mapping[str, Iterable[str]], window: float) -> FleetCounts:
-    """Counts the lines of all nodes, by node name, in the order of their times."""
+    """Counts the lines of all nodes, given by node name."""
     rows = [
         (at, name, words)
         for name, lines in logs.items()
--- a/minthitch/fleet/report.py
+++ b/minthitch/fleet/report.py
@@ -1,4 +1,4 @@
-"""Counts over a fleet as lines of text. No I/O."""
+"""Formats counts over a fleet as lines of text. No I/O."""
 
 from __future__ import annotations
 
@@ -22,13 +22,15 @@
 def _server(server: ServerCounts, number: int) -> str:
     ends = server.ends.get(number, Counter[str]())
     bad = " ".join(f"{name.lower()} {n}" for name, n in sorted(ends.items()) if name != "OK")
-    waits = server.latencies_ms.get(number)
-    wait = f" {median(waits):.0f} ms" if waits else ""
-    return f"{server.sends[number]} sent, {server.peak_in_flight[number]} out{wait}{' ' + bad if bad else ''}"
+    latencies = server.latencies_ms.get(number)
+    latency = f" {median(latencies):.0f} ms" if latencies else ""
+    return (
+        f"{server.sends[number]} sent, {server.peak_in_flight[number]} out{latency}{' ' + bad if bad else ''}"
+    )
 
 
 def lines(fleet: FleetCounts, servers: bool) -> Iterator[str]:
-    """A line a tier and window; with `servers` a line a server and window in which it was sent something."""
+    """Yields lines per tier, window and server; with `servers` also one per server and window with sends."""
     span = fleet.window_ms / 1_000
     for tier in sorted({tier for tier, _ in fleet.windows}):
         nodes = sum(1 for node in fleet.nodes.values() if node.tier == tier)
--- a/minthitch/learned_state.py
+++ b/minthitch/learned_state.py
@@ -1,8 +1,7 @@
-"""What a Balancer has learned, as plain values for the process that replaces its own. No I/O; times come in.
+"""Exports and imports what a Balancer has learned, for the process that replaces its own. No I/O.
 
-A process that starts from nothing takes few calls until answers tell more; beside one that knows, it need
-not.
-Ages stand in place of times, and names in place of numbers, as both differ from process to process.
+Without it a new process would admit few calls until it has seen answers. Values contain ages instead of
+times and names instead of numbers, because both differ between processes.
 """
 
 from __future__ import annotations
@@ -15,8 +14,8 @@
 
 Table = dict[str, Any]
 EVIDENCE_FIELDS = ("trials", "hits", "ends", "time")
-SHARED_EVIDENCE = "load", "warm", "flow"  # evidence over all servers
-MAX_SUM = 1e12  # no sum is as large; danger: odd values would stay for minutes
+SHARED_EVIDENCE = "load", "warm", "flow"  # attributes of the Balancer: evidence over all servers
+MAX_SUM = 1e12  # above any real sum: larger values would distort decisions for minutes
 
 
 def _dump_evidence(evidence: Evidence, now: int) -> list[float]:
@@ -24,7 +23,7 @@
 
 
 def _load_evidence(evidence: Evidence, row: object, now: int, part: float = 1.0) -> None:
-    """Takes the place of what `evidence` holds; `part` of it. Raises ValueError."""
+    """Replaces the contents of `evidence` by `part` of a row. Raises ValueError."""
     if not isinstance(row, list) or len(row) != len(EVIDENCE_FIELDS) + 1:
         raise ValueError(f"{row!r} is not a row of evidence")
     *sums, age = [_number(value) for value in row]
@@ -40,7 +39,7 @@
 
 
 def export_state(balancer: Balancer, now: int, servers: Mapping[int, str], kinds: Mapping[int, str]) -> Table:
-    """All that outlasts requests. `servers` and `kinds` give the names of the numbers that are to be told."""
+    """Exports all but requests. `servers` and `kinds` map the numbers to export to names."""
     classes = zip(balancer.settings.classes, balancer.classes, strict=True)
     return {
         "classes": {spec.name: _dump_evidence(evidence, now) for spec, evidence in classes},
@@ -64,10 +63,10 @@
     kinds: Mapping[str, int],
     part: float,
 ) -> None:
-    """Takes in what another process has learned, beside which this one serves `part` of the calls.
+    """Imports what another process has learned; this one serves `part` of the calls beside it.
 
-    What this one does not know by name is left out. Raises ValueError, KeyError, TypeError or AttributeError
-    on a table that is not one; what it took until then stays, as each row is good by itself.
+    Unknown names are skipped. Raises ValueError, KeyError, TypeError or AttributeError for an invalid table;
+    rows imported before the error stay, as each is valid by itself.
     """
     for spec, evidence in zip(balancer.settings.classes, balancer.classes, strict=True):
         if spec.name in table["classes"]:
@@ -80,7 +79,7 @@
         if known is not None:
             _load_evidence(known.evidence, row, now)
     for name in SHARED_EVIDENCE:
-        # How many answers come belongs to the calls that are served here; their times do not.
+        # Rates scale with the part of the calls served here; latencies ("load") do not.
         _load_evidence(getattr(balancer, name), table["shared"][name], now, 1.0 if name == "load" else part)
     balancer.extra_limit, balancer.extra_attempts = (
         part * _number(table["grown"]),
@@ -91,7 +90,10 @@
 
 
 def merge_state(balancer: Balancer, now: int, table: Table) -> None:
-    """The other process ends: its calls come here from now on. Raises ValueError, KeyError or TypeError."""
+    """Adds the other process's part when it ends and its calls come here.
+
+    Raises ValueError, KeyError or TypeError.
+    """
     balancer.extra_limit += _number(table["grown"])
     for name in ("warm", "flow"):
         mine, other = getattr(balancer, name), Evidence(getattr(balancer, name).half_life)
--- a/minthitch/listing.py
+++ b/minthitch/listing.py
@@ -1,4 +1,4 @@
-"""The list of servers as values. An entry that can't be read is left out, and said. No I/O."""
+"""Server lists as values, and their parsing. Invalid entries are left out and reported. No I/O."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class ListError(Exception):
-    """A list, or a call for it, that can't be used; the text says why."""
+    """An invalid list, or a failed request for one; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class Host:
-    """One server as a list names it. `weight` is a share, `born_ms` Unix time in ms, 0 for long ago."""
+    """One entry of a list. `weight` is a share; `born_ms` is the start in Unix ms, 0 for long ago."""
 
     name: str
     address: str
@@ -36,24 +36,24 @@
     seq: int
     whole: bool
     hosts: tuple[Host, ...]
-    invalid: tuple[tuple[str, str], ...] = ()  # entries left out: the host's name, or "", and why
+    invalid: tuple[tuple[str, str], ...] = ()  # entries left out: host name or "", and reason
 
 
 def parse_address(text: object) -> tuple[str, int]:
-    """`address:port` with an IP address. Raises ListError."""
+    """Parses `address:port` with an IP address. Raises ListError."""
     if not isinstance(text, str):
         raise ListError("an address is no text")
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 < int(port) < 65536:
         raise ListError(f"bad address {text[:60]!r}")
-    try:  # danger: a name would be looked up, and there is no DNS
+    try:  # IP only: a host name would need DNS, which is not available
         return str(ipaddress.ip_address(host.strip("[]"))), int(port)
     except ValueError:
         raise ListError(f"bad address {text[:60]!r}") from None
 
 
 def static_listing(addresses: Iterable[str]) -> Listing:
-    """A whole list from addresses alone; each names its server. Raises ListError."""
+    """Returns a full list from addresses; each address is also the server's name. Raises ListError."""
     hosts = []
     for text in addresses:
         address, port = parse_address(text)
@@ -93,9 +93,9 @@
 
 
 def _as_removed(row: object) -> Host | None:
-    """What an entry that can't be read says all the same: that its server is to get nothing new.
+    """Returns an invalid entry as a removal if it says that its server drains or is removed, else None.
 
-    Danger: left out like the others, a server that drains or is gone would be sent to past its grace.
+    Otherwise that server would get requests past its grace.
     """
     if isinstance(row, dict) and isinstance(row.get("host"), str) and row.get("health") in STATES[1:]:
         return Host(row["host"], "", 0, state="removed")
@@ -103,7 +103,7 @@
 
 
 def parse_listing(value: object) -> Listing:
-    """A list or a change of it, from decoded JSON; its entries each for itself. Raises ListError."""
+    """Parses a list or a change from decoded JSON, each entry separately. Raises ListError."""
     if not isinstance(value, dict) or not isinstance(value.get("hosts"), list):
         raise ListError("no list of hosts")
     hosts, odd = list[Host](), list[tuple[str, str]]()
@@ -121,7 +121,7 @@
 
 
 def decode(text: bytes) -> Listing:
-    """The same from JSON. Raises ListError."""
+    """Parses a list or a change from JSON. Raises ListError."""
     try:
         return parse_listing(json.loads(text))
     except (ValueError, RecursionError) as err:
--- a/minthitch/log.py
+++ b/minthitch/log.py
@@ -1,15 +1,15 @@
-"""Log lines, bounded in a second: bad input must not fill the log."""
+"""Rate limit for log lines, so that bad input can't fill the log."""
 
 from __future__ import annotations
 
 import time
 from collections.abc import Callable
 
-MAX_LINES_PER_SECOND = 20  # lines in a second at most
+MAX_LINES_PER_SECOND = 20
 
 
 class LineLog:
-    """Gives at most MAX_LINES_PER_SECOND a second to `write`, and the number of those left out."""
+    """Passes at most MAX_LINES_PER_SECOND lines to `write`, then the number of dropped lines."""
 
     def __init__(self, write: Callable[[str], None]) -> None:
         self.write = write
--- a/minthitch/operatorfile.py
+++ b/minthitch/operatorfile.py
@@ -1,6 +1,6 @@
-"""An operator file (TOML) in plain units to a Config: for `serve`, `check` and the library.
+"""Reads an operator file (TOML with units) into a Config, for `serve`, `check` and the library.
 
-Every key that is not known is an error, as is every value out of range: one line with the key and the value.
+Unknown keys and values out of range are errors: one line with the key and the value.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
     "d": 86_400 * api.SECOND,
 }
 DURATION = re.compile(r"(\d{1,9}(?:\.\d{1,6})?)(ms|s|m|h|d)")
-NO_LISTEN_ADDRESS = ("127.0.0.1", 0)  # where a library listens: it does not
+NO_LISTEN_ADDRESS = ("127.0.0.1", 0)  # the library does not listen
 CLASS_KEYS = frozenset(("name", "effect", "aim", "deadline", "group", "window", "worth", "late_worth"))
 TOP_KEYS = frozenset(
     (
@@ -59,8 +59,8 @@
 RECOVERY_KEYS = frozenset(
     ("folder", "cluster", "every", "keep_for", "lists_for", "peers", "ask_within", "ready_within")
 )
-MAX_PEERS = 1_000  # addresses of other nodes
-MIN_SNAPSHOT_INTERVAL = 100 * api.MILLISECOND  # between two snapshots: each is fsynced
+MAX_PEERS = 1_000  # other nodes
+MIN_SNAPSHOT_INTERVAL = 100 * api.MILLISECOND  # each snapshot is fsynced
 OPERATOR_KEYS = frozenset(("listen", "calls", "handover"))
 LIMIT_KEYS = frozenset(
     (
@@ -125,7 +125,7 @@
 
 
 def duration(value: object, where: str) -> int:
-    """`"250ms"`, `"1.5s"` or `"2m"` in nanoseconds. Raises ConfigError."""
+    """Parses `"250ms"`, `"1.5s"` or `"2m"` to nanoseconds. Raises ConfigError."""
     if not isinstance(value, str) or not (match := DURATION.fullmatch(value)):
         raise ConfigError(f'{where} = {value!r} is not a time such as "250ms" or "1.5s"')
     return int(float(match[1]) * UNITS[match[2]])
@@ -152,7 +152,7 @@
 
 
 def _checked_table(table: object, name: str, names: frozenset[str]) -> dict[str, Any]:
-    """The table, where it is one and all of its keys are known."""
+    """Returns the table if it is one and all of its keys are known. Raises ConfigError."""
     if not isinstance(table, dict):
         raise ConfigError(f"{name} = {table!r} is not a table")
     _reject_unknown(table, names, f"{name}.")
@@ -199,7 +199,7 @@
 
 
 def settings(top: Mapping[str, Any]) -> api.Settings:
-    """From `classes`, `limits` and `rules`. Raises ConfigError."""
+    """Builds the Settings from `classes`, `limits` and `rules`. Raises ConfigError."""
     rows = top.get("classes")
     if not isinstance(rows, list) or not rows:
         raise ConfigError(f"classes = {rows!r} is not a list of [[classes]]")
@@ -226,7 +226,7 @@
 
 
 def record_config(top: Mapping[str, Any], settings: api.Settings) -> RecordConfig | None:
-    """The `record` table; None where there is none. Raises ConfigError."""
+    """Reads the `record` table, None if absent. Raises ConfigError."""
     if top.get("record") is None:
         return None
     table = _checked_table(top["record"], "record", RECORD_KEYS)
@@ -259,7 +259,7 @@
 
 
 def recovery_config(top: Mapping[str, Any]) -> RecoveryConfig | None:
-    """The `recovery` table; None where there is none. Raises ConfigError."""
+    """Reads the `recovery` table, None if absent. Raises ConfigError."""
     if top.get("recovery") is None:
         return None
     table = _checked_table(top["recovery"], "recovery", RECOVERY_KEYS)
@@ -285,7 +285,7 @@
 
 
 def operators(top: Mapping[str, Any]) -> dict[str, Any]:
-    """The `operators` table as parts of a Config. Raises ConfigError."""
+    """Reads the `operators` table to arguments of Config. Raises ConfigError."""
     table = _checked_table(top.get("operators", {}), "operators", OPERATOR_KEYS)
     if "operators" in top and not table:
         raise ConfigError("operators = {} names neither listen, calls nor handover")
@@ -317,7 +317,7 @@
 
 
 def from_table(top: Mapping[str, Any]) -> Config:
-    """A Config from the decoded file. Raises ConfigError."""
+    """Builds a Config from the decoded file. Raises ConfigError."""
     _reject_unknown(top, TOP_KEYS, "")
     name = top.get("name", "minthitch")
     if not isinstance(name, str) or not name:
@@ -352,7 +352,7 @@
 
 
 def read(path: str | os.PathLike[str]) -> Config:
-    """A Config from a TOML file. Raises ConfigError."""
+    """Reads a Config from a TOML file. Raises ConfigError."""
     try:
         with open(path, "rb") as file:
             top = tomllib.load(file)
--- a/minthitch/operators/__init__.py
+++ b/minthitch/operators/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' own listener, apart from callers': `[operators]` in the operator file. Off by default."""
+"""Operators' listener, separate from that for callers: `[operators]` in the operator file. Off by default."""
--- a/minthitch/operators/listener.py
+++ b/minthitch/operators/listener.py
@@ -1,6 +1,6 @@
-"""A small HTTP/1.1 listener that shows operators what a node knows, as JSON. It changes nothing.
+"""A small, read-only HTTP/1.1 listener that serves a node's state to operators as JSON.
 
-One request a connection. What a page may say is its own matter; here are only the bounds.
+One request per connection. This module bounds size, time and number; the contents are up to the pages.
 """
 
 from __future__ import annotations
@@ -15,28 +15,28 @@
 
 from minthitch.config import ConfigError
 
-Page = Callable[[str], Awaitable[tuple[int, object]]]  # the path behind the page's name to status and JSON
+Page = Callable[[str], Awaitable[tuple[int, object]]]  # rest of the path -> status, JSON value
 MAX_CONNECTIONS = 16
-MAX_HEAD_BYTES = 8 * 1024  # bytes
-READ_TIMEOUT_S = 5.0  # seconds for a whole head
-ANSWER_TIMEOUT_S = 10.0  # seconds for a page
+MAX_HEAD_BYTES = 8 * 1024
+READ_TIMEOUT_S = 5.0  # for a complete head
+ANSWER_TIMEOUT_S = 10.0  # for a page
 
 
 class _Head:
-    """What the parser says of a request."""
+    """Collects the parser's events for a request head."""
 
     def __init__(self) -> None:
-        self.target, self.whole = b"", False
+        self.target, self.complete = b"", False
 
     def on_url(self, part: bytes) -> None:
         self.target += part
 
     def on_headers_complete(self) -> None:
-        self.whole = True
+        self.complete = True
 
 
 class Listener:
-    """Serves `pages`, each by the first part of its path."""
+    """Serves `pages`; the first segment of a path selects the page."""
 
     def __init__(self, pages: Mapping[str, Page], log: Callable[[str], None]) -> None:
         self.pages, self.log = dict(pages), log
@@ -66,7 +66,7 @@
         self.tasks.add(task)
         self.connections += 1
         try:
-            # Danger: an operator's script that loops must not take the descriptors of callers.
+            # A looping script must not use up the file descriptors needed for callers.
             full = self.connections > MAX_CONNECTIONS
             status, body = (
                 (503, {"error": "too many connections"}) if full else await self._read_request(reader)
@@ -74,7 +74,7 @@
             self._answer(writer, status, body)
             await writer.drain()
         except (OSError, asyncio.IncompleteReadError, TimeoutError):
-            pass  # it left, or said nothing
+            pass  # the client left or sent nothing
         finally:
             self.connections -= 1
             self.tasks.discard(task)
@@ -92,7 +92,7 @@
             parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             return 400, {"error": "not a request"}
-        if not head.whole or not head.target.startswith(b"/"):
+        if not head.complete or not head.target.startswith(b"/"):
             return 400, {"error": "not a request"}
         if parser.get_method() != b"GET":
             return 405, {"error": "only GET"}
@@ -108,7 +108,7 @@
                 return await page(unquote(rest))
         except TimeoutError:
             return 504, {"error": f"no answer within {ANSWER_TIMEOUT_S:.0f} s"}
-        except Exception as err:  # danger: a page's fault must not end the node that serves callers
+        except Exception as err:  # a fault in a page must not stop the node
             self.log(f"operators' page {name}: {type(err).__name__}: {err}")
             return 500, {"error": "the page failed; the log has it"}
 
@@ -128,7 +128,7 @@
 async def open_listener(
     where: tuple[str, int], pages: Mapping[str, Page], log: Callable[[str], None]
 ) -> Listener:
-    """A listener at work. Raises ConfigError where the address can't be bound."""
+    """Returns a started listener. Raises ConfigError if the address can't be bound."""
     listener = Listener(pages, log)
     try:
         await listener.start(*where)
--- a/minthitch/program.py
+++ b/minthitch/program.py
@@ -1,4 +1,4 @@
-"""A node as a process: loop, signals, exit code. The platform's start and `serve` both run it."""
+"""Runs a node as a process: event loop, signals, exit code. Used by `python -m minthitch` and `serve`."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 def report_config_error(err: BaseException) -> int:
-    """One plain line for a configuration that can't be used, and the exit code for it."""
+    """Prints a configuration error on one line. Returns the exit code."""
     print("minthitch:", " ".join(str(err).split()), file=sys.stderr)
     return 2
 
 
 def reload(node: Node, read: Callable[[], Config]) -> None:
-    """SIGHUP: reads the configuration again; one that can't be used changes nothing."""
+    """SIGHUP: reads the configuration again; an invalid one changes nothing."""
     try:
         node.reload(read())
     except ConfigError as err:
@@ -29,10 +29,10 @@
 
 
 def traced_node(config: Config) -> Node:
-    """A node that writes each event and action to the log, for `fleet count`."""
+    """Returns a node that writes each event and action to the log, for `fleet count`."""
     import atexit
 
-    from minthitch.engine.trace import TracingBalancer  # not loaded where it is off
+    from minthitch.engine.trace import TracingBalancer  # loaded only if used
 
     decider = TracingBalancer(config.settings, config.seed, sys.stderr.write)
     atexit.register(decider.flush)
@@ -44,18 +44,18 @@
 async def serve(config: Config, read: Callable[[], Config], trace: bool = False) -> None:
     """Runs a node until it has drained.
 
-    Raises OSError if it can't listen, ConfigError for its store or its operators' listener.
+    Raises OSError if it can't listen, ConfigError for an invalid store or operators' address.
     """
     node = traced_node(config) if trace else Node(config)
     recording = None
     if config.record is not None:
-        from minthitch.record.attach import Recording  # not loaded where it is off
+        from minthitch.record.attach import Recording  # loaded only if used
 
         recording = Recording(node.engine, config.record, config.name, node.log)
     recovery = None
     if config.recovery is not None:
         try:
-            from minthitch.recovery.attach import Recovery  # not loaded where it is off
+            from minthitch.recovery.attach import Recovery  # loaded only if used
         except ImportError as err:
             raise ConfigError(f"recovery needs the extra `recovery`: {err}") from None
         recovery = Recovery(node.engine, config.recovery, config.name, node.log, node.list_heard)
@@ -82,7 +82,7 @@
     loop.add_signal_handler(signal.SIGHUP, reload, node, read)
     await node.start()
     gc.collect()
-    gc.freeze()  # what is here now stays; the collector need not walk it
+    gc.freeze()  # objects made so far stay, so the garbage collector need not scan them
     await node.finished.wait()
     if admin is not None:
         admin.close()
@@ -96,7 +96,7 @@
 
 
 def run(config: Config, read: Callable[[], Config], trace: bool = False) -> int:
-    """Runs a node in the foreground. Gives the exit code: 0, or 1 if its address can't be bound."""
+    """Runs a node. Returns the exit code: 0, 1 if it can't listen, 2 for a configuration error."""
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(serve(config, read, trace))
