--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -1,4 +1,4 @@
-"""Many nodes, each under its referee, before servers that they share: queues, and what cold ones bear."""
+"""Simulates many nodes that share servers with queues and cold starts; each node's rules are checked."""
 
 from __future__ import annotations
 
@@ -22,28 +22,28 @@
 )
 from tests.rules import MS, SAFE, Node
 
-IO_TIME = 100 * MS  # what a call takes beside its work
+IO_TIME = 100 * MS  # latency of a call in addition to its service time
 
 
 @dataclass
 class SimulatedServer:
-    """A server of one core: one call after another, slower while it is cold."""
+    """A server that handles one call at a time, slower while it is cold."""
 
-    rate: float  # calls a second when it is warm
+    rate: float  # calls per second when warm
     started: int = 0  # 0 = long ago
     free: int = 0
     sent: list[int] = field(default_factory=list)
     served: int = 0
     out: int = 0
-    max_connections: int = 0  # connections that it takes; 0 = as many as come
-    silent: bool = False  # takes calls and answers none
+    max_connections: int = 0  # 0 = unlimited
+    silent: bool = False  # accepts calls but answers none
     failing: bool = False  # answers at once, with an error
     dead: bool = False  # refuses connections
-    held: Counter[int] = field(default_factory=Counter)  # node: connections, kept ones too
-    busy: Counter[int] = field(default_factory=Counter)  # node: those with a call on them
+    held: Counter[int] = field(default_factory=Counter)  # node: open connections, idle ones included
+    busy: Counter[int] = field(default_factory=Counter)  # node: connections in use
 
     def connects(self, node: int) -> bool:
-        """Whether a call of this node finds a connection, kept or new."""
+        """Takes an idle or new connection for a call of this node. Returns whether there is one."""
         if self.dead:
             return False
         if self.held[node] <= self.busy[node]:
@@ -54,12 +54,12 @@
         return True
 
     def capacity(self, now: int, setup: Settings) -> float:
-        """Calls a second that it can serve now."""
+        """Calls per second that it can serve now."""
         age = (now - self.started) / setup.cold_time if self.started else 1.0
         return self.rate * min(1.0, setup.cold_share + (1 - setup.cold_share) * age)
 
     def take(self, now: int, setup: Settings) -> int:
-        """When a call that comes now is answered; 0 = never."""
+        """Accepts a call and returns when it is answered; 0 = never."""
         self.sent.append(now)
         if self.silent or self.failing:
             return 0 if self.silent else now + MS
@@ -71,14 +71,14 @@
     """`count` nodes that share nothing but their servers; `run` gives them Poisson traffic."""
 
     def __init__(
-        self, setup: Settings, count: int, machines: dict[int, SimulatedServer], seed: int = 1
+        self, setup: Settings, count: int, servers: dict[int, SimulatedServer], seed: int = 1
     ) -> None:
-        self.setup, self.machines, self.random = setup, machines, random.Random(seed)
+        self.setup, self.servers, self.random = setup, servers, random.Random(seed)
         self.nodes = [Node(setup, 1_000 * seed + i) for i in range(count)]
-        self.read = [0] * count  # of each node's log
-        # When, order, node, request, attempt, how it ends.
+        self.read = [0] * count  # position in each node's log
+        # Time, order, node, request, attempt, status.
         self.events: list[tuple[int, int, int, int, int, Status]] = []
-        self.accepted: set[tuple[int, int, int]] = set()  # attempts that a server has
+        self.accepted: set[tuple[int, int, int]] = set()  # attempts accepted by a server
         self.order = self.requests = self.refused = self.served = self.connect_failures = 0
         self.by_node = Counter[int]()  # calls served at each node
         self.ended: set[tuple[int, int, int]] = set()
@@ -92,9 +92,9 @@
             self._carry_out(i)
 
     def replace(self, old: list[int], new: list[int]) -> None:
-        """All nodes hear in one instant that servers go, and that others have just started."""
+        """Replaces servers by cold ones; all nodes get the list change at once."""
         for number, before in zip(new, old, strict=True):
-            self.machines[number] = SimulatedServer(self.machines[before].rate, self.now)
+            self.servers[number] = SimulatedServer(self.servers[before].rate, self.now)
         self.tell(
             ListKind.CHANGES,
             (*(ServerEntry(s, State.GONE) for s in old), *(ServerEntry(s, started=self.now) for s in new)),
@@ -103,7 +103,7 @@
     def run(
         self, span: int, rate: float, classes: tuple[RequestClass, ...] = (SAFE,), among: int | None = None
     ) -> None:
-        """`rate` requests a second for `span` ns, classes by turns, at all nodes or the first `among`."""
+        """Sends `rate` requests per second for `span` ns, classes in turn, to all or the first `among` nodes."""
         until, at = self.now + span, self.now
         while (at := at + int(self.random.expovariate(rate) * SECOND)) < until:
             self._serve(at)
@@ -134,11 +134,11 @@
         self.ended.add((i, request, attempt))
         book = self.nodes[i].records[request]
         if (i, request, attempt) in self.accepted:
-            machine = self.machines[book.sent[attempt][0]]
-            machine.out -= 1
-            machine.busy[i] = max(machine.busy[i] - 1, 0)  # 0 at a server that started anew meanwhile
-            machine.held[i] = max(machine.held[i] - (status is Status.CANCELLED), 0)
-            machine.served += status is Status.OK
+            server = self.servers[book.sent[attempt][0]]
+            server.out -= 1
+            server.busy[i] = max(server.busy[i] - 1, 0)  # 0 if the server was restarted meanwhile
+            server.held[i] = max(server.held[i] - (status is Status.CANCELLED), 0)
+            server.served += status is Status.OK
         if status is Status.OK and not book.answers:
             self.served += 1
             self.by_node[i] += 1
@@ -158,27 +158,27 @@
     def _send(self, i: int, action: Send) -> None:
         attempt = self.attempts[i, action.request]
         self.attempts[i, action.request] += 1
-        machine = self.machines[action.server]
-        if not machine.connects(i):
+        server = self.servers[action.server]
+        if not server.connects(i):
             self.connect_failures += 1
             at, status = self.now + MS, Status.CONNECT_FAILED
         else:
-            machine.out += 1
+            server.out += 1
             self.accepted.add((i, action.request, attempt))
-            at, status = machine.take(self.now, self.setup), Status.ERROR if machine.failing else Status.OK
+            at, status = server.take(self.now, self.setup), Status.ERROR if server.failing else Status.OK
         if at:
             self.order += 1
             heapq.heappush(self.events, (at, self.order, i, action.request, attempt, status))
 
     def cold_overloads(self, number: int) -> list[tuple[int, float]]:
-        """Windows in which a cold server was sent more than the rule allows: calls sent and allowed."""
-        machine, found = self.machines[number], []
-        for first, at in enumerate(machine.sent):
-            if at >= machine.started + self.setup.cold_time:
+        """Windows in which a cold server got more calls than the rule allows: calls sent and allowed."""
+        server, found = self.servers[number], []
+        for first, at in enumerate(server.sent):
+            if at >= server.started + self.setup.cold_time:
                 break
-            sent = sum(1 for t in machine.sent[first:] if t < at + self.setup.cold_window)
+            sent = sum(1 for t in server.sent[first:] if t < at + self.setup.cold_window)
             most = (
-                self.setup.cold_multiple * machine.capacity(at, self.setup) * self.setup.cold_window / SECOND
+                self.setup.cold_multiple * server.capacity(at, self.setup) * self.setup.cold_window / SECOND
             )
             if sent > most:
                 found.append((sent, most))
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""The loop's clock: never early, in order, faults apart, and bounded."""
+"""LoopClock: timers in order and never early, faults isolated, memory bounded."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("make", LOOPS)
-def test_timers_come_in_order_and_never_early(make: Any) -> None:
+def test_timers_fire_in_order_and_never_early(make: Any) -> None:
     async def body(clock: LoopClock) -> None:
         rng, fired, done = random.Random(1), list[int](), asyncio.Event()
         base = clock.now()
@@ -47,7 +47,7 @@
     on(make, body)
 
 
-def test_an_earlier_timer_set_later_comes_first_also_from_within_one() -> None:
+def test_an_earlier_timer_set_later_fires_first_even_if_set_by_a_timer() -> None:
     async def body(clock: LoopClock) -> None:
         heard, done, now = list[str](), asyncio.Event(), clock.now()
 
@@ -63,7 +63,7 @@
     on(uvloop.new_event_loop, body)
 
 
-def test_a_cancelled_timer_does_not_come_and_holds_nothing() -> None:
+def test_a_cancelled_timer_does_not_fire_and_is_removed() -> None:
     async def body(clock: LoopClock) -> None:
         heard, done = list[int](), asyncio.Event()
         timer = clock.at(clock.now() + MILLISECOND, lambda: heard.append(1))
@@ -76,7 +76,7 @@
     on(uvloop.new_event_loop, body)
 
 
-def test_a_fault_in_one_timer_leaves_the_others() -> None:
+def test_a_fault_in_one_timer_does_not_stop_the_others() -> None:
     async def body(clock: LoopClock) -> None:
         told, done = list[str](), asyncio.Event()
         clock.loop.set_exception_handler(lambda _loop, context: told.append(str(context["exception"])))
@@ -89,7 +89,7 @@
     on(uvloop.new_event_loop, body)
 
 
-def test_cancelled_timers_are_thrown_out_before_they_are_due() -> None:
+def test_cancelled_timers_are_removed_before_they_are_due() -> None:
     async def body(clock: LoopClock) -> None:
         kept = [clock.at(clock.now() + 100 * SECOND, lambda: None) for _ in range(100)]
         for _ in range(20 * MIN_COMPACT_SIZE):
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine alone: a clock, a carrier and an asker by hand; no sockets and no real time."""
+"""The engine with a manual clock, transport and requester: no sockets and no real time."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
 CLASSES = (SAFE, KEYED_CELL, UNSAFE)
 
 
-class HandClock:
-    """Time that stands still until it is moved."""
+class ManualClock:
+    """A clock that advances only by `move`."""
 
     def __init__(self) -> None:
         self.time = 10 * SECOND
-        self.timers: list[tuple[int, int, HandTimer]] = []
+        self.timers: list[tuple[int, int, ManualTimer]] = []
         self.count = 0
 
     def now(self) -> int:
@@ -47,8 +47,8 @@
     def wall(self) -> int:
         return 1_800_000_000 * SECOND + self.time
 
-    def at(self, when: int, call: Callable[[], None]) -> HandTimer:
-        timer = HandTimer(call)
+    def at(self, when: int, call: Callable[[], None]) -> ManualTimer:
+        timer = ManualTimer(call)
         self.count += 1
         heapq.heappush(self.timers, (when, self.count, timer))
         return timer
@@ -63,7 +63,7 @@
         self.time = end
 
 
-class HandTimer:
+class ManualTimer:
     def __init__(self, call: Callable[[], None]) -> None:
         self.call, self.cancelled = call, False
 
@@ -71,7 +71,7 @@
         self.cancelled = True
 
 
-class HandCarrier:
+class ManualTransport:
     """Keeps attempts until the test ends them."""
 
     def __init__(self) -> None:
@@ -93,15 +93,15 @@
         return None
 
 
-class HandAsker:
+class RecordingRequester:
     def __init__(self) -> None:
-        self.heard: list[tuple[Call, Answer]] = []
+        self.answers: list[tuple[Call, Answer]] = []
 
     def answer(self, call: Call, answer: Answer) -> None:
-        self.heard.append((call, answer))
+        self.answers.append((call, answer))
 
 
-class World:
+class EngineHarness:
     def __init__(self, count: int = 3, **changes: Any) -> None:
         options = {
             "max_attempts": 4,
@@ -113,10 +113,15 @@
             **changes,
         }
         self.settings = Settings(classes=CLASSES, **options)
-        self.clock, self.carrier, self.asker, self.log = HandClock(), HandCarrier(), HandAsker(), list[str]()
+        self.clock, self.transport, self.requester, self.log = (
+            ManualClock(),
+            ManualTransport(),
+            RecordingRequester(),
+            list[str](),
+        )
         self.idle = 0
         self.engine = Engine(self.settings, 1, self.clock, self.log.append, self._idle)
-        self.engine.transport = self.carrier
+        self.engine.transport = self.transport
         self.hosts = [Host(f"s{i}", "127.0.0.1", i + 1, cell=i % 2) for i in range(count)]
         self.engine.listed(Listing(1, True, tuple(self.hosts)), ListKind.CACHED)
         self.numbers = iter(range(1, 1 << 30))
@@ -127,7 +132,7 @@
     def ask(self, cls: int = 2, left: int | None = None, **more: Any) -> Request:
         identity = more.pop("identity", b"%d" % next(self.numbers))
         call = Call(identity, cls, Message(b"POST", b"/api"), time_left=left, **more)
-        return self.engine.admit(self.asker, call)
+        return self.engine.admit(self.requester, call)
 
     def change(self, number: int, state: str = "up", **more: Any) -> None:
         host = self.hosts[number]
@@ -142,76 +147,76 @@
         self.engine.listed(Listing(self.engine.server_table.seq + 1, False, (given,)), ListKind.CHANGES)
 
     @property
-    def words(self) -> list[str]:
-        return [type(answer).__name__ for _, answer in self.asker.heard]
+    def outcomes(self) -> list[str]:
+        return [type(answer).__name__ for _, answer in self.requester.answers]
 
 
-def test_a_good_outcome_is_the_one_answer_and_all_is_forgotten() -> None:
-    w = World()
+def test_a_successful_attempt_answers_once_and_frees_the_request() -> None:
+    w = EngineHarness()
     request = w.ask()
     w.clock.move(20 * MS)
-    w.carrier.attempts[0].end(Status.OK, Served(b"x"))
-    w.carrier.attempts[0].end(Status.RESET)  # told twice: it ended before
-    assert w.asker.heard == [(request.call, Served(b"x"))]
+    w.transport.attempts[0].end(Status.OK, Served(b"x"))
+    w.transport.attempts[0].end(Status.RESET)  # ignored: it has ended
+    assert w.requester.answers == [(request.call, Served(b"x"))]
     assert not w.engine.requests and not w.engine.open and not w.engine.open_ids
     w.clock.move(60 * SECOND)
-    assert len(w.asker.heard) == 1
+    assert len(w.requester.answers) == 1
 
 
-def test_an_unsafe_request_that_may_have_run_fails_and_one_that_never_ran_goes_out_again() -> None:
-    w = World()
+def test_an_unsafe_request_is_retried_only_if_it_never_ran() -> None:
+    w = EngineHarness()
     w.ask()
-    w.carrier.attempts[0].end(Status.FULL)
-    assert len(w.carrier.attempts) == 2
-    assert w.carrier.attempts[1].server is not w.carrier.attempts[0].server
-    w.carrier.attempts[1].end(Status.RESET)
-    assert w.words == ["Failed"] and len(w.carrier.attempts) == 2
+    w.transport.attempts[0].end(Status.FULL)
+    assert len(w.transport.attempts) == 2
+    assert w.transport.attempts[1].server is not w.transport.attempts[0].server
+    w.transport.attempts[1].end(Status.RESET)
+    assert w.outcomes == ["Failed"] and len(w.transport.attempts) == 2
 
 
-def test_a_request_that_no_server_takes_is_refused_with_when_to_come_back() -> None:
-    w = World(0)
+def test_a_request_without_a_server_is_refused_with_a_retry_after() -> None:
+    w = EngineHarness(0)
     w.ask(left=SECOND)
     w.clock.move(SECOND)
-    assert w.words == ["Refused"]
-    answer = w.asker.heard[0][1]
+    assert w.outcomes == ["Refused"]
+    answer = w.requester.answers[0][1]
     assert isinstance(answer, Refused) and 0 < answer.retry_after <= 2.0
 
 
 def test_the_deadline_ends_attempts_and_answers_once() -> None:
-    w = World()
+    w = EngineHarness()
     w.ask(left=SECOND)
-    attempt = w.carrier.attempts[0]
+    attempt = w.transport.attempts[0]
     w.clock.move(SECOND)
-    assert w.words == ["Failed"] and attempt.status is Status.CANCELLED and w.carrier.dropped == 1
+    assert w.outcomes == ["Failed"] and attempt.status is Status.CANCELLED and w.transport.dropped == 1
     assert not w.engine.requests
 
 
-def test_time_counts_from_when_the_call_was_heard() -> None:
-    w = World()
-    heard = w.clock.now() - 800 * MS  # it waited behind others, or for a host that stood still
+def test_the_deadline_counts_from_when_the_call_was_received() -> None:
+    w = EngineHarness()
+    heard = w.clock.now() - 800 * MS  # it waited behind others, or the process was paused
     request = w.ask(left=SECOND, received_at=heard)
     assert request.deadline == heard + SECOND
-    w.ask(left=SECOND, received_at=w.clock.now() - 2 * SECOND)  # over before it came: refused, not sent
-    assert w.words == ["Refused"] and len(w.carrier.attempts) == 1
+    w.ask(left=SECOND, received_at=w.clock.now() - 2 * SECOND)  # expired on arrival: refused, not sent
+    assert w.outcomes == ["Refused"] and len(w.transport.attempts) == 1
 
 
-def test_an_asker_that_leaves_hears_nothing_and_its_attempts_are_dropped() -> None:
-    w = World()
+def test_a_requester_that_leaves_gets_no_answer_and_its_attempts_are_dropped() -> None:
+    w = EngineHarness()
     request = w.ask()
     w.engine.abandon(request)
     w.engine.abandon(request)
-    assert w.carrier.dropped == 1 and not w.asker.heard and not w.engine.requests
+    assert w.transport.dropped == 1 and not w.requester.answers and not w.engine.requests
     w.clock.move(10 * SECOND)
-    assert not w.asker.heard
+    assert not w.requester.answers
 
 
-def test_an_attempt_is_not_written_past_half_the_grace_or_for_a_request_that_is_over() -> None:
-    w = World(1)
+def test_an_attempt_is_not_written_past_half_the_grace_or_for_a_closed_request() -> None:
+    w = EngineHarness(1)
     request = w.ask()
-    attempt = w.carrier.attempts[0]
+    attempt = w.transport.attempts[0]
     assert attempt.may_write()
     w.change(0, "draining")
-    w.clock.move(249 * MS)  # half of the grace: it may have been told so much earlier
+    w.clock.move(249 * MS)  # half of the grace: discovery may have known that much earlier
     assert attempt.may_write()
     w.clock.move(1 * MS)
     assert not attempt.may_write()
@@ -221,8 +226,8 @@
     assert not attempt.may_write()
 
 
-def test_an_open_id_and_a_full_table_are_rejected_and_nothing_is_kept_of_them() -> None:
-    w = World(max_open=2)
+def test_a_duplicate_id_and_a_full_table_are_rejected_and_leave_no_state() -> None:
+    w = EngineHarness(max_open=2)
     w.ask(identity=b"a")
     with pytest.raises(Rejected) as caught:
         w.ask(identity=b"a")
@@ -234,16 +239,16 @@
     assert len(w.engine.open) == len(w.engine.open_ids) == 2
 
 
-def test_a_full_table_promises_nothing_where_the_settings_allow_no_retry_after() -> None:
-    w = World(max_open=1, retry_after=False)
+def test_a_full_table_states_no_retry_after_if_the_settings_forbid_it() -> None:
+    w = EngineHarness(max_open=1, retry_after=False)
     w.ask()
     with pytest.raises(Rejected) as caught:
         w.ask()
     assert caught.value.retry_after == 0
 
 
-def test_a_drain_answers_all_within_its_bound_and_tells_once_idle() -> None:
-    w = World()
+def test_a_drain_answers_all_requests_in_time_and_reports_idle() -> None:
+    w = EngineHarness()
     w.ask()
     w.ask(left=100 * MS)
     w.engine.drain(500 * MS)
@@ -252,19 +257,19 @@
     assert late.deadline <= w.clock.now() + 500 * MS
     w.clock.move(499 * MS)
     w.clock.move(1 * MS)
-    assert len(w.asker.heard) == 3 and set(w.words) <= {"Failed", "Refused"}
+    assert len(w.requester.answers) == 3 and set(w.outcomes) <= {"Failed", "Refused"}
     assert w.idle and not w.engine.open
-    w.engine.drain(SECOND)  # again: the first bound stays
+    w.engine.drain(SECOND)  # again: the first deadline stays
 
 
-def test_a_drain_of_an_idle_engine_tells_at_once() -> None:
-    w = World()
+def test_a_drain_of_an_idle_engine_reports_idle_at_once() -> None:
+    w = EngineHarness()
     w.engine.drain(SECOND)
     assert w.idle == 1
 
 
-def test_decisions_that_fail_leave_no_asker_unanswered(monkeypatch: pytest.MonkeyPatch) -> None:
-    w = World()
+def test_a_failing_decision_leaves_no_requester_unanswered(monkeypatch: pytest.MonkeyPatch) -> None:
+    w = EngineHarness()
     real = w.engine.balancer.handle
 
     def failing(now: int, event: Any) -> Any:
@@ -274,11 +279,11 @@
 
     monkeypatch.setattr(w.engine.balancer, "handle", failing)
     w.ask()
-    assert w.words == ["Failed"] and "IndexError" in w.log[0]
+    assert w.outcomes == ["Failed"] and "IndexError" in w.log[0]
 
 
-def test_an_asker_that_raises_harms_no_other() -> None:
-    w = World()
+def test_a_requester_that_raises_does_not_affect_others() -> None:
+    w = EngineHarness()
 
     class Bad:
         def answer(self, call: Call, answer: Answer) -> None:
@@ -286,28 +291,28 @@
 
     w.engine.admit(Bad(), Call(b"bad", 2, Message(b"POST", b"/")))
     w.ask()
-    for attempt in list(w.carrier.attempts):
+    for attempt in list(w.transport.attempts):
         attempt.end(Status.OK, Served())
-    assert w.words == ["Served"] and "a front's fault" in w.log[0]
+    assert w.outcomes == ["Served"] and "a front's fault" in w.log[0]
 
 
 def test_actions_that_do_not_apply_are_logged_and_harmless() -> None:
-    w = World()
+    w = EngineHarness()
     w.engine._execute(Probe(1))
     w.engine._execute(Cancel(99, 0))
     assert w.log == ["not carried out: Probe"]
 
 
-def test_a_restart_or_a_new_address_makes_a_new_server_and_hangs_up_the_old() -> None:
-    w = World()
+def test_a_restart_or_a_new_address_replaces_the_server_and_closes_its_connections() -> None:
+    w = EngineHarness()
     old = w.engine.server_table.by_name["s0"]
     w.change(0, port=99)
     new = w.engine.server_table.by_name["s0"]
     assert new is not old and old.replaced and not old.is_usable and new.number == old.number
-    assert w.carrier.hung_up == [old] and w.engine.server_table.by_number[new.number] is new
+    assert w.transport.hung_up == [old] and w.engine.server_table.by_number[new.number] is new
     w.change(0, "removed")
     assert "s0" not in w.engine.server_table.by_name and not new.is_usable
-    w.change(0, "removed")  # again: nothing is known of it
+    w.change(0, "removed")  # again: it is already unknown
 
 
 def test_zones_and_kinds_are_bounded() -> None:
@@ -319,7 +324,7 @@
     assert len(fleet.zones) == len(fleet.kinds) == MAX_NAMES
 
 
-def test_a_static_source_gives_its_list_whenever_it_is_asked() -> None:
+def test_a_static_source_delivers_its_list_on_each_request() -> None:
     heard: list[tuple[Listing, ListKind]] = []
     listing = static_listing(["127.0.0.1:1"])
     source = StaticSource(listing, lambda *given: heard.append(given))
@@ -328,7 +333,7 @@
     assert heard == [(listing, ListKind.FULL)] * 2
 
 
-def test_fields_tell_tenant_key_cost_and_repeat() -> None:
+def test_tenant_key_cost_and_repeat_are_parsed_from_fields() -> None:
     reader = CallParser(Settings(classes=CLASSES))
     fields = {
         b"x-correlation-id": b"1",
@@ -347,19 +352,19 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_any_order_of_events_gives_each_request_one_answer(seed: int) -> None:
-    """Random arrivals, outcomes, leavers, list changes and time: one answer each, and nothing stays."""
-    rng, w = random.Random(seed), World(4)
-    askers: list[HandAsker] = []
+    """Random arrivals, outcomes, departures, list changes and time: one answer each, and no state remains."""
+    rng, w = random.Random(seed), EngineHarness(4)
+    requesters: list[RecordingRequester] = []
     left: set[int] = set()
     requests: list[Request] = []
     for step in range(400):
         roll = rng.random()
         if roll < 0.35:
-            asker = HandAsker()
+            requester = RecordingRequester()
             try:
                 requests.append(
                     w.engine.admit(
-                        asker,
+                        requester,
                         Call(
                             b"%d" % step,
                             rng.randrange(3),
@@ -368,11 +373,11 @@
                         ),
                     )
                 )
-                askers.append(asker)
+                requesters.append(requester)
             except Rejected:
                 assert len(w.engine.open) == w.settings.max_open
-        elif roll < 0.75 and w.carrier.attempts:
-            attempt = rng.choice(w.carrier.attempts)
+        elif roll < 0.75 and w.transport.attempts:
+            attempt = rng.choice(w.transport.attempts)
             status = rng.choice(list(Status))
             attempt.end(status, Served(b"x") if status is Status.OK else None)
         elif roll < 0.8 and requests:
@@ -389,7 +394,7 @@
         else:
             w.clock.move(rng.choice([0, MS, 50 * MS, 700 * MS]))
     w.clock.move(10 * SECOND)
-    for index, asker in enumerate(askers):
-        assert len(asker.heard) == (index not in left), f"seed {seed}, request {index}"
-        assert all(isinstance(answer, (Served, Refused, Failed)) for _, answer in asker.heard)
+    for index, requester in enumerate(requesters):
+        assert len(requester.answers) == (index not in left), f"seed {seed}, request {index}"
+        assert all(isinstance(answer, (Served, Refused, Failed)) for _, answer in requester.answers)
     assert not w.engine.open and not w.engine.open_ids and not w.engine.requests
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Large fleets: what each node does that is harmless alone, and what all of them do together."""
+"""Large fleets: behaviour that is harmless in one node but not in many nodes together."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from tests.rules import MS, SAFE, UNSAFE, Node, entries, settings
 from tests.simulated_fleet import SimulatedFleet, SimulatedServer
 
-WARM = 20.0  # calls a second that a warm server serves
+WARM = 20.0  # calls per second served by a warm server
 
 
-def crew(seed: int, count: int = 40, servers: int = 10, load: float = 0.5) -> SimulatedFleet:
+def fleet_under_load(seed: int, count: int = 40, servers: int = 10, load: float = 0.5) -> SimulatedFleet:
     made = SimulatedFleet(
         settings(siblings=count, cold_share=0.3, cold_time=8 * SECOND),
         count,
@@ -26,27 +26,27 @@
     return made
 
 
-@pytest.mark.parametrize("gone", [6, 10])  # a few warm ones stay, or none
+@pytest.mark.parametrize("gone", [6, 10])  # some or none of the warm servers stay
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_forty_nodes_that_hear_of_cold_servers_at_once_keep_their_budget(seed: int, gone: int) -> None:
-    fleet = crew(seed)
+def test_forty_nodes_that_learn_of_cold_servers_at_once_keep_their_budget(seed: int, gone: int) -> None:
+    fleet = fleet_under_load(seed)
     new = list(range(11, 11 + gone))
     fleet.replace(list(range(1, gone + 1)), new)
     fleet.run(8 * SECOND, 0.5 * WARM * 10)
     for number in new:
-        assert len(fleet.machines[number].sent) > 20, "a cold server must fill up"
+        assert len(fleet.servers[number].sent) > 20, "a cold server must fill up"
         assert not fleet.cold_overloads(number)
 
 
 def sent_to_cold(answer: Status, latency: int) -> int:
-    """Calls that a new server gets in ten rounds; before, the warm ones answered a call a second."""
+    """Calls that a new server gets in ten rounds; before, warm servers answered one call per second."""
     node, sent = Node(settings(siblings=7, tier=1), 3), 0
     node.listed(4)
     for _ in range(10):
         node.train(1)
         node.wait(900 * MS)
     node.feed(ListUpdate(ListKind.CHANGES, (ServerEntry(9, started=node.now),)))
-    for first in range(0, 80, 8):  # eight at a time, so that each server that may take one gets one
+    for first in range(0, 80, 8):  # eight at a time, so that each eligible server gets one
         for number in range(first, first + 8):
             node.request(number, UNSAFE)
         at, cold = node.now, {n for n in range(first, first + 8) if node.records[n].sent[0][0] == 9}
@@ -60,17 +60,17 @@
 
 
 def test_a_cold_server_earns_calls_by_its_own_answers() -> None:
-    """Filled by what warm ones answer alone, six new ones got 5 calls each in 2 s while four old ones had 17
-    out, where 8 make them slow for long (join+vast, c585365e).
+    """With limits from the answers of warm servers only, six new servers got 5 calls each in 2 s, while four
+    old ones had 17 in flight, where 8 slow them down for long (join+vast, c585365e).
     """
     assert sent_to_cold(Status.OK, 50 * MS) >= 8
     assert sent_to_cold(Status.ERROR, 50 * MS) <= 4, "an error earns nothing"
     assert sent_to_cold(Status.OK, 900 * MS) <= 4, "nor does a late answer"
 
 
-def test_a_cold_server_is_not_starved_while_the_warm_ones_are_crowded() -> None:
-    """What answers had earned once was held against it for ever: new servers with 20 calls in 1.5 s
-    got one then, while the old ones had 27 out each (join+vast, seed 17, 7a29cb9f).
+def test_a_cold_server_is_not_starved_while_the_warm_ones_are_congested() -> None:
+    """Calls that a server had earned once counted against it for ever: new servers got 20 calls in 1.5 s, then
+    only one, while the old ones had 27 in flight each (join+vast, seed 17, 7a29cb9f).
     """
     node, sent = Node(settings(siblings=7, tier=1), 3), []
     node.listed(4)
@@ -100,8 +100,8 @@
     return node
 
 
-def test_what_may_be_out_goes_with_the_servers_that_are_left() -> None:
-    """Calls that eight servers bore crowd the four that are left, before any answer tells of it."""
+def test_the_limit_shrinks_with_the_number_of_servers() -> None:
+    """Calls that eight servers can take congest the remaining four before any answer shows it."""
     node = trained()
     node.request(1)
     before = node.balancer.extra_limit
@@ -111,8 +111,8 @@
     assert node.balancer.extra_limit == pytest.approx(before / 2, rel=0.05)
 
 
-def test_what_refuses_is_not_counted_as_room_before_the_list_says_so() -> None:
-    """What a lost third had borne crowded the rest for the 4 s that the list took (zone+mass, seed 11)."""
+def test_refusing_servers_do_not_count_as_capacity_before_the_list_drops_them() -> None:
+    """Load of a lost third congested the rest for the 4 s until the list changed (zone+mass, seed 11)."""
     node = trained()
     node.request(1)
     before = node.balancer.capacity
@@ -121,17 +121,19 @@
         attempt.status = Status.CONNECT_FAILED
         request = Request(node.now, RequestArrived(9, 0, node.now + SECOND), SAFE)
         node.balancer._record_outcome(node.now, request, attempt, MS)
-    node.wait(3 * SECOND)  # nothing was heard of any for so long
+    node.wait(3 * SECOND)  # no outcome for so long
     node.request(2)
-    assert before == 8 and node.balancer.capacity < 4, "of the other four as many may refuse"
+    assert before == 8 and node.balancer.capacity < 4, "the other four may refuse as often"
     node.feed(full(8, started=1))
     node.request(3)
-    assert node.balancer.capacity == 8, "processes that started anew refused nothing"
+    assert node.balancer.capacity == 8, "restarted processes have refused nothing"
 
 
 @pytest.mark.parametrize(("strain", "less"), [(1.4, False), (1.6, True), (2.5, True)])
-def test_the_window_yields_as_queues_build(strain: float, less: bool) -> None:
-    """Held from 1.5 to 2 times the calm load it kept servers slow to the day's end (zone+mass, 11)."""
+def test_the_limit_shrinks_as_queues_build_up(strain: float, less: bool) -> None:
+    """Holding the limit while latency was 1.5 to 2 times the baseline kept servers slow to the end of the run
+    (zone+mass, seed 11).
+    """
     node = trained()
     node.request(1)
     node.balancer.extra_limit, node.balancer.slowdown, node.balancer.smoothing = 0.5, strain, 1.0
@@ -140,7 +142,7 @@
     assert (node.balancer.extra_limit < before) is less
 
 
-def test_cold_servers_count_by_what_they_can_do() -> None:
+def test_cold_servers_count_with_their_cold_capacity() -> None:
     node = trained()
     node.feed(full(8, started=node.now))
     node.request(1)
@@ -148,8 +150,8 @@
     assert INITIAL_LIMIT * node.balancer.capacity / node.setup.siblings < 8
 
 
-def test_after_a_loss_the_window_grows_slowly_for_a_while() -> None:
-    """At its usual pace it made up for four servers of ten in two seconds (disco+vast, 9ed38163)."""
+def test_after_a_loss_of_servers_the_limit_grows_slowly_for_a_while() -> None:
+    """At its usual pace it replaced the share of four lost servers of ten in 2 s (disco+vast, 9ed38163)."""
     lost, kept = trained(), trained()
     lost.feed(full(4))
     for node in (lost, kept):
@@ -162,11 +164,11 @@
     assert lost.balancer.extra_limit > before + 0.5
 
 
-def test_what_may_be_out_is_bounded_by_what_the_answers_need() -> None:
-    """At twice that, bursts put 10 calls on servers that turn slow at 8, and stay so (d8d384f0)."""
+def test_the_limit_is_bounded_by_the_measured_concurrency() -> None:
+    """At twice that, bursts put 10 calls on servers that become slow at 8 and stay slow (d8d384f0)."""
     node = Node(settings(siblings=4))
     node.listed(8)
     node.queue(400, 25 * MS, 100 * MS)
-    needed = node.balancer.flow.time * math.log(2) / (2 * SECOND)  # calls out, at their usual times
+    needed = node.balancer.flow.time * math.log(2) / (2 * SECOND)  # requests in flight at their usual latency
     assert 4.0 <= needed <= 5.0
     assert needed < node.balancer.extra_limit <= 1.6 * needed
--- a/tests/test_fleet_count.py
+++ b/tests/test_fleet_count.py
@@ -1,4 +1,4 @@
-"""Traces of nodes, and what is counted from them over a fleet."""
+"""Traces of nodes, and the counts over a fleet made from them."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
     return count(dict(SAMPLE), 1.0)
 
 
-def test_refusals_are_told_apart_by_what_went_before() -> None:
+def test_refusals_are_counted_by_the_phase_of_the_request() -> None:
     first, second = sample().windows["0", 0], sample().windows["0", 1]
     assert (first.refused_at_once, first.refused_after_wait, first.refused_after_send) == (1, 1, 0)
     assert (second.refused_at_once, second.refused_after_wait, second.refused_after_send) == (0, 0, 1)
@@ -76,19 +76,19 @@
     assert dict(second.ends) == {"CONNECT_FAILED": 1, "CANCELLED": 1, "RESET": 1}
 
 
-def test_calls_out_at_a_server_are_those_of_all_nodes() -> None:
+def test_requests_in_flight_at_a_server_are_summed_over_all_nodes() -> None:
     server = sample().servers["0"]["s1/0"]
     assert (server.peak_in_flight[0], server.peak_in_flight[1], server.in_flight) == (1, 2, 0)
 
 
-def test_who_heard_of_a_server_when() -> None:
+def test_times_at_which_nodes_learned_of_a_server() -> None:
     server = sample().servers["0"]["s2/0"]
     assert server.ready_at == {"n0": 1000, "n1": 1100}
     assert server.withdrawn_at == {"n1": 2600}
     assert server.first_sends == {1: 1}
 
 
-def test_lines_that_can_not_be_read_are_counted_and_spoil_nothing() -> None:
+def test_unreadable_lines_are_counted_and_skipped() -> None:
     fleet = sample()
     assert fleet.unreadable == 2
     assert list(lines(fleet, servers=True))[-1] == "2 lines could not be read"
@@ -102,11 +102,11 @@
 
 
 @pytest.mark.parametrize("line", ["", "# ", "# x a 1", "0.1 n0: refusing: load 1.5", "# 12"])
-def test_other_lines_are_passed_over(line: str) -> None:
+def test_other_lines_are_ignored(line: str) -> None:
     assert parse(line) is None
 
 
-def test_a_traced_balancer_decides_as_the_other_and_its_lines_are_counted() -> None:
+def test_tracing_does_not_change_decisions_and_its_lines_are_counted() -> None:
     written: list[str] = []
     traced, plain = TracingBalancer(settings(), 3, written.append), Balancer(settings(), 3)
     traced.server_table = ServerTable(settings())
@@ -130,7 +130,7 @@
     assert set(fleet.servers["0"]) == {"a/0", "b/0"}
 
 
-def test_a_server_that_is_gone_is_written_by_its_name(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_removed_server_is_still_traced_by_name(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(trace, "MAX_NAMES", 3)
     traced = TracingBalancer(settings(), 3, lambda text: None)
     traced.server_table = ServerTable(settings())
@@ -138,11 +138,11 @@
         listing = Listing(number, True, (Host(f"h{number}", "127.0.0.1", 1),))
         traced.server_table.apply(listing, ListKind.FULL, SECOND, 0)
         assert traced._name(number) == f"h{number}/0"
-    assert traced._name(4) == "h4/0", "no list names it any more"
+    assert traced._name(4) == "h4/0", "no longer in any list"
     assert (traced._name(1), len(traced.names)) == ("?1", 3)
 
 
-def test_what_waits_to_be_written_is_bounded() -> None:
+def test_the_write_buffer_is_bounded() -> None:
     written: list[str] = []
     traced = TracingBalancer(settings(), 3, written.append)
     for number in range(1_000):
@@ -167,6 +167,6 @@
         (("nosuch", "--window", "0"), "--window 0.0 is not from 0.1 to 3600.0"),
     ],
 )
-def test_a_folder_or_window_that_can_not_be_used_is_one_line(words: tuple[str, ...], said: str) -> None:
+def test_an_invalid_folder_or_window_is_reported_on_one_line(words: tuple[str, ...], said: str) -> None:
     ran = command("fleet", "count", *words)
     assert (ran.returncode, ran.stderr) == (2, f"minthitch: {said}\n")
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,4 +1,4 @@
-"""What the default start loads: optional parts stay out of the platform's memory."""
+"""Modules loaded by the default start: optional parts must not use the node's memory."""
 
 from __future__ import annotations
 
@@ -90,7 +90,7 @@
 
 
 def test_the_parts_of_the_decisions_load_alone() -> None:
-    """Another program takes the curves, the sets and the evidence, and pays for nothing else."""
+    """Another program uses the curves, sets and evidence, and loads nothing else."""
     loaded = _modules(
         "import minthitch.decisions.gamma, minthitch.decisions.sets, minthitch.decisions.evidence"
     )
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -1,4 +1,4 @@
-"""Daily operation: the staff's calls and figures, clients sent away, one process after another."""
+"""Operation: admin commands and metrics, draining of clients, replacement of a process."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 READY = b"GET /ready HTTP/1.1\r\n\r\n"
 
 
-# The desk, without sockets ----------------------------------------------------------------------
+# Admin commands without sockets ----------------------------------------------------------------
 
 
-class Desked:
-    """A node by hand."""
+class FakeNode:
+    """A node with settable state."""
 
     def __init__(self) -> None:
         self.up, self.door = True, Door()
@@ -46,8 +46,8 @@
         return self.door.take_back(2.0)
 
 
-def test_each_call_is_answered_in_a_line_that_begins_with_done_or_error() -> None:
-    node = Desked()
+def test_each_command_is_answered_with_done_or_error() -> None:
+    node = FakeNode()
     said = [
         answer(line, node)
         for line in (
@@ -74,12 +74,12 @@
         "error",
     ]
     assert all("\n" not in text for text in said)
-    assert node.ready()  # the call with a word too many changed nothing
+    assert node.ready()  # the command with an extra word changed nothing
     assert "'halt'" in said[7] and all(name in said[7] for name in COMMANDS)
 
 
-def test_figures_name_each_class_and_end_with_a_line_of_their_own() -> None:
-    node = Desked()
+def test_metrics_are_listed_per_class_and_end_with_an_end_line() -> None:
+    node = FakeNode()
     for outcome in (Served(), Served(), Refused(), Failed()):
         node.counts.answered(0, outcome)
     node.counts.rejected(1, Rejected(503, "full"))
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize(
-    ("deeds", "at", "accepts", "keeps", "wanted"),
+    ("steps", "at", "accepts", "keeps", "stays_open"),
     [
         ("", 9.0, True, True, True),
         ("end", KEEP_ON - 0.1, False, True, True),
@@ -111,27 +111,29 @@
         ("away back", 9.0, True, True, True),
         ("end", 0.1, True, True, True),
         ("end", ACCEPT_ON + 0.1, False, True, True),
-        ("end away back", 0.1, True, True, True),  # the end is final
+        ("end away back", 0.1, True, True, True),  # ending is final
         ("succeeded end", 0.0, False, True, False),
         ("succeeded end", ACCEPT_ON + 0.1, False, True, False),
         ("succeeded end", SUCCEEDED_LINGER + 0.1, False, False, False),
         ("succeeded away", 0.5, True, True, False),
     ],
 )
-def test_the_door_by_state_and_time(deeds: str, at: float, accepts: bool, keeps: bool, wanted: bool) -> None:
+def test_the_door_by_state_and_time(
+    steps: str, at: float, accepts: bool, keeps: bool, stays_open: bool
+) -> None:
     door = Door()
-    for deed in deeds.split():
-        if deed == "succeeded":
+    for step in steps.split():
+        if step == "succeeded":
             door.succeeded = True
         else:
-            {"away": door.send_away, "back": door.take_back, "end": door.end}[deed](0.0)
-    assert (door.accepts(at), door.keeps_idle(at), not door.closes(at)) == (accepts, keeps, wanted)
+            {"away": door.send_away, "back": door.take_back, "end": door.end}[step](0.0)
+    assert (door.accepts(at), door.keeps_idle(at), not door.closes(at)) == (accepts, keeps, stays_open)
     assert door.open == (door.state is State.OPEN)
     if door.state is State.ENDING:
         assert door.send_away(at) and door.take_back(at)
 
 
-# The desk on sockets ----------------------------------------------------------------------------
+# The admin listener on sockets -----------------------------------------------------------------
 
 
 async def _visit(port: int, data: bytes) -> bytes:
@@ -142,24 +144,24 @@
     return text
 
 
-async def _desk() -> None:
-    desk = AdminListener(Desked(), lambda text: None)
-    await desk.start("127.0.0.1", 0)
-    silent = [await asyncio.open_connection("127.0.0.1", desk.port) for _ in range(3 * MAX_CONNECTIONS)]
-    assert await _visit(desk.port, b"ready\n") == b"done ready\n"
-    assert len(desk.connections) <= MAX_CONNECTIONS
-    assert (await _visit(desk.port, b"show-stat\nmore\n")).endswith(b"\nend\n")
-    assert (await _visit(desk.port, b"x" * (MAX_LINE_BYTES + 1))).startswith(b"error ")
+async def _silent() -> None:
+    listener = AdminListener(FakeNode(), lambda text: None)
+    await listener.start("127.0.0.1", 0)
+    silent = [await asyncio.open_connection("127.0.0.1", listener.port) for _ in range(3 * MAX_CONNECTIONS)]
+    assert await _visit(listener.port, b"ready\n") == b"done ready\n"
+    assert len(listener.connections) <= MAX_CONNECTIONS
+    assert (await _visit(listener.port, b"show-stat\nmore\n")).endswith(b"\nend\n")
+    assert (await _visit(listener.port, b"x" * (MAX_LINE_BYTES + 1))).startswith(b"error ")
     for _, writer in silent:
         writer.close()
-    desk.close()
+    listener.close()
 
 
-def test_visitors_that_say_nothing_keep_nobody_out() -> None:
-    run(_desk)
+def test_silent_connections_do_not_block_others() -> None:
+    run(_silent)
 
 
-# The node's own figures, and clients sent away --------------------------------------------------
+# The node's metrics, and draining of clients ----------------------------------------------------
 
 
 async def _figures() -> None:
@@ -185,7 +187,7 @@
         await r.until(lambda: r.node.metrics().down == 1)
 
 
-def test_the_figures_are_what_the_peers_saw() -> None:
+def test_the_metrics_match_what_the_servers_saw() -> None:
     run(_figures)
 
 
@@ -200,7 +202,7 @@
             assert (await caller.ask(call("safe")))[0] == 200
         assert r.node.send_away() == ""
         assert (await r.ask(READY))[0] == 503
-        status, head, _ = await used.ask(call("safe"))  # one that comes all the same is served
+        status, head, _ = await used.ask(call("safe"))  # a request that still arrives is served
         assert status == 200 and b"Connection: close" in head
         await _closed(used)
         await _closed(idle)
@@ -210,11 +212,11 @@
         assert b"Connection: close" not in (await kept.ask(call("safe")))[1]
 
 
-def test_clients_sent_away_are_answered_then_closed_and_taken_back() -> None:
+def test_drained_clients_are_answered_then_closed_and_accepted_after_resume() -> None:
     run(_away)
 
 
-# One process after another ----------------------------------------------------------------------
+# Replacement of a process -----------------------------------------------------------------------
 
 
 async def _successor(r: Rig, folder: str, port: int) -> Node:
@@ -240,9 +242,9 @@
             assert (await kept.ask(call("safe")))[0] == 200
             new = await _successor(r, folder, port)
             await r.until(lambda: old.door.succeeded)
-            assert old.pool.most + new.pool.most <= most  # both together keep to the limits
+            assert old.pool.most + new.pool.most <= most  # both together stay within the limit
             old.drain()
-            assert not old.listening  # at once: the new one listens
+            assert not old.listening  # at once: the new process listens
             status, head, _ = await kept.ask(call("safe"))
             assert status == 200 and b"Connection: close" in head
             for _ in range(20):
@@ -263,7 +265,7 @@
     with tempfile.TemporaryDirectory() as folder:
         one = Succession(folder, "a", lambda: None, lambda text: None)
         await one.start()
-        one.close()  # as a killed process leaves it: the socket's file is still there
+        one.close()  # as after a kill: the socket file remains
         assert os.listdir(folder)
         said: list[str] = []
         two = Succession(folder, "a", lambda: None, said.append)
--- a/tests/test_operatorfile.py
+++ b/tests/test_operatorfile.py
@@ -1,4 +1,4 @@
-"""Operator files: plain units in, one clear line out for whatever can't be used."""
+"""Operator files: units, defaults, and one-line errors for invalid values."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     return {**GOOD, "classes": [{key: value for key, value in row.items() if value is not None}]}
 
 
-def test_the_example_is_good_and_says_what_it_says() -> None:
+def test_the_example_file_is_read_as_written() -> None:
     config = operatorfile.read(ROOT / "deploy" / "minthitch.toml")
     search, trip, ticket = config.settings.classes
     assert (search.effect, search.aim, search.deadline) == (Effect.SAFE, 1500 * MILLISECOND, 4 * SECOND)
@@ -34,7 +34,7 @@
     assert [host.name for host in config.known.hosts] == ["127.0.0.1:9001", "127.0.0.1:9002"]
 
 
-def test_what_is_left_out_has_a_default() -> None:
+def test_omitted_keys_have_defaults() -> None:
     config = operatorfile.from_table(GOOD)
     assert config.settings.max_open == 1_000 and config.settings.retry_after
     assert config.listen == operatorfile.NO_LISTEN_ADDRESS and config.sockets == 1024
@@ -90,14 +90,16 @@
         ({**GOOD, "rules": {"drain_grace": 5}}, "rules.drain_grace = 5"),
     ],
 )
-def test_what_cannot_be_used_is_one_line_with_key_and_value(table: dict[str, Any], words: str) -> None:
+def test_an_invalid_value_is_reported_on_one_line_with_key_and_value(
+    table: dict[str, Any], words: str
+) -> None:
     with pytest.raises(ConfigError) as caught:
         operatorfile.from_table(table)
     assert words in str(caught.value) and "\n" not in str(caught.value)
 
 
 @pytest.mark.parametrize("text", ["a = ", "\x00", "[[[", "a = 1\na = 2"])
-def test_what_is_no_toml_names_its_file(tmp_path: Path, text: str) -> None:
+def test_a_toml_error_names_the_file(tmp_path: Path, text: str) -> None:
     path = tmp_path / "x.toml"
     path.write_text(text)
     with pytest.raises(ConfigError, match=r"x\.toml: "):
@@ -106,7 +108,7 @@
         operatorfile.read(tmp_path / "none.toml")
 
 
-def test_the_platforms_json_may_name_a_static_list() -> None:
+def test_the_json_configuration_accepts_a_static_list() -> None:
     table = {
         "name": "n",
         "listen": "127.0.0.1:1",
@@ -119,7 +121,7 @@
             platform_table({**table, "servers": bad}, {})
 
 
-def test_the_platform_names_where_staff_call_and_how_much_memory_there_is() -> None:
+def test_the_json_configuration_sets_the_admin_address_and_the_memory() -> None:
     table = {
         "name": "n",
         "listen": "127.0.0.1:1",
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""The operators' listener: what it shows, its bounds, and that it harms no caller."""
+"""The operators' listener: its pages, its bounds, and that its faults do not affect callers."""
 
 from __future__ import annotations
 
@@ -134,14 +134,14 @@
             server.kill_all()
             assert (await get(port, "/record/none"))[0] == 503
             server.always = ""
-            assert (await get(port, "/record/none"))[0] == 404  # it connects anew
+            assert (await get(port, "/record/none"))[0] == 404  # it reconnects
         assert await node.stop() == 0
     if server is not None:
         server.close()
 
 
 @pytest.mark.parametrize("postgres", [False, True])
-def test_a_node_shows_a_sale_from_either_store(tmp_path: Path, postgres: bool) -> None:
+def test_a_node_shows_a_record_from_either_store(tmp_path: Path, postgres: bool) -> None:
     run(_shown, tmp_path, postgres)
 
 
@@ -163,7 +163,7 @@
             await get(port, "/record/s1")
 
 
-def test_the_library_shows_it_too_and_closes_the_listener_with_itself(tmp_path: Path) -> None:
+def test_the_library_serves_records_and_closes_its_listener(tmp_path: Path) -> None:
     run(_library, tmp_path)
 
 
@@ -179,13 +179,13 @@
         ("127.0.0.1:1", "operators = '127.0.0.1:1' is not a table"),
     ],
 )
-def test_a_listener_that_cannot_be_is_one_line_with_key_and_value(table: object, words: str) -> None:
+def test_an_invalid_operators_table_is_reported_on_one_line(table: object, words: str) -> None:
     with pytest.raises(ConfigError) as caught:
         operatorfile.from_table({**GOOD, "operators": table})
     assert words in str(caught.value)
 
 
-def test_an_address_that_is_taken_ends_the_start_with_2(tmp_path: Path) -> None:
+def test_an_address_in_use_ends_the_start_with_exit_code_2(tmp_path: Path) -> None:
     async def day() -> None:
         async def play(made: Listener) -> None:
             path = tmp_path / "node.json"
--- a/tests/test_powerloss.py
+++ b/tests/test_powerloss.py
@@ -44,9 +44,9 @@
 ) -> SimulatedFleet:
     """Nodes that have just started, and have just heard of servers that have, too."""
     made = SimulatedFleet(setup or cold_settings(siblings), nodes, {}, seed)
-    made.machines.update({n: SimulatedServer(WARM, made.now) for n in range(1, servers + 1)})
+    made.servers.update({n: SimulatedServer(WARM, made.now) for n in range(1, servers + 1)})
     made.tell(
-        ListKind.FULL, tuple(ServerEntry(n, zone=n % 2, cell=n % 4, started=made.now) for n in made.machines)
+        ListKind.FULL, tuple(ServerEntry(n, zone=n % 2, cell=n % 4, started=made.now) for n in made.servers)
     )
     return made
 
@@ -67,7 +67,7 @@
     asked, served = fleet.requests, fleet.served
     fleet.run(5 * SECOND, SHARE * WARM * servers, CLASSES)
     assert fleet.served - served >= part * (fleet.requests - asked)
-    assert not any(fleet.cold_overloads(n) for n in fleet.machines)
+    assert not any(fleet.cold_overloads(n) for n in fleet.servers)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -77,7 +77,7 @@
     fleet = cold_crew(seed, 20, 30, int(20 * told))
     fleet.run(9 * SECOND, 10 * SHARE * WARM * 30, CLASSES)
     assert fleet.served > 0
-    assert not any(fleet.cold_overloads(n) for n in fleet.machines)
+    assert not any(fleet.cold_overloads(n) for n in fleet.servers)
 
 
 def test_what_is_too_much_for_cold_servers_is_refused_at_once() -> None:
@@ -119,7 +119,7 @@
     fleet = cold_crew(seed, 20, 30, 20)
     for there in range(2, 22, 2):  # two more a second
         fleet.run(SECOND, 0.7 * WARM * 30, CLASSES, among=there)
-    assert not any(fleet.cold_overloads(n) for n in fleet.machines)
+    assert not any(fleet.cold_overloads(n) for n in fleet.servers)
     asked, served = fleet.requests, fleet.served
     fleet.run(3 * SECOND, 0.7 * WARM * 30, CLASSES)
     assert fleet.served - served >= 0.8 * (fleet.requests - asked), "whole again behind the last"
@@ -129,10 +129,10 @@
 def test_servers_whose_start_is_told_as_in_the_future_are_served_and_spared(seed: int) -> None:
     fleet = cold_crew(seed, 6, 12, 6)
     later = fleet.now + 3_600 * SECOND
-    fleet.tell(ListKind.FULL, tuple(ServerEntry(n, cell=n % 4, started=later) for n in fleet.machines))
+    fleet.tell(ListKind.FULL, tuple(ServerEntry(n, cell=n % 4, started=later) for n in fleet.servers))
     fleet.run(8 * SECOND, 3 * SHARE * WARM * 12, CLASSES)
     assert fleet.served >= 0.5 * SHARE * WARM * 12 * 8
-    assert not any(fleet.cold_overloads(n) for n in fleet.machines)
+    assert not any(fleet.cold_overloads(n) for n in fleet.servers)
 
 
 # The rig's own parts ----------------------------------------------------------------------------
--- a/tests/test_record_keeper.py
+++ b/tests/test_record_keeper.py
@@ -21,7 +21,7 @@
 from rigs.faultystore import Faults, FaultyStore
 from rigs.servers import PATIENCE
 from tests.rules import KEYED_CELL, SAFE, UNSAFE
-from tests.test_engine import HandCarrier
+from tests.test_engine import ManualTransport
 from tests.test_node import run
 
 SETTINGS = Settings(
@@ -48,7 +48,7 @@
         self.path, self.faults = path, Faults()
         loop = asyncio.get_running_loop()
         self.engine = Engine(SETTINGS, 1, LoopClock(loop), lambda text: None)
-        self.carrier = self.engine.transport = HandCarrier()
+        self.carrier = self.engine.transport = ManualTransport()
         self.engine.listed(static_listing(["127.0.0.1:1", "127.0.0.1:2"]), ListKind.CACHED)
         self.keeper: RecordKeeper | None = None
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -267,7 +267,7 @@
     """Two seconds of a cold fleet whose nodes keep `off` times what they knew; None: they know nothing."""
     machines = {n: SimulatedServer(20.0) for n in range(1, 13)}
     before = SimulatedFleet(settings(siblings=6, idle_close=30 * SECOND), 6, machines, seed)
-    before.tell(ListKind.FULL, tuple(ServerEntry(n, cell=n % 4) for n in before.machines))
+    before.tell(ListKind.FULL, tuple(ServerEntry(n, cell=n % 4) for n in before.servers))
     before.run(6 * SECOND, 0.6 * 20.0 * 12)
     fleet = cold_crew(seed, 6, 12, 6)
     for node, old in zip(fleet.nodes, before.nodes, strict=True):
@@ -291,7 +291,7 @@
             fleet = after_a_loss(seed, off)
             served[off] += fleet.served
             fleet.run(6 * SECOND, 3 * 20.0 * 12, (SAFE,))
-            assert not any(fleet.cold_overloads(n) for n in fleet.machines), (off, seed)
+            assert not any(fleet.cold_overloads(n) for n in fleet.servers), (off, seed)
     assert served[1.0] > 1.1 * served[None], served
 
 
