--- a/minthitch/asgi.py
+++ b/minthitch/asgi.py
@@ -15,7 +15,7 @@
 from minthitch.embedded.errors import BadCall, ClientClosed
 from minthitch.embedded.requests import of_class, whole_seconds
 from minthitch.engine.calls import Answer, Refused, Served
-from minthitch.engine.fields import MAX_BODY_BYTES
+from minthitch.engine.fields import MAX_REQUEST_BODY_BYTES
 from minthitch.interface import Effect
 
 Scope = MutableMapping[str, Any]
@@ -155,7 +155,7 @@
 async def _body(receive: Receive, fields: dict[bytes, bytes]) -> bytes:
     """The whole body. Raises _TooLong before it fills the memory, _Left when the caller goes."""
     stated = fields.get(b"content-length", b"")
-    if stated.isdigit() and (len(stated) > 9 or int(stated) > MAX_BODY_BYTES):
+    if stated.isdigit() and (len(stated) > 9 or int(stated) > MAX_REQUEST_BODY_BYTES):
         raise _TooLong
     parts: list[bytes] = []
     size = 0
@@ -165,7 +165,7 @@
             raise _Left
         parts.append(message.get("body", b""))
         size += len(parts[-1])
-        if size > MAX_BODY_BYTES:
+        if size > MAX_REQUEST_BODY_BYTES:
             raise _TooLong
         if not message.get("more_body", False):
             return b"".join(parts)
--- a/minthitch/embedded/requests.py
+++ b/minthitch/embedded/requests.py
@@ -12,7 +12,7 @@
 from minthitch import interface as api
 from minthitch.embedded.errors import BadCall
 from minthitch.engine import Call, Message, Refused, Rejected
-from minthitch.engine.fields import MAX_BODY_BYTES, NOT_FORWARDED, CallParser, session_key
+from minthitch.engine.fields import MAX_REQUEST_BODY_BYTES, NOT_FORWARDED, CallParser, session_key
 
 MOST_SECONDS = 1e6
 MOST_HEAD = 32 * 1024  # bytes of a request in front of its body, as at the daemon
@@ -144,8 +144,8 @@
     def _check(target: bytes, body: bytes, timeout: float | None) -> None:
         if timeout is not None and not 0 < timeout < MOST_SECONDS:
             raise BadCall(f"timeout {timeout!r} is not a number of seconds above 0")
-        if len(body) > MAX_BODY_BYTES:
-            raise BadCall(f"the body holds {len(body)} bytes, over {MAX_BODY_BYTES}", 413)
+        if len(body) > MAX_REQUEST_BODY_BYTES:
+            raise BadCall(f"the body holds {len(body)} bytes, over {MAX_REQUEST_BODY_BYTES}", 413)
         if not TARGET.fullmatch(target):  # danger: a space or line end would begin another request
             raise BadCall(f"bad target {target[:60]!r}")
 
--- a/minthitch/engine/core.py
+++ b/minthitch/engine/core.py
@@ -342,7 +342,7 @@
         return learned_state.export_state(self.balancer, self.clock.now(), servers, kinds)
 
     def restore_learned(self, table: learned_state.Table, last: bool) -> None:
-        """Imports what the replaced process has learned. `last`: it has ended, and its calls come here."""
+        """Imports what the replaced process has learned. `last`: it ends, and its calls come here."""
         if not isinstance(self.balancer, Balancer):
             return
         try:
@@ -354,7 +354,7 @@
                     self.balancer, self.clock.now(), table, servers, self.server_table.kinds, HANDOVER_SHARE
                 )
         except (ValueError, KeyError, TypeError, AttributeError) as err:
-            self.log(f"what the process before has learned can't be used: {type(err).__name__}: {err}")
+            self.log(f"learned state of the previous process can't be used: {type(err).__name__}: {err}")
 
     # Lists and draining --------------------------------------------------------------------------
 
--- a/minthitch/engine/fields.py
+++ b/minthitch/engine/fields.py
@@ -9,7 +9,7 @@
 from minthitch import interface as api
 from minthitch.engine.calls import Call, Message, Rejected
 
-MAX_BODY_BYTES = 64 * 1024  # of a request
+MAX_REQUEST_BODY_BYTES = 64 * 1024  # of a request
 TIME_LEFT = re.compile(rb"(\d{1,12}(?:\.\d{1,9})?)([mu])")
 DECIMAL = re.compile(rb"\d{1,12}(?:\.\d{1,9})?")
 NOT_FORWARDED = frozenset(
--- a/minthitch/net/callers.py
+++ b/minthitch/net/callers.py
@@ -15,7 +15,7 @@
 from minthitch import interface as api
 from minthitch.engine.attempts import Request
 from minthitch.engine.calls import Answer, Call, Refused, Rejected, Served
-from minthitch.engine.fields import MAX_BODY_BYTES, NOT_FORWARDED
+from minthitch.engine.fields import MAX_REQUEST_BODY_BYTES, NOT_FORWARDED
 from minthitch.engine.stream import Stream
 from minthitch.net.crowd import victim
 from minthitch.net.uploads import STEP, Room
@@ -97,7 +97,7 @@
         self.request: Request | None = None  # the engine's, of the one in work
         self.asked = 0  # requests answered
         self.since = self.loop.time()  # when it connected, began its request, became idle or was closed
-        self.granted = MAX_BODY_BYTES  # bytes of the body that may be read
+        self.granted = MAX_REQUEST_BODY_BYTES  # bytes of the body that may be read
         self.whole = 0  # bytes of long bodies that have come whole and are held
         self.held_up = False  # until there is room for its body
         self.slack = 0  # bytes of the body that came before it was held up last
@@ -169,7 +169,7 @@
 
     def on_message_begin(self) -> None:
         self.coming, self.raw, self.size, self.slack, self.body = Incoming(), 0, 0, 0, io.BytesIO()
-        self.granted, self.headed = MAX_BODY_BYTES, False
+        self.granted, self.headed = MAX_REQUEST_BODY_BYTES, False
         self.reading = True
         if self.asked or self.current is not None:
             self.since = self.loop.time()  # the first request's time counts from the connection
@@ -211,7 +211,7 @@
 
     def _make_room(self, size: int) -> None:
         """Long bodies are read within one sum for all callers; danger: many at once would fill the memory."""
-        if size > max(MAX_BODY_BYTES, self.granted):
+        if size > max(MAX_REQUEST_BODY_BYTES, self.granted):
             if self.whole + size > self.table.room.hard:
                 raise Rejected(413, "body too long for the memory that there is")
             self.granted = size
@@ -235,7 +235,7 @@
         coming.body, coming.heard = self.body.getvalue(), self.heard
         coming.keep = self.parser.should_keep_alive()
         coming.chunks = self.parser.get_http_version() != "1.0"
-        if self.size > MAX_BODY_BYTES:
+        if self.size > MAX_REQUEST_BODY_BYTES:
             self.whole += self.size
         self.body, self.reading, self.headed, self.raw = io.BytesIO(), False, False, 0
         self.waiting.append(coming)
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -103,7 +103,7 @@
     def run(
         self, span: int, rate: float, classes: tuple[RequestClass, ...] = (SAFE,), among: int | None = None
     ) -> None:
-        """Sends `rate` requests per second for `span` ns, classes in turn, to all or the first `among` nodes."""
+        """Sends `rate` requests per second for `span` ns, classes in turn; `among`: only to the first nodes."""
         until, at = self.now + span, self.now
         while (at := at + int(self.random.expovariate(rate) * SECOND)) < until:
             self._serve(at)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -69,8 +69,8 @@
 
 
 def test_a_cold_server_is_not_starved_while_the_warm_ones_are_congested() -> None:
-    """Calls that a server had earned once counted against it for ever: new servers got 20 calls in 1.5 s, then
-    only one, while the old ones had 27 in flight each (join+vast, seed 17, 7a29cb9f).
+    """Calls that a server had earned once counted against it for ever: new servers got 20 calls in 1.5 s,
+    then only one, while the old ones had 27 in flight each (join+vast, seed 17, 7a29cb9f).
     """
     node, sent = Node(settings(siblings=7, tier=1), 3), []
     node.listed(4)
@@ -131,7 +131,7 @@
 
 @pytest.mark.parametrize(("strain", "less"), [(1.4, False), (1.6, True), (2.5, True)])
 def test_the_limit_shrinks_as_queues_build_up(strain: float, less: bool) -> None:
-    """Holding the limit while latency was 1.5 to 2 times the baseline kept servers slow to the end of the run
+    """Holding the limit while latency was 1.5 to 2 times the baseline kept servers slow to the end
     (zone+mass, seed 11).
     """
     node = trained()
