--- a/minthitch/engine/servers.py
+++ b/minthitch/engine/servers.py
@@ -56,10 +56,10 @@
         entries = tuple(entry for host in listing.hosts if (entry := self._entry(host)))
         if kind is not api.ListKind.CHANGES:
             # An invalid entry in a full list must not remove its server, which may serve well.
-            odd = {name for name, _ in listing.invalid}
-            entries += tuple(self.by_name[name].entry for name in sorted(odd) if name in self.by_name)
-            named = {host.name for host in listing.hosts} | odd
-            for name in [name for name in self.by_name if name not in named]:
+            invalid = {name for name, _ in listing.invalid}
+            entries += tuple(self.by_name[name].entry for name in sorted(invalid) if name in self.by_name)
+            listed = {host.name for host in listing.hosts} | invalid
+            for name in [name for name in self.by_name if name not in listed]:
                 self._remove(name)
         self.seq = listing.seq
         return entries, self._to_hang_up
--- a/minthitch/fleet/count.py
+++ b/minthitch/fleet/count.py
@@ -40,9 +40,7 @@
     peak_in_flight: Counter[int] = field(default_factory=Counter)  # in flight at most in the window
     latencies_ms: dict[int, list[int]] = field(default_factory=dict)  # of successful answers
     ready_at: dict[str, int] = field(default_factory=dict)  # node: ms at which a list named it ready
-    withdrawn_at: dict[str, int] = field(
-        default_factory=dict
-    )  # node: ms at which a list named it draining or gone
+    withdrawn_at: dict[str, int] = field(default_factory=dict)  # node: ms at which it drained or was gone
     in_flight: int = 0
 
 
@@ -85,8 +83,8 @@
         node.tier = words[1]
         for row in words[2:]:
             server, _zone, _kind, state = row.rsplit(":", 3)
-            told = self._server(node, server)
-            (told.ready_at if state == "READY" else told.withdrawn_at).setdefault(name, at)
+            counts = self._server(node, server)
+            (counts.ready_at if state == "READY" else counts.withdrawn_at).setdefault(name, at)
 
     def _take_a(self, name: str, node: NodeState, at: int, words: list[str]) -> None:
         window = self._window(node, at)
--- a/minthitch/listing.py
+++ b/minthitch/listing.py
@@ -106,18 +106,20 @@
     """Parses a list or a change from decoded JSON, each entry separately. Raises ListError."""
     if not isinstance(value, dict) or not isinstance(value.get("hosts"), list):
         raise ListError("no list of hosts")
-    hosts, odd = list[Host](), list[tuple[str, str]]()
+    hosts, invalid = list[Host](), list[tuple[str, str]]()
     for row in value["hosts"]:
         try:
             hosts.append(_host(row))
         except ListError as err:
             name = row.get("host") if isinstance(row, dict) else None
-            odd.append((name if isinstance(name, str) else "", str(err)))
-            if (gone := _as_removed(row)) is not None:
-                hosts.append(gone)
-    if odd and not hosts:
-        raise ListError(f"no entry can be used ({odd[0][1]})")
-    return Listing(_whole_number(value, "seq", None), value.get("whole") is True, tuple(hosts), tuple(odd))
+            invalid.append((name if isinstance(name, str) else "", str(err)))
+            if (removal := _as_removed(row)) is not None:
+                hosts.append(removal)
+    if invalid and not hosts:
+        raise ListError(f"no entry can be used ({invalid[0][1]})")
+    return Listing(
+        _whole_number(value, "seq", None), value.get("whole") is True, tuple(hosts), tuple(invalid)
+    )
 
 
 def decode(text: bytes) -> Listing:
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -85,7 +85,7 @@
         self.attempts = Counter[tuple[int, int]]()  # node, request: sends so far
         self.now = self.nodes[0].now
 
-    def tell(self, kind: ListKind, entries: tuple[ServerEntry, ...]) -> None:
+    def deliver_list(self, kind: ListKind, entries: tuple[ServerEntry, ...]) -> None:
         for i, node in enumerate(self.nodes):
             node.wait(self.now - node.now)
             node.feed(ListUpdate(kind, entries))
@@ -95,7 +95,7 @@
         """Replaces servers by cold ones; all nodes get the list change at once."""
         for number, before in zip(new, old, strict=True):
             self.servers[number] = SimulatedServer(self.servers[before].rate, self.now)
-        self.tell(
+        self.deliver_list(
             ListKind.CHANGES,
             (*(ServerEntry(s, State.GONE) for s in old), *(ServerEntry(s, started=self.now) for s in new)),
         )
@@ -103,7 +103,7 @@
     def run(
         self, span: int, rate: float, classes: tuple[RequestClass, ...] = (SAFE,), among: int | None = None
     ) -> None:
-        """Sends `rate` requests per second for `span` ns, classes in turn; `among`: only to the first nodes."""
+        """Sends `rate` requests per second for `span` ns, classes in turn, to all or `among` nodes."""
         until, at = self.now + span, self.now
         while (at := at + int(self.random.expovariate(rate) * SECOND)) < until:
             self._serve(at)
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -49,42 +49,42 @@
 
 def test_an_earlier_timer_set_later_fires_first_even_if_set_by_a_timer() -> None:
     async def body(clock: LoopClock) -> None:
-        heard, done, now = list[str](), asyncio.Event(), clock.now()
+        fired, done, now = list[str](), asyncio.Event(), clock.now()
 
         def first() -> None:
-            heard.append("first")
-            clock.at(clock.now() + MILLISECOND, lambda: heard.append("second"))
+            fired.append("first")
+            clock.at(clock.now() + MILLISECOND, lambda: fired.append("second"))
 
         clock.at(now + 40 * MILLISECOND, done.set)
         clock.at(now + 5 * MILLISECOND, first)
         await done.wait()
-        assert heard == ["first", "second"]
+        assert fired == ["first", "second"]
 
     on(uvloop.new_event_loop, body)
 
 
 def test_a_cancelled_timer_does_not_fire_and_is_removed() -> None:
     async def body(clock: LoopClock) -> None:
-        heard, done = list[int](), asyncio.Event()
-        timer = clock.at(clock.now() + MILLISECOND, lambda: heard.append(1))
+        fired, done = list[int](), asyncio.Event()
+        timer = clock.at(clock.now() + MILLISECOND, lambda: fired.append(1))
         clock.at(clock.now() + 10 * MILLISECOND, done.set)
         timer.cancel()
         timer.cancel()
         await done.wait()
-        assert not heard and clock.cancelled == 0 and not clock.heap
+        assert not fired and clock.cancelled == 0 and not clock.heap
 
     on(uvloop.new_event_loop, body)
 
 
 def test_a_fault_in_one_timer_does_not_stop_the_others() -> None:
     async def body(clock: LoopClock) -> None:
-        told, done = list[str](), asyncio.Event()
-        clock.loop.set_exception_handler(lambda _loop, context: told.append(str(context["exception"])))
+        errors, done = list[str](), asyncio.Event()
+        clock.loop.set_exception_handler(lambda _loop, context: errors.append(str(context["exception"])))
         now = clock.now()
         clock.at(now, lambda: [][1])
         clock.at(now, done.set)
         await done.wait()
-        assert told == ["list index out of range"]
+        assert errors == ["list index out of range"]
 
     on(uvloop.new_event_loop, body)
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -193,9 +193,9 @@
 
 def test_the_deadline_counts_from_when_the_call_was_received() -> None:
     w = EngineHarness()
-    heard = w.clock.now() - 800 * MS  # it waited behind others, or the process was paused
-    request = w.ask(left=SECOND, received_at=heard)
-    assert request.deadline == heard + SECOND
+    received = w.clock.now() - 800 * MS  # it waited behind others, or the process was paused
+    request = w.ask(left=SECOND, received_at=received)
+    assert request.deadline == received + SECOND
     w.ask(left=SECOND, received_at=w.clock.now() - 2 * SECOND)  # expired on arrival: refused, not sent
     assert w.outcomes == ["Refused"] and len(w.transport.attempts) == 1
 
@@ -325,12 +325,12 @@
 
 
 def test_a_static_source_delivers_its_list_on_each_request() -> None:
-    heard: list[tuple[Listing, ListKind]] = []
+    received: list[tuple[Listing, ListKind]] = []
     listing = static_listing(["127.0.0.1:1"])
-    source = StaticSource(listing, lambda *given: heard.append(given))
+    source = StaticSource(listing, lambda *given: received.append(given))
     source.subscribe()
     source.refresh()
-    assert heard == [(listing, ListKind.FULL)] * 2
+    assert received == [(listing, ListKind.FULL)] * 2
 
 
 def test_tenant_key_cost_and_repeat_are_parsed_from_fields() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,15 +15,15 @@
 
 
 def fleet_under_load(seed: int, count: int = 40, servers: int = 10, load: float = 0.5) -> SimulatedFleet:
-    made = SimulatedFleet(
+    fleet = SimulatedFleet(
         settings(siblings=count, cold_share=0.3, cold_time=8 * SECOND),
         count,
         {number: SimulatedServer(WARM) for number in range(1, servers + 1)},
         seed,
     )
-    made.tell(ListKind.CACHED, entries(servers))
-    made.run(8 * SECOND, load * WARM * servers)
-    return made
+    fleet.deliver_list(ListKind.CACHED, entries(servers))
+    fleet.run(8 * SECOND, load * WARM * servers)
+    return fleet
 
 
 @pytest.mark.parametrize("gone", [6, 10])  # some or none of the warm servers stay
--- a/tests/test_fleet_count.py
+++ b/tests/test_fleet_count.py
@@ -161,12 +161,14 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "said"),
+    ("arguments", "message"),
     [
         (("nosuch",), "folder nosuch: no log of a node that ran `traced`"),
         (("nosuch", "--window", "0"), "--window 0.0 is not from 0.1 to 3600.0"),
     ],
 )
-def test_an_invalid_folder_or_window_is_reported_on_one_line(words: tuple[str, ...], said: str) -> None:
-    ran = command("fleet", "count", *words)
-    assert (ran.returncode, ran.stderr) == (2, f"minthitch: {said}\n")
+def test_an_invalid_folder_or_window_is_reported_on_one_line(
+    arguments: tuple[str, ...], message: str
+) -> None:
+    ran = command("fleet", "count", *arguments)
+    assert (ran.returncode, ran.stderr) == (2, f"minthitch: {message}\n")
--- a/tests/test_fleet_hard.py
+++ b/tests/test_fleet_hard.py
@@ -14,9 +14,9 @@
 
 def new_fleet(seed: int, nodes: int, servers: int) -> SimulatedFleet:
     setup = settings(siblings=nodes, cold_share=0.3, cold_time=8 * SECOND, idle_close=30 * SECOND)
-    made = SimulatedFleet(setup, nodes, {n: SimulatedServer(WARM) for n in range(1, servers + 1)}, seed)
-    made.tell(ListKind.CACHED, entries(servers))
-    return made
+    fleet = SimulatedFleet(setup, nodes, {n: SimulatedServer(WARM) for n in range(1, servers + 1)}, seed)
+    fleet.deliver_list(ListKind.CACHED, entries(servers))
+    return fleet
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -51,11 +51,11 @@
     for number in lost:
         fleet.servers[number].dead = True
     fleet.run(2 * SECOND, 0.4 * WARM * 30, CLASSES)  # every node gets refusals
-    fleet.tell(ListKind.CHANGES, tuple(ServerEntry(n, State.GONE) for n in lost))
+    fleet.deliver_list(ListKind.CHANGES, tuple(ServerEntry(n, State.GONE) for n in lost))
     fleet.run(3 * SECOND, 0.4 * WARM * 30, CLASSES)
     for number in lost:
         fleet.servers[number] = SimulatedServer(WARM, fleet.now)
-    fleet.tell(
+    fleet.deliver_list(
         ListKind.CHANGES,
         tuple(ServerEntry(n, zone=(n - 1) % 2, cell=(n - 1) % 4, started=fleet.now) for n in lost),
     )
@@ -75,13 +75,13 @@
     for number in zone:
         fleet.servers[number].silent = True
     fleet.run(3 * SECOND, 0.4 * WARM * 10, CLASSES)
-    fleet.tell(ListKind.CHANGES, tuple(ServerEntry(n, State.GONE) for n in zone))
+    fleet.deliver_list(ListKind.CHANGES, tuple(ServerEntry(n, State.GONE) for n in zone))
     asked, served = fleet.requests, fleet.served
     fleet.run(3 * SECOND, 0.2 * WARM * 10, CLASSES)
     assert fleet.served - served >= 0.8 * (fleet.requests - asked), "the others keep serving"
     for number in zone:
         fleet.servers[number] = SimulatedServer(WARM, fleet.now)
-    fleet.tell(
+    fleet.deliver_list(
         ListKind.CHANGES,
         tuple(ServerEntry(n, zone=(n - 1) % 2, cell=(n - 1) % 4, started=fleet.now) for n in zone),
     )
@@ -128,7 +128,7 @@
     for number in range(11, 17):
         fleet.servers[number] = SimulatedServer(WARM, fleet.now)
     for listing in (new, old, new, new):
-        fleet.tell(ListKind.FULL, listing)
+        fleet.deliver_list(ListKind.FULL, listing)
         fleet.run(2 * SECOND, 0.3 * WARM * 10)
     for node in fleet.nodes:
         assert set(node.balancer.servers) == {e.server for e in new}
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -48,7 +48,7 @@
 
 def test_each_command_is_answered_with_done_or_error() -> None:
     node = FakeNode()
-    said = [
+    answers = [
         answer(line, node)
         for line in (
             b"ready",
@@ -62,7 +62,7 @@
             b"drain now",
         )
     ]
-    assert [text.split()[0] for text in said] == [
+    assert [text.split()[0] for text in answers] == [
         "done",
         "done",
         "done",
@@ -73,9 +73,9 @@
         "error",
         "error",
     ]
-    assert all("\n" not in text for text in said)
+    assert all("\n" not in text for text in answers)
     assert node.ready()  # the command with an extra word changed nothing
-    assert "'halt'" in said[7] and all(name in said[7] for name in COMMANDS)
+    assert "'halt'" in answers[7] and all(name in answers[7] for name in COMMANDS)
 
 
 def test_metrics_are_listed_per_class_and_end_with_an_end_line() -> None:
@@ -267,13 +267,13 @@
         await one.start()
         one.close()  # as after a kill: the socket file remains
         assert os.listdir(folder)
-        said: list[str] = []
-        two = Succession(folder, "a", lambda: None, said.append)
+        log: list[str] = []
+        two = Succession(folder, "a", lambda: None, log.append)
         await two.start()
-        assert not two.predecessor and not said
-        long = Succession(folder, "a" * 200, lambda: None, said.append)
+        assert not two.predecessor and not log
+        long = Succession(folder, "a" * 200, lambda: None, log.append)
         await long.start()
-        assert len(said) == 1 and "too long" in said[0]
+        assert len(log) == 1 and "too long" in log[0]
         two.close()
 
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -38,14 +38,14 @@
     return await ask(port, f"GET {path} HTTP/1.1\r\nHost: a\r\n\r\n".encode())
 
 
-async def with_pages(pages: dict[str, Page], play: Callable[[Listener], Awaitable[None]]) -> list[str]:
+async def with_pages(pages: dict[str, Page], check: Callable[[Listener], Awaitable[None]]) -> list[str]:
     lines: list[str] = []
-    made = Listener(pages, lines.append)
-    await made.start("127.0.0.1", 0)
+    listener = Listener(pages, lines.append)
+    await listener.start("127.0.0.1", 0)
     try:
-        await play(made)
+        await check(listener)
     finally:
-        await made.close()
+        await listener.close()
     return lines
 
 
@@ -74,39 +74,39 @@
 ) -> None:
     monkeypatch.setattr(listener_module, "ANSWER_TIMEOUT_S", 0.1)
 
-    async def play(made: Listener) -> None:
-        got, body = await ask(made.port, data)
+    async def check(listener: Listener) -> None:
+        got, body = await ask(listener.port, data)
         assert got == status and words in json.dumps(body)
 
-    async def day() -> None:
-        lines = await with_pages({"echo": echo}, play)
+    async def scenario() -> None:
+        lines = await with_pages({"echo": echo}, check)
         assert bool(lines) == (status == 500)
 
-    run(day)
+    run(scenario)
 
 
 def test_connections_are_bounded_and_silent_ones_end(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(listener_module, "READ_TIMEOUT_S", 0.2)
 
-    async def play(made: Listener) -> None:
+    async def check(listener: Listener) -> None:
         silent = [
-            await asyncio.open_connection("127.0.0.1", made.port)
+            await asyncio.open_connection("127.0.0.1", listener.port)
             for _ in range(listener_module.MAX_CONNECTIONS)
         ]
         async with asyncio.timeout(PATIENCE):
-            while made.connections < len(silent):
+            while listener.connections < len(silent):
                 await asyncio.sleep(0)
-            status, _ = await get(made.port, "/echo/a")
+            status, _ = await get(listener.port, "/echo/a")
             assert status == 503
             for reader, writer in silent:
                 assert await reader.read() == b""
                 writer.close()
-        assert (await get(made.port, "/echo/a"))[0] == 200
+        assert (await get(listener.port, "/echo/a"))[0] == 200
 
-    async def day() -> None:
-        await with_pages({"echo": echo}, play)
+    async def scenario() -> None:
+        await with_pages({"echo": echo}, check)
 
-    run(day)
+    run(scenario)
 
 
 async def _shown(folder: Path, postgres: bool) -> None:
@@ -186,8 +186,8 @@
 
 
 def test_an_address_in_use_ends_the_start_with_exit_code_2(tmp_path: Path) -> None:
-    async def day() -> None:
-        async def play(made: Listener) -> None:
+    async def scenario() -> None:
+        async def check(listener: Listener) -> None:
             path = tmp_path / "node.json"
             path.write_text(
                 json.dumps(
@@ -196,14 +196,14 @@
                         "listen": f"127.0.0.1:{free_port()}",
                         "servers": ["127.0.0.1:2"],
                         "settings": SETTINGS,
-                        "operators": {"listen": f"127.0.0.1:{made.port}"},
+                        "operators": {"listen": f"127.0.0.1:{listener.port}"},
                     }
                 )
             )
-            done = await asyncio.to_thread(command, "serve", str(path))
-            assert done.returncode == 2 and f"operators.listen = 127.0.0.1:{made.port}" in done.stderr
-            assert len(done.stderr.splitlines()) == 1 and os.linesep in done.stderr
+            result = await asyncio.to_thread(command, "serve", str(path))
+            assert result.returncode == 2 and f"operators.listen = 127.0.0.1:{listener.port}" in result.stderr
+            assert len(result.stderr.splitlines()) == 1 and os.linesep in result.stderr
 
-        await with_pages({}, play)
+        await with_pages({}, check)
 
-    run(day)
+    run(scenario)
--- a/tests/test_powerloss.py
+++ b/tests/test_powerloss.py
@@ -45,7 +45,7 @@
     """Nodes that have just started, and have just heard of servers that have, too."""
     made = SimulatedFleet(setup or cold_settings(siblings), nodes, {}, seed)
     made.servers.update({n: SimulatedServer(WARM, made.now) for n in range(1, servers + 1)})
-    made.tell(
+    made.deliver_list(
         ListKind.FULL, tuple(ServerEntry(n, zone=n % 2, cell=n % 4, started=made.now) for n in made.servers)
     )
     return made
@@ -129,7 +129,7 @@
 def test_servers_whose_start_is_told_as_in_the_future_are_served_and_spared(seed: int) -> None:
     fleet = cold_crew(seed, 6, 12, 6)
     later = fleet.now + 3_600 * SECOND
-    fleet.tell(ListKind.FULL, tuple(ServerEntry(n, cell=n % 4, started=later) for n in fleet.servers))
+    fleet.deliver_list(ListKind.FULL, tuple(ServerEntry(n, cell=n % 4, started=later) for n in fleet.servers))
     fleet.run(8 * SECOND, 3 * SHARE * WARM * 12, CLASSES)
     assert fleet.served >= 0.5 * SHARE * WARM * 12 * 8
     assert not any(fleet.cold_overloads(n) for n in fleet.servers)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -267,7 +267,7 @@
     """Two seconds of a cold fleet whose nodes keep `off` times what they knew; None: they know nothing."""
     machines = {n: SimulatedServer(20.0) for n in range(1, 13)}
     before = SimulatedFleet(settings(siblings=6, idle_close=30 * SECOND), 6, machines, seed)
-    before.tell(ListKind.FULL, tuple(ServerEntry(n, cell=n % 4) for n in before.servers))
+    before.deliver_list(ListKind.FULL, tuple(ServerEntry(n, cell=n % 4) for n in before.servers))
     before.run(6 * SECOND, 0.6 * 20.0 * 12)
     fleet = cold_crew(seed, 6, 12, 6)
     for node, old in zip(fleet.nodes, before.nodes, strict=True):
