--- a/tests/test_lab_run.py
+++ b/tests/test_lab_run.py
@@ -123,7 +123,7 @@
         if request.number % 10:
             inner(self, request, answer)
 
-    monkeypatch.setattr(Engine, "_hand_over", every_tenth)
+    monkeypatch.setattr(Engine, "_deliver", every_tenth)
     lost = play("calm")
     assert lost["broken"][ANSWERS] > 10 and "has none" in lost["breaches"][0]
 
--- a/tests/test_silent_discovery.py
+++ b/tests/test_silent_discovery.py
@@ -124,7 +124,7 @@
 
     def look(self) -> None:
         """Notes whether an attempt that was decided before, and connects still, might be written now."""
-        request = cast(Request, SimpleNamespace(over=False, deadline=60 * SECOND))
+        request = cast(Request, SimpleNamespace(closed=False, deadline=60 * SECOND))
         server = self.engine.server_table.by_name.get("s0")
         self.writes.append(server is not None and self.engine.may_write(request, server))
 
