--- a/minthitch/__main__.py
+++ b/minthitch/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m minthitch`: one node, told what it is by the file named in BALANCER_CONFIG; or a command."""
+"""`python -m minthitch`: a node configured by the file in BALANCER_CONFIG, or a command."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 import sys
 
 from minthitch.config import ConfigError, read_config
-from minthitch.program import complain, run
+from minthitch.program import report_config_error, run
 
 
 def main() -> int:
     if len(sys.argv) > 1:
-        from minthitch.cli.commands import main as command  # not needed, and not loaded, on the platform
+        from minthitch.cli.commands import main as command  # not loaded for a node
 
         return command(sys.argv[1:])
     path = os.environ.get("BALANCER_CONFIG")
@@ -20,7 +20,7 @@
             raise ConfigError("BALANCER_CONFIG names no file")
         config = read_config(path)
     except ConfigError as err:
-        return complain(err)
+        return report_config_error(err)
     return run(config, lambda: read_config(path))
 
 
--- a/minthitch/asgi.py
+++ b/minthitch/asgi.py
@@ -15,7 +15,7 @@
 from minthitch.embedded.errors import BadCall, ClientClosed
 from minthitch.embedded.requests import retry_after_seconds, with_service_class
 from minthitch.engine.calls import Answer, Refused, Served
-from minthitch.engine.fields import MOST_BODY
+from minthitch.engine.fields import MAX_REQUEST_BODY_BYTES
 from minthitch.interface import Effect
 
 Scope = MutableMapping[str, Any]
@@ -155,7 +155,7 @@
 async def _read_body(receive: Receive, fields: dict[bytes, bytes]) -> bytes:
     """The whole body. Raises _BodyTooLarge before it fills the memory, _Disconnected if the caller leaves."""
     stated = fields.get(b"content-length", b"")
-    if stated.isdigit() and (len(stated) > 9 or int(stated) > MOST_BODY):
+    if stated.isdigit() and (len(stated) > 9 or int(stated) > MAX_REQUEST_BODY_BYTES):
         raise _BodyTooLarge
     parts: list[bytes] = []
     size = 0
@@ -165,7 +165,7 @@
             raise _Disconnected
         parts.append(message.get("body", b""))
         size += len(parts[-1])
-        if size > MOST_BODY:
+        if size > MAX_REQUEST_BODY_BYTES:
             raise _BodyTooLarge
         if not message.get("more_body", False):
             return b"".join(parts)
--- a/minthitch/embedded/requests.py
+++ b/minthitch/embedded/requests.py
@@ -12,8 +12,7 @@
 from minthitch import interface as api
 from minthitch.embedded.errors import BadCall
 from minthitch.engine import Call, Message, Refused, Rejected
-from minthitch.engine.fields import MOST_BODY, NOT_FORWARDED, Reader
-from minthitch.engine.fields import key as session_key
+from minthitch.engine.fields import MAX_REQUEST_BODY_BYTES, NOT_FORWARDED, CallParser, session_key
 
 MAX_SECONDS = 1e6
 MAX_HEADER_BYTES = 32 * 1024  # of all header fields of a request, as in the daemon
@@ -85,7 +84,7 @@
     """Builds calls according to the settings of one client."""
 
     def __init__(self, settings: api.Settings, authority: str) -> None:
-        self.settings, self.reader = settings, Reader(settings)
+        self.settings, self.reader = settings, CallParser(settings)
         self.class_indexes = {spec.name: i for i, spec in enumerate(settings.classes)}
         self.class_names = [spec.name.encode() for spec in settings.classes]
         self.authority = authority.encode()
@@ -138,8 +137,8 @@
             name.encode(),
             cls,
             message,
-            left=None if timeout is None else int(timeout * api.SECOND),
-            heard=now,
+            time_left=None if timeout is None else int(timeout * api.SECOND),
+            received_at=now,
             tenant=self.reader.tenants.get(tenant.encode(), len(self.reader.tenants)),
             key=session_key(table),
             cost=int(cost * api.SECOND),
@@ -150,8 +149,8 @@
     def _check(target: bytes, body: bytes, timeout: float | None) -> None:
         if timeout is not None and not 0 < timeout < MAX_SECONDS:
             raise BadCall(f"timeout {timeout!r} is not a number of seconds above 0")
-        if len(body) > MOST_BODY:
-            raise BadCall(f"the body holds {len(body)} bytes, over {MOST_BODY}", 413)
+        if len(body) > MAX_REQUEST_BODY_BYTES:
+            raise BadCall(f"the body holds {len(body)} bytes, over {MAX_REQUEST_BODY_BYTES}", 413)
         if not TARGET.fullmatch(target):  # danger: a space or line end would allow request smuggling
             raise BadCall(f"bad target {target[:60]!r}")
 
--- a/minthitch/embedded/worker.py
+++ b/minthitch/embedded/worker.py
@@ -20,7 +20,7 @@
 from minthitch.embedded.loop_queue import LoopQueue
 from minthitch.embedded.pending import PendingCall
 from minthitch.engine import Engine, Failed, LoopClock, Refused, Rejected, Source, StaticSource
-from minthitch.engine.core import pause_when_full
+from minthitch.engine.core import retry_after_when_full
 from minthitch.log import LineLog
 from minthitch.net.discovery import Discovery
 from minthitch.net.pool import Pool
@@ -86,7 +86,9 @@
             assert self.inbox is not None
             if len(self.held) >= self.max_held:
                 spec = self.settings.classes[pending.call.cls]
-                return Refused(pause_when_full(self.settings, spec, self.random), "too many calls are held")
+                return Refused(
+                    retry_after_when_full(self.settings, spec, self.random), "too many calls are held"
+                )
             self.held.add(pending)
             self.inbox.put(lambda: self._admit(pending))
         return None
@@ -157,7 +159,7 @@
         )
         clock = LoopClock(loop)
         engine = self.engine = Engine(config.settings, config.seed, clock, log, ended.set)
-        pool = engine.carrier = Pool(config.settings, config.sockets - RESERVED_DESCRIPTORS)
+        pool = engine.transport = Pool(config.settings, config.sockets - RESERVED_DESCRIPTORS)
         source = engine.source = self._source(engine)
         recording = None
         if config.record is not None:
@@ -213,7 +215,7 @@
     def _abandon(self, pending: PendingCall) -> None:
         assert self.engine is not None
         if pending.request is not None:
-            self.engine.leave(pending.request)
+            self.engine.abandon(pending.request)
         self.discard(pending)
 
     def discard(self, pending: PendingCall) -> None:
--- a/minthitch/engine/ports.py
+++ b/minthitch/engine/ports.py
@@ -1,4 +1,4 @@
-"""What the engine knows of the world beside its askers: a carrier, a keeper, a source of lists."""
+"""Protocols of what the engine works with, apart from requesters: transport, recorder, list source."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 from minthitch.engine.attempts import Attempt, Request
 from minthitch.engine.calls import Answer
-from minthitch.engine.fleet import Server
+from minthitch.engine.servers import Server
 from minthitch.interface import Action, Event, ListKind
 from minthitch.listing import Listing
 
 
 class Decider(Protocol):
-    """What decides: the Balancer, or in the lab something that it is measured against."""
+    """Makes the decisions: the Balancer, or in the lab another algorithm to compare it with."""
 
     def handle(self, now: int, event: Event) -> Sequence[Action]: ...
 
 
-class Carrier(Protocol):
-    """Takes attempts to servers; each is written once or not at all, and ended by `Attempt.end`.
+class Transport(Protocol):
+    """Sends attempts to servers. Each is written at most once and ended by `Attempt.end`.
 
-    `start` never ends its attempt before it has returned.
+    `start` must return before its attempt ends.
     """
 
     def start(self, attempt: Attempt) -> None: ...
@@ -29,21 +29,21 @@
     def close(self) -> None: ...
 
 
-class Keeper(Protocol):
-    """Notes what becomes of requests where it must not be forgotten; it may hold sends and answers up.
+class Recorder(Protocol):
+    """Records outcomes of requests durably. It may delay sends and answers until its writes are done.
 
-    What it holds it gives back by `Engine.release`, `Engine.tell` or `Engine.conclude`.
+    It ends a delay with `Engine.release_attempt`, `Engine.release_answer` or `Engine.resolve`.
     """
 
     def opened(self, request: Request) -> None: ...
     def may_start(self, attempt: Attempt) -> bool: ...
-    def over(self, attempt: Attempt) -> None: ...
-    def may_tell(self, request: Request, answer: Answer) -> bool: ...
-    def gone(self, request: Request) -> None: ...
+    def attempt_ended(self, attempt: Attempt) -> None: ...
+    def may_answer(self, request: Request, answer: Answer) -> bool: ...
+    def requester_left(self, request: Request) -> None: ...
 
 
 class Source(Protocol):
-    """Where lists come from, besides what it gives unasked."""
+    """Source of server lists. It may also deliver lists without being asked."""
 
     def subscribe(self) -> None: ...
     def refresh(self) -> None: ...
@@ -51,7 +51,7 @@
 
 
 class StaticSource:
-    """A list that does not change: whoever asks gets it again."""
+    """A fixed list, delivered again on each request."""
 
     def __init__(self, listing: Listing, listed: Callable[[Listing, ListKind], None]) -> None:
         self.listing, self.listed = listing, listed
--- a/minthitch/mesh/http/upstream.py
+++ b/minthitch/mesh/http/upstream.py
@@ -13,7 +13,7 @@
 from minthitch import interface as api
 from minthitch.engine.attempts import Attempt
 from minthitch.engine.calls import Message, Served
-from minthitch.engine.fleet import Server
+from minthitch.engine.servers import Server
 from minthitch.net.pool import IDLE_FRACTION, MAX_COPY_BYTES, Connection, Pool
 
 # Assumed idle limit of the server until it states one in Keep-Alive. The pool uses half of it, well below
@@ -30,12 +30,12 @@
 class Upstream:
     """One run of the server beside this sidecar, in the form that the connection pool expects."""
 
-    __slots__ = ("host", "port", "usable", "told")
+    __slots__ = ("host", "port", "is_usable", "withdrawn_at")
 
     def __init__(self, address: str) -> None:
         host, _, port = address.rpartition(":")
         self.host, self.port = host, int(port)
-        self.usable, self.told = True, 0
+        self.is_usable, self.withdrawn_at = True, 0
 
 
 class Outcome:
@@ -69,10 +69,10 @@
         "server_id",
         "caller_service",
         "deadline",
-        "once",
+        "at_most_once",
         "started",
         "status",
-        "carried",
+        "handle",
         "on_done",
         "written",
         "may_stream",
@@ -91,19 +91,24 @@
     ) -> None:
         """`deadline`: on the monotonic clock, in nanoseconds; `once`: the request may not run twice."""
         self.server, self.message, self.request_id, self.server_id = server, message, request_id, server_id
-        self.caller_service, self.deadline, self.once, self.on_done = caller_service, deadline, once, on_done
+        self.caller_service, self.deadline, self.at_most_once, self.on_done = (
+            caller_service,
+            deadline,
+            once,
+            on_done,
+        )
         self.started = time.monotonic_ns()
         self.status: api.Status | None = None
-        self.carried: Connection | None = None
+        self.handle: Connection | None = None
         self.written = False  # whether a byte of it may have been sent: from then on it may have run
         self.may_stream = False
 
     @property
-    def left(self) -> int:
+    def time_left(self) -> int:
         return max(self.deadline - time.monotonic_ns(), 0)
 
     def may_write(self) -> bool:
-        return self.status is None and self.left > 0 and self.server.usable
+        return self.status is None and self.time_left > 0 and self.server.is_usable
 
     def wrote(self) -> None:
         """Called when the request is first handed to the transport, and when all of it has been sent."""
@@ -118,7 +123,7 @@
         if self.status is not None:
             return
         self.status = status
-        carried, self.carried = self.carried, None
+        carried, self.handle = self.handle, None
         if carried is not None:
             carried.drop()
         self.on_done(outcome)
@@ -146,7 +151,7 @@
         """
         assert self.transport is not None
         attempt.wrote()
-        self.attempt, attempt.carried = attempt, self
+        self.attempt, attempt.handle = attempt, self
         self.written = False
         call = cast(UpstreamCall, attempt)
         head, body = _request_head(call), call.message.body
@@ -194,7 +199,7 @@
         keep = self.keeps_open and self.written and not self.has_surplus and outcome.kind is not UNKNOWN
         self._reset()
         if keep:
-            self.attempt, attempt.carried = None, None
+            self.attempt, attempt.handle = None, None
             self.pool.keep(self)
         call.finish(api.Status.OK, outcome)
 
@@ -205,7 +210,7 @@
     head += [b"%s: %s\r\n" % field for field in message.fields]
     head.append(
         b"X-Deadline-Ms: %d\r\nX-Caller-Service: %s\r\nX-Target-Instance: %s\r\n"
-        % (call.left // 1_000_000, call.caller_service, call.server_id)
+        % (call.time_left // 1_000_000, call.caller_service, call.server_id)
     )
     if message.body or message.method not in (b"GET", b"HEAD"):
         head.append(b"Content-Length: %d\r\n" % len(message.body))
--- a/minthitch/mesh/sidecar/admission.py
+++ b/minthitch/mesh/sidecar/admission.py
@@ -114,7 +114,7 @@
         self._reject_queued("another life")
         if self.server_id:
             self.past_server_ids.append(self.server_id)
-        self.upstream.usable = False  # idle connections belong to the earlier server run
+        self.upstream.is_usable = False  # idle connections belong to the earlier server run
         self.server_pool.hang_up(self.upstream)  # type: ignore[arg-type]
         self.upstream = Upstream(self.address)
         self.server_id, self.state = server_id, "none"
--- a/minthitch/net/callers.py
+++ b/minthitch/net/callers.py
@@ -15,7 +15,7 @@
 from minthitch import interface as api
 from minthitch.engine.attempts import Request
 from minthitch.engine.calls import Answer, Call, Refused, Rejected, Served
-from minthitch.engine.fields import MOST_BODY, NOT_FORWARDED
+from minthitch.engine.fields import MAX_REQUEST_BODY_BYTES, NOT_FORWARDED
 from minthitch.engine.stream import Stream
 from minthitch.net.body_memory import GROWTH_STEP_BYTES, BodyMemory
 from minthitch.net.eviction import select_victim
@@ -118,7 +118,7 @@
         self.request: Request | None = None  # the engine's record of `current`
         self.answered_count = 0
         self.since = self.loop.time()  # when it connected, began its request, became idle or began to close
-        self.granted = MOST_BODY  # bytes of the current body that may be read
+        self.granted = MAX_REQUEST_BODY_BYTES  # bytes of the current body that may be read
         self.held_body_bytes = 0  # bytes of complete long bodies still in memory
         self.awaits_memory = False  # reading is paused until there is memory for the body
         self.size_at_resume = 0  # bytes of the body that had arrived when reading last resumed
@@ -207,7 +207,7 @@
             0,
             io.BytesIO(),
         )
-        self.granted, self.head_complete = MOST_BODY, False
+        self.granted, self.head_complete = MAX_REQUEST_BODY_BYTES, False
         self.reading = True
         if self.answered_count or self.current is not None:
             self.since = self.loop.time()  # the first request's time counts from the connection
@@ -249,7 +249,7 @@
 
     def _reserve_memory(self, size: int) -> None:
         """Reserves memory for a long body within the limit for all callers: many at once would fill it."""
-        if size > max(MOST_BODY, self.granted):
+        if size > max(MAX_REQUEST_BODY_BYTES, self.granted):
             if self.held_body_bytes + size > self.callers.body_memory.hard_limit:
                 raise Rejected(413, "body exceeds the memory for request bodies")
             self.granted = size
@@ -275,7 +275,7 @@
         incoming.body, incoming.received_at = self.body.getvalue(), self.received_at
         incoming.keep_alive = self.parser.should_keep_alive()
         incoming.accepts_chunked = self.parser.get_http_version() != "1.0"
-        if self.body_size > MOST_BODY:
+        if self.body_size > MAX_REQUEST_BODY_BYTES:
             self.held_body_bytes += self.body_size
         self.body, self.reading, self.head_complete, self.parsed_bytes = io.BytesIO(), False, False, 0
         self.pipelined.append(incoming)
@@ -407,12 +407,12 @@
         head.append(b"\r\n" if self.keeps_open else b"Connection: close\r\n\r\n")
         transport.write(b"".join(head))
         self.stream = stream
-        self.passed(answer.body)
+        self.receive(answer.body)
         stream.start(self)
         if self.write_paused:
             stream.pause()
 
-    def passed(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
         """Forwards a part of the streamed answer."""
         if self.transport is not None and data:
             self.transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self.chunked else data)
--- a/minthitch/net/discovery.py
+++ b/minthitch/net/discovery.py
@@ -199,7 +199,7 @@
 
     def start(self) -> None:
         """In push mode starts the watch at once; in on-demand mode waits for the Balancer to subscribe."""
-        self.seq = self.engine.fleet.seq
+        self.seq = self.engine.server_table.seq
         if not self.on_demand and self.watch_task is None:
             self._start_watch()
 
--- a/minthitch/net/node.py
+++ b/minthitch/net/node.py
@@ -12,9 +12,9 @@
 from minthitch.config import Config
 from minthitch.engine.calls import Message, Rejected
 from minthitch.engine.clock import LoopClock
-from minthitch.engine.core import Engine, pause_when_full
-from minthitch.engine.counts import Figures
-from minthitch.engine.fields import Reader
+from minthitch.engine.core import Engine, retry_after_when_full
+from minthitch.engine.counts import NodeMetrics
+from minthitch.engine.fields import CallParser
 from minthitch.engine.ports import Decider, StaticSource
 from minthitch.log import LineLog
 from minthitch.net.body_memory import BodyMemory
@@ -49,9 +49,9 @@
         self.engine = Engine(
             config.settings, config.seed, LoopClock(self.loop), self.log, self._check_finished, decider
         )
-        self.reader = Reader(config.settings)
+        self.reader = CallParser(config.settings)
         self.lifecycle = Lifecycle()
-        self.pool = self.engine.carrier = Pool(config.settings, 1)
+        self.pool = self.engine.transport = Pool(config.settings, 1)
         self.callers = Callers(self, 1, 1, memory_for_bodies(config.memory))
         self.handover: Handover | None = None
         self._divide_sockets()
@@ -78,8 +78,8 @@
                 f"{host}:{port}",
                 self._divide_sockets,
                 self.log,
-                self.engine.learned,
-                self.engine.recall,
+                self.engine.export_learned,
+                self.engine.restore_learned,
             )
             await self.handover.start()
             self._divide_sockets()
@@ -186,12 +186,12 @@
     def take_back(self) -> str:
         return self.lifecycle.take_back(self.loop.time())
 
-    def figures(self) -> Figures:
-        return Figures(
+    def metrics(self) -> NodeMetrics:
+        return NodeMetrics(
             tuple(spec.name for spec in self.settings.classes),
             self.engine.counts,
             self.callers.pending_count(),
-            len(self.engine.fleet.servers),
+            len(self.engine.server_table.by_name),
             self.engine.avoided(),
         )
 
@@ -212,7 +212,7 @@
 
     def busy_retry_after(self) -> int:
         """When a caller that was rejected for lack of memory may retry, in ns."""
-        return pause_when_full(self.settings, self.settings.classes[0], self.engine.random)
+        return retry_after_when_full(self.settings, self.settings.classes[0], self.engine.random)
 
     @property
     def keeps_connections(self) -> bool:
@@ -235,17 +235,17 @@
     def handle_request(self, caller: Caller, item: Incoming) -> None:
         message = Message(item.method, item.target, item.forwarded_fields, item.body)
         item.call = self.reader.call(message, item.fields, item.received_at)
-        item.call.streams = True
+        item.call.accepts_stream = True
         try:
             request = self.engine.admit(caller, item.call, full=caller.over_limit)
         except Rejected:
             item.call = None  # an answer to the open request with the same id must not go to this one
             raise
-        if not request.over:
+        if not request.closed:
             caller.request = request
 
     def on_caller_lost(self, caller: Caller) -> None:
         if caller.request is not None:
-            self.engine.leave(caller.request)
+            self.engine.abandon(caller.request)
             caller.request = None
         self._check_finished()
--- a/minthitch/net/pool.py
+++ b/minthitch/net/pool.py
@@ -17,7 +17,7 @@
 from minthitch import interface as api
 from minthitch.engine.attempts import Attempt
 from minthitch.engine.calls import Served
-from minthitch.engine.fleet import Server
+from minthitch.engine.servers import Server
 from minthitch.engine.stream import Stream
 
 MAX_BUFFERED_BODY_BYTES = 1024 * 1024  # bytes of an answer that must be complete before it is reported
@@ -63,7 +63,7 @@
     message = attempt.message
     head = [b"%s %s HTTP/1.1\r\n" % (message.method, message.target)]
     head += [b"%s: %s\r\n" % field for field in message.fields]
-    head.append(b"X-Time-Left: %du\r\n" % (attempt.left // 1_000))
+    head.append(b"X-Time-Left: %du\r\n" % (attempt.time_left // 1_000))
     if message.body or message.method != b"GET":
         head.append(b"Content-Length: %d\r\n" % len(message.body))
     return b"".join(head) + b"\r\n"
@@ -110,7 +110,7 @@
 
     def send(self, attempt: Attempt) -> None:
         assert self.transport is not None
-        self.attempt, attempt.carried = attempt, self
+        self.attempt, attempt.handle = attempt, self
         self.written = False
         head, body = request_head(attempt), attempt.message.body
         if len(body) > MAX_COPY_BYTES:
@@ -163,7 +163,7 @@
         first, self.parts = b"".join(self.parts), []
         self.pool.buffered_bytes -= self.buffered_bytes
         self.buffered_bytes = 0
-        self.attempt, attempt.carried = None, None
+        self.attempt, attempt.handle = None, None
         self.transport.pause_reading()  # until the receiver asks for more
         attempt.end(api.Status.OK, Served(first, tuple(self.fields), self.stream))
 
@@ -302,7 +302,7 @@
         keep = self.keeps_open and self.written and not self.has_surplus
         self._reset()
         if keep:
-            self.attempt, attempt.carried = None, None
+            self.attempt, attempt.handle = None, None
             self.pool.keep(self)
         attempt.end(status, answer)
 
@@ -401,7 +401,7 @@
         """Sends on an idle or a new connection. Outcomes are reported later, never from within this call."""
         server, now = attempt.server, self.loop.time()
         # Some servers drop idle connections silently, which would fail requests that must not be repeated.
-        max_idle = FRESH_IDLE_S if attempt.once and now < self.avoid_reuse_until else self.max_idle_s
+        max_idle = FRESH_IDLE_S if attempt.at_most_once and now < self.avoid_reuse_until else self.max_idle_s
         while kept := self.idle_by_server.get(server):
             if now - kept[-1].last_used_at >= max_idle and max_idle < self.max_idle_s:
                 # The others have been idle for longer; requests that may be repeated can still use them.
@@ -416,19 +416,19 @@
         task = self.loop.create_task(self._connect(attempt))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
-        attempt.carried = Connecting(task)
+        attempt.handle = Connecting(task)
 
     async def _connect(self, attempt: Attempt) -> None:
         try:
             async with asyncio.timeout(self.connect_timeout):
                 connection = await self._open(attempt.server)
         except (OSError, TimeoutError, ValueError) as err:  # ValueError: the address is invalid
-            attempt.carried = None
+            attempt.handle = None
             # A local lack of resources must not count against the server.
             is_local = isinstance(err, OSError) and err.errno in LOCAL_RESOURCE_ERRORS
             attempt.end(api.Status.MOOT if is_local else api.Status.CONNECT_FAILED)
             return
-        attempt.carried = None
+        attempt.handle = None
         if not connection.usable:
             attempt.end(api.Status.CONNECT_FAILED)
         elif attempt.may_write():
@@ -453,7 +453,7 @@
 
     def keep(self, connection: Connection) -> None:
         """Returns a connection to the pool if its server is still the one that it was opened to."""
-        if not connection.usable or not connection.server.usable:
+        if not connection.usable or not connection.server.is_usable:
             connection.close()
             return
         connection.last_used_at = self.loop.time()
--- a/minthitch/record/attach.py
+++ b/minthitch/record/attach.py
@@ -49,7 +49,7 @@
             if spec.name in config.required | config.best_effort
         }
         lifecycle = Lifecycle(settings, engine.clock.now() + config.lease)
-        self.keeper = engine.keeper = RecordKeeper(
+        self.keeper = engine.recorder = RecordKeeper(
             engine, lifecycle, self.writer, modes, config.identity.encode()
         )
 
--- a/minthitch/recovery/learned.py
+++ b/minthitch/recovery/learned.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Mapping
 
 from minthitch.interface import SECOND, Settings
-from minthitch.memory import FIELDS
+from minthitch.learned_state import EVIDENCE_FIELDS
 from minthitch.policy import CLASS_HALF_LIFE, Balancer, Evidence
 from minthitch.recovery.model import MAX_RATE, MAX_ROWS, EvidenceSums, class_digest
 from minthitch.recovery.trust import Trusted
@@ -14,7 +14,7 @@
 
 def _sums(evidence: Evidence) -> EvidenceSums:
     """The sums as of the last outcome, which may be older than the snapshot: they are not decayed to now."""
-    return EvidenceSums(**{name: getattr(evidence, name) for name in FIELDS})
+    return EvidenceSums(**{name: getattr(evidence, name) for name in EVIDENCE_FIELDS})
 
 
 def class_evidence(balancer: Balancer, settings: Settings) -> dict[str, tuple[str, EvidenceSums]]:
@@ -54,6 +54,6 @@
 def _restore_evidence(evidence: Evidence, sums: EvidenceSums, now: int) -> None:
     if evidence.trials or evidence.ends:  # its own outcomes are newer
         return
-    for name in FIELDS:
+    for name in EVIDENCE_FIELDS:
         setattr(evidence, name, getattr(sums, name))
     evidence.at = now
--- a/minthitch/recovery/runtime.py
+++ b/minthitch/recovery/runtime.py
@@ -116,7 +116,12 @@
 
     def _restore(self) -> None:
         if isinstance(self.engine.balancer, Balancer):
-            restore(self.engine.balancer, self.engine.clock.now(), self.trusted, self.engine.fleet.kind)
+            restore(
+                self.engine.balancer,
+                self.engine.clock.now(),
+                self.trusted,
+                self.engine.server_table.kind_number,
+            )
         if self.trusted.hosts is not None:
             # What stopped this node may have restarted the servers too. They count as just started: cold
             # servers that are taken for warm would be overloaded.
@@ -173,7 +178,7 @@
 
     async def _probe_servers(self) -> None:
         """Tries to connect to servers of the tier below, as callers are not sent here before one accepts."""
-        servers = list(self.engine.fleet.servers.values())
+        servers = list(self.engine.server_table.by_name.values())
         chosen = self.engine.random.sample(servers, min(len(servers), MAX_PROBED))
 
         async def probe(host: str, port: int) -> None:
@@ -214,7 +219,7 @@
             self._report_verdicts(estimate.verdicts)
         self.peer_estimate, now = estimate, engine.clock.now()
         if isinstance(engine.balancer, Balancer):
-            restore(engine.balancer, now, Trusted(rate=estimate.rate), engine.fleet.kind)
+            restore(engine.balancer, now, Trusted(rate=estimate.rate), engine.server_table.kind_number)
             engine.balancer.settings = change_settings(engine.settings, siblings=estimate.siblings)
             self.estimate_until = now + ESTIMATE_TTL
 
@@ -252,7 +257,7 @@
     def make_snapshot(self, generation: int) -> Snapshot:
         """A snapshot of the current state; without a server list if discovery was never heard."""
         engine, now, up = self.engine, self.engine.clock.now(), time.monotonic_ns()
-        wall, fleet, list_at = engine.clock.wall(), engine.fleet, self.listed_at()
+        wall, server_table, list_at = engine.clock.wall(), engine.server_table, self.listed_at()
         snapshot = Snapshot(
             self.config.cluster,
             self.node,
@@ -265,7 +270,7 @@
             {},
             {},
         )
-        kinds = {number: name for name, number in fleet.kinds.items()}
+        kinds = {number: name for name, number in server_table.kinds.items()}
         if isinstance(engine.balancer, Balancer):
             snapshot = change(
                 snapshot,
@@ -275,7 +280,7 @@
             )
         if not list_at:
             return snapshot
-        zones = {number: name for name, number in fleet.zones.items()}
+        zones = {number: name for name, number in server_table.zones.items()}
         rows = tuple(
             HostRow(
                 s.name,
@@ -287,12 +292,16 @@
                 s.entry.weight,
                 s.born_ms,
             )
-            for s in list(fleet.servers.values())[:MAX_ROWS]
-            if s.usable
+            for s in list(server_table.by_name.values())[:MAX_ROWS]
+            if s.is_usable
         )
         ago = max(now - list_at, 0)
         return change(
-            snapshot, listed_wall=max(wall - ago, 1), listed_up=max(up - ago, 1), seq=fleet.seq, hosts=rows
+            snapshot,
+            listed_wall=max(wall - ago, 1),
+            listed_up=max(up - ago, 1),
+            seq=server_table.seq,
+            hosts=rows,
         )
 
     async def page(self, rest: str) -> tuple[int, object]:
--- a/tests/mesh/test_admission.py
+++ b/tests/mesh/test_admission.py
@@ -109,7 +109,7 @@
     async def test_shutdown_limits_the_deadline_that_the_server_gets(self) -> None:
         self.admission.limit_deadlines(asyncio.get_running_loop().time() + 1.0)
         self.call(1)
-        self.assertAlmostEqual(self.server_pool.upstream_calls[0].left / 1e9, 1.0, delta=0.1)
+        self.assertAlmostEqual(self.server_pool.upstream_calls[0].time_left / 1e9, 1.0, delta=0.1)
 
     async def test_calls_abandoned_after_long_are_logged_with_their_state(self) -> None:
         long_s = mock.patch("minthitch.mesh.sidecar.admission.LOG_ABANDONED_AFTER_S", 0.0)
--- a/tests/mesh/test_start.py
+++ b/tests/mesh/test_start.py
@@ -22,7 +22,7 @@
     "engine.calls",
     "engine.clock",
     "engine.fields",
-    "engine.fleet",
+    "engine.servers",
     "engine.stream",
     "interface",
     "listing",
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -1,4 +1,4 @@
-"""Daily operation: the staff's calls and figures, clients sent away, one process after another."""
+"""Operation: admin commands and metrics, draining of clients, replacement of a process."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 import pytest
 
-from minthitch.admin.desk import CALLS, answer
-from minthitch.admin.listener import MOST_CONNECTIONS, MOST_LINE, Desk
+from minthitch.admin.commands import COMMANDS, answer
+from minthitch.admin.listener import MAX_CONNECTIONS, MAX_LINE_BYTES, AdminListener
 from minthitch.engine.calls import Failed, Refused, Rejected, Served
-from minthitch.engine.counts import Counts, Figures
+from minthitch.engine.counts import Counts, NodeMetrics
 from minthitch.net.handover import Handover
 from minthitch.net.lifecycle import (
     ACCEPT_AFTER_SIGTERM_S,
@@ -30,11 +30,11 @@
 READY = b"GET /ready HTTP/1.1\r\n\r\n"
 
 
-# The desk, without sockets ----------------------------------------------------------------------
+# Admin commands without sockets ----------------------------------------------------------------
 
 
-class Desked:
-    """A node by hand."""
+class FakeNode:
+    """A node with settable state."""
 
     def __init__(self) -> None:
         self.up, self.lifecycle = True, Lifecycle()
@@ -43,8 +43,8 @@
     def ready(self) -> bool:
         return self.up and self.lifecycle.is_open
 
-    def figures(self) -> Figures:
-        return Figures(("a", 'b"\\'), self.counts, 7, 5, 1)
+    def metrics(self) -> NodeMetrics:
+        return NodeMetrics(("a", 'b"\\'), self.counts, 7, 5, 1)
 
     def send_away(self) -> str:
         return self.lifecycle.send_away(1.0)
@@ -53,9 +53,9 @@
         return self.lifecycle.take_back(2.0)
 
 
-def test_each_call_is_answered_in_a_line_that_begins_with_done_or_error() -> None:
-    node = Desked()
-    said = [
+def test_each_command_is_answered_with_done_or_error() -> None:
+    node = FakeNode()
+    answers = [
         answer(line, node)
         for line in (
             b"ready",
@@ -69,7 +69,7 @@
             b"drain now",
         )
     ]
-    assert [text.split()[0] for text in said] == [
+    assert [text.split()[0] for text in answers] == [
         "done",
         "done",
         "done",
@@ -80,13 +80,13 @@
         "error",
         "error",
     ]
-    assert all("\n" not in text for text in said)
-    assert node.ready()  # the call with a word too many changed nothing
-    assert "'halt'" in said[7] and all(name in said[7] for name in CALLS)
+    assert all("\n" not in text for text in answers)
+    assert node.ready()  # the command with an extra word changed nothing
+    assert "'halt'" in answers[7] and all(name in answers[7] for name in COMMANDS)
 
 
-def test_figures_name_each_class_and_end_with_a_line_of_their_own() -> None:
-    node = Desked()
+def test_metrics_are_listed_per_class_and_end_with_an_end_line() -> None:
+    node = FakeNode()
     for outcome in (Served(), Served(), Refused(), Failed()):
         node.counts.answered(0, outcome)
     node.counts.rejected(1, Rejected(503, "full"))
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize(
-    ("deeds", "at", "accepts", "keeps", "wanted"),
+    ("steps", "at", "accepts", "keeps", "stays_open"),
     [
         ("", 9.0, True, True, True),
         ("end", KEEP_ALIVE_AFTER_SIGTERM_S - 0.1, False, True, True),
@@ -118,31 +118,33 @@
         ("away back", 9.0, True, True, True),
         ("end", 0.1, True, True, True),
         ("end", ACCEPT_AFTER_SIGTERM_S + 0.1, False, True, True),
-        ("end away back", 0.1, True, True, True),  # the end is final
+        ("end away back", 0.1, True, True, True),  # ending is final
         ("succeeded end", 0.0, False, True, False),
         ("succeeded end", ACCEPT_AFTER_SIGTERM_S + 0.1, False, True, False),
         ("succeeded end", REPLACED_IDLE_S + 0.1, False, False, False),
         ("succeeded away", 0.5, True, True, False),
     ],
 )
-def test_the_door_by_state_and_time(deeds: str, at: float, accepts: bool, keeps: bool, wanted: bool) -> None:
+def test_the_door_by_state_and_time(
+    steps: str, at: float, accepts: bool, keeps: bool, stays_open: bool
+) -> None:
     lifecycle = Lifecycle()
-    for deed in deeds.split():
-        if deed == "succeeded":
+    for step in steps.split():
+        if step == "succeeded":
             lifecycle.replaced = True
         else:
-            {"away": lifecycle.send_away, "back": lifecycle.take_back, "end": lifecycle.end}[deed](0.0)
+            {"away": lifecycle.send_away, "back": lifecycle.take_back, "end": lifecycle.end}[step](0.0)
     assert (lifecycle.accepts(at), lifecycle.keeps_idle(at), not lifecycle.closes_after_answer(at)) == (
         accepts,
         keeps,
-        wanted,
+        stays_open,
     )
     assert lifecycle.is_open == (lifecycle.state is State.OPEN)
     if lifecycle.state is State.ENDING:
         assert lifecycle.send_away(at) and lifecycle.take_back(at)
 
 
-# The desk on sockets ----------------------------------------------------------------------------
+# The admin listener on sockets -----------------------------------------------------------------
 
 
 async def _visit(port: int, data: bytes) -> bytes:
@@ -153,24 +155,24 @@
     return text
 
 
-async def _desk() -> None:
-    desk = Desk(Desked(), lambda text: None)
-    await desk.start("127.0.0.1", 0)
-    silent = [await asyncio.open_connection("127.0.0.1", desk.port) for _ in range(3 * MOST_CONNECTIONS)]
-    assert await _visit(desk.port, b"ready\n") == b"done ready\n"
-    assert len(desk.visits) <= MOST_CONNECTIONS
-    assert (await _visit(desk.port, b"show-stat\nmore\n")).endswith(b"\nend\n")
-    assert (await _visit(desk.port, b"x" * (MOST_LINE + 1))).startswith(b"error ")
+async def _silent() -> None:
+    listener = AdminListener(FakeNode(), lambda text: None)
+    await listener.start("127.0.0.1", 0)
+    silent = [await asyncio.open_connection("127.0.0.1", listener.port) for _ in range(3 * MAX_CONNECTIONS)]
+    assert await _visit(listener.port, b"ready\n") == b"done ready\n"
+    assert len(listener.connections) <= MAX_CONNECTIONS
+    assert (await _visit(listener.port, b"show-stat\nmore\n")).endswith(b"\nend\n")
+    assert (await _visit(listener.port, b"x" * (MAX_LINE_BYTES + 1))).startswith(b"error ")
     for _, writer in silent:
         writer.close()
-    desk.close()
+    listener.close()
 
 
-def test_visitors_that_say_nothing_keep_nobody_out() -> None:
-    run(_desk)
+def test_silent_connections_do_not_block_others() -> None:
+    run(_silent)
 
 
-# The node's own figures, and clients sent away --------------------------------------------------
+# The node's metrics, and draining of clients ----------------------------------------------------
 
 
 async def _figures() -> None:
@@ -181,22 +183,22 @@
         for cls in ("unsafe", "unsafe", "safe"):
             await r.ask(call(cls))
         await r.ask(call("unsafe").replace(b"POST", b"GET", 1))
-        figures = r.node.figures()
+        metrics = r.node.metrics()
         counts = dict(
             zip(
-                figures.classes,
-                zip(figures.counts.served, figures.counts.refused, figures.counts.failed, strict=True),
+                metrics.classes,
+                zip(metrics.counts.served, metrics.counts.refused, metrics.counts.failed, strict=True),
                 strict=True,
             )
         )
         assert counts["unsafe"] == (1, 0, 2) and counts["safe"] == (1, 0, 0)
-        assert figures.counts.sends == len(r.sends) == 3
-        assert (figures.inflight, figures.listed, figures.down) == (0, 2, 0)
+        assert metrics.counts.sends == len(r.sends) == 3
+        assert (metrics.inflight, metrics.listed, metrics.down) == (0, 2, 0)
         r.discovery.change({**r.discovery.hosts[0], "health": "draining"})
-        await r.until(lambda: r.node.figures().down == 1)
+        await r.until(lambda: r.node.metrics().down == 1)
 
 
-def test_the_figures_are_what_the_peers_saw() -> None:
+def test_the_metrics_match_what_the_servers_saw() -> None:
     run(_figures)
 
 
@@ -211,7 +213,7 @@
             assert (await caller.ask(call("safe")))[0] == 200
         assert r.node.send_away() == ""
         assert (await r.ask(READY))[0] == 503
-        status, head, _ = await used.ask(call("safe"))  # one that comes all the same is served
+        status, head, _ = await used.ask(call("safe"))  # a request that still arrives is served
         assert status == 200 and b"Connection: close" in head
         await _closed(used)
         await _closed(idle)
@@ -221,11 +223,11 @@
         assert b"Connection: close" not in (await kept.ask(call("safe")))[1]
 
 
-def test_clients_sent_away_are_answered_then_closed_and_taken_back() -> None:
+def test_drained_clients_are_answered_then_closed_and_accepted_after_resume() -> None:
     run(_away)
 
 
-# One process after another ----------------------------------------------------------------------
+# Replacement of a process -----------------------------------------------------------------------
 
 
 async def _successor(r: Rig, folder: str, port: int) -> Node:
@@ -253,9 +255,9 @@
             await r.until(lambda: old.lifecycle.replaced)
             assert (
                 old.pool.max_connections + new.pool.max_connections <= most
-            )  # both together keep to the limits
+            )  # both together stay within the limit
             old.drain()
-            assert not old.listening  # at once: the new one listens
+            assert not old.listening  # at once: the new process listens
             status, head, _ = await kept.ask(call("safe"))
             assert status == 200 and b"Connection: close" in head
             for _ in range(20):
@@ -276,15 +278,15 @@
     with tempfile.TemporaryDirectory() as folder:
         one = Handover(folder, "a", lambda: None, lambda text: None)
         await one.start()
-        one.close()  # as a killed process leaves it: the socket's file is still there
+        one.close()  # as after a kill: the socket file remains
         assert os.listdir(folder)
-        said: list[str] = []
-        two = Handover(folder, "a", lambda: None, said.append)
+        log: list[str] = []
+        two = Handover(folder, "a", lambda: None, log.append)
         await two.start()
-        assert not two.predecessor and not said
-        long = Handover(folder, "a" * 200, lambda: None, said.append)
+        assert not two.predecessor and not log
+        long = Handover(folder, "a" * 200, lambda: None, log.append)
         await long.start()
-        assert len(said) == 1 and "too long" in said[0]
+        assert len(log) == 1 and "too long" in log[0]
         two.close()
 
 
--- a/tests/test_record_keeper.py
+++ b/tests/test_record_keeper.py
@@ -21,7 +21,7 @@
 from rigs.faultystore import Faults, FaultyStore
 from rigs.servers import PATIENCE
 from tests.rules import KEYED_CELL, SAFE, UNSAFE
-from tests.test_engine import HandCarrier
+from tests.test_engine import ManualTransport
 from tests.test_node import run
 
 SETTINGS = Settings(
@@ -48,7 +48,7 @@
         self.path, self.faults = path, Faults()
         loop = asyncio.get_running_loop()
         self.engine = Engine(SETTINGS, 1, LoopClock(loop), lambda text: None)
-        self.carrier = self.engine.carrier = HandCarrier()
+        self.carrier = self.engine.transport = ManualTransport()
         self.engine.listed(static_listing(["127.0.0.1:1", "127.0.0.1:2"]), ListKind.CACHED)
         self.keeper: RecordKeeper | None = None
 
@@ -63,7 +63,7 @@
         )
         lifecycle = Lifecycle(record_settings, self.engine.clock.now() + record_settings.lease)
         self.keeper = RecordKeeper(self.engine, lifecycle, self.writer, {2: mode}, b"X-Sale-Id")
-        self.engine.keeper = self.keeper
+        self.engine.recorder = self.keeper
 
     def _on_results(self, results: Results) -> None:
         if self.keeper is not None:
@@ -86,7 +86,7 @@
     ) -> tuple[Caller, Request]:
         caller = Caller()
         fields = [(b"X-Sale-Id", record_identity.encode())] if record_identity else []
-        call = Call(identity.encode(), cls, Message(b"POST", b"/tickets", fields, body), left=left)
+        call = Call(identity.encode(), cls, Message(b"POST", b"/tickets", fields, body), time_left=left)
         return caller, self.engine.admit(caller, call)
 
     async def wait_until(self, ready: Callable[[], object]) -> None:
@@ -149,7 +149,7 @@
         caller, _ = n.request("a", cls=0)
         assert len(n.carrier.attempts) >= 1  # sent at once
         n.carrier.attempts[0].end(Status.OK, Served(b"x"))
-        assert caller.answer_types == ["Served"] and n.writer.writes == 0 and not n.engine.untold
+        assert caller.answer_types == ["Served"] and n.writer.writes == 0 and not n.engine.held_answers
         assert n.keeper is not None and not n.keeper.requests and not n.keeper.lifecycle.calls
 
 
@@ -171,7 +171,7 @@
             await old.wait_until(lambda: late.answers)
             assert late.answer_types == ["Refused"] and len(old.carrier.attempts) == 1
             old.carrier.attempts[0].end(Status.OK, Served(b"ticket"))
-            await old.wait_until(lambda: not old.engine.untold)
+            await old.wait_until(lambda: not old.engine.held_answers)
             record = new.read_record("sale-1")
             assert record is not None and record.state is State.DOUBT
             store = SqliteStore(path)
@@ -337,7 +337,7 @@
     async with node(path) as n:
         caller, request = n.request("a", "sale-1")
         await n.wait_for_attempts()
-        n.engine.leave(request)
+        n.engine.abandon(request)
         await n.wait_until(lambda: (r := n.read_record("sale-1")) is not None and r.state is State.FAILED)
         assert not caller.answers and n.keeper is not None
         await n.wait_until(lambda: n.keeper is not None and not n.keeper.lifecycle.calls)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -38,8 +38,8 @@
 from rigs.cluster.play import play
 from rigs.cluster.powerloss import MAKE, TABLE, WANTS
 from rigs.process import free_port
-from tests.fleet import Crew, Machine
 from tests.rules import CLASSES, SAFE, settings
+from tests.simulated_fleet import SimulatedFleet, SimulatedServer
 from tests.test_cli import command
 from tests.test_node import run
 from tests.test_operatorfile import GOOD
@@ -265,17 +265,17 @@
         kinds={"k": EvidenceSums(trials, 1e12, trials, time)},
     )
     found = evaluate(kept, NodeContext("lahore", "", THEN, 0), SETUP, AgeLimits())
-    node = Crew(SETUP, 1, {}, 1).nodes[0]
+    node = SimulatedFleet(SETUP, 1, {}, 1).nodes[0]
     restore(node.balancer, node.now, found, lambda name: 0)
     assert 0 <= warm_rate(node.balancer, node.now) <= 1e6
     assert all(t.trials <= 4.0 + 1e-6 and t.hits <= t.trials for t in found.kinds.values())
 
 
-def recovered_crew(seed: int, factor: float | None) -> Crew:
+def recovered_crew(seed: int, factor: float | None) -> SimulatedFleet:
     """A cold fleet after 2 s, whose nodes restored `factor` times their learned rate; None: nothing."""
-    machines = {n: Machine(20.0) for n in range(1, 13)}
-    before = Crew(settings(siblings=6, idle_close=30 * SECOND), 6, machines, seed)
-    before.tell(ListKind.FULL, tuple(ServerEntry(n, cell=n % 4) for n in before.machines))
+    servers = {n: SimulatedServer(20.0) for n in range(1, 13)}
+    before = SimulatedFleet(settings(siblings=6, idle_close=30 * SECOND), 6, servers, seed)
+    before.deliver_list(ListKind.FULL, tuple(ServerEntry(n, cell=n % 4) for n in before.servers))
     before.run(6 * SECOND, 0.6 * 20.0 * 12)
     fleet = cold_crew(seed, 6, 12, 6)
     for node, old in zip(fleet.nodes, before.nodes, strict=True):
@@ -299,7 +299,7 @@
             fleet = recovered_crew(seed, factor)
             served[factor] += fleet.served
             fleet.run(6 * SECOND, 3 * 20.0 * 12, (SAFE,))
-            assert not any(fleet.pushed_over(n) for n in fleet.machines), (factor, seed)
+            assert not any(fleet.cold_overloads(n) for n in fleet.servers), (factor, seed)
     assert served[1.0] > 1.1 * served[None], served
 
 
--- a/tests/test_silent_discovery.py
+++ b/tests/test_silent_discovery.py
@@ -121,14 +121,14 @@
 
     @property
     def drain_heard_at(self) -> float:
-        """When the node learned that the server is draining, in seconds; 0 for never."""
-        server = self.engine.fleet.servers.get("s0")
-        return server.told / SECOND if server is not None else 0.0
+        """When the node learned that the server drains, in seconds; 0 for never."""
+        server = self.engine.server_table.by_name.get("s0")
+        return server.withdrawn_at / SECOND if server is not None else 0.0
 
     def record_may_write(self) -> None:
-        """Records whether an attempt that is still connecting might be written now."""
-        request = cast(Request, SimpleNamespace(over=False, deadline=60 * SECOND))
-        server = self.engine.fleet.servers.get("s0")
+        """Records whether an attempt that was decided before, and connects still, might be written now."""
+        request = cast(Request, SimpleNamespace(closed=False, deadline=60 * SECOND))
+        server = self.engine.server_table.by_name.get("s0")
         self.may_write_results.append(server is not None and self.engine.may_write(request, server))
 
 
