--- a/tests/mesh/test_delivery_trips.py
+++ b/tests/mesh/test_delivery_trips.py
@@ -62,7 +62,7 @@
             token=1, respond=lambda token, status, fields, body: self.statuses.append(status)
         )
         request: Any = SimpleNamespace(
-            fields={b"x-request-id": b"1"}, head=[], method=b"POST", target=b"/", body=b""
+            fields={b"x-request-id": b"1"}, forwarded_fields=[], method=b"POST", target=b"/", body=b""
         )
         self.exchange = Exchange(
             sidecar, client, request, Route("r", "keyed", 5.0, 0.5, 1, 2, ()), "s", 0.0, DEADLINE, False
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -575,7 +575,7 @@
         await cluster.kill_node(0)
         said.append(await ask(command, "recovery", "forget", str(kept), "--node", "n0"))
     assert all(done.returncode == 0 for done in said), said
-    faults = ("torn", "no node's log", "'nowhere'", "no answer", "not a folder")
+    faults = ("torn", "no node's log", "'nowhere'", "no readable answer", "not a folder")
     for done, what in zip(wrong, faults, strict=True):
         assert done.returncode == 2 and what in done.stderr and len(done.stderr.splitlines()) == 1
     return "\n".join(done.stdout for done in said), len(list(tmp_path.iterdir()))
