--- a/minthitch/cli/change.py
+++ b/minthitch/cli/change.py
@@ -207,7 +207,7 @@
     """Send the call once.
 
     Raises:
-        ConfigError: the address is none.
+        ConfigError: `address` is not a valid address.
     """
     try:
         return ask(address, "POST", "/Config.Patch", body)
