--- a/minthitch/cli/data_folder.py
+++ b/minthitch/cli/data_folder.py
@@ -66,7 +66,7 @@
 
 @contextmanager
 def _copied(folder: Path) -> Iterator[str]:
-    """Copy the folder. Danger: opening a store retires a torn meta page, which would change the original."""
+    """Copy the folder. Opening a store retires a torn meta page, which would change the original."""
     if not folder.is_dir():
         raise ConfigError(f"{folder}: not a folder")
     with tempfile.TemporaryDirectory(prefix="minthitch-") as copy:
--- a/minthitch/cli/record.py
+++ b/minthitch/cli/record.py
@@ -87,7 +87,7 @@
     Raises:
         ConfigError: the store can't be opened or read.
     """
-    # Danger: opening a missing file would create an empty store, which reports no records.
+    # Opening a missing file would create an empty store, which reports no records.
     if not args.store.startswith(POSTGRES_SCHEMES) and not os.path.exists(args.store):
         raise ConfigError(f"--store {args.store!r}: no such file")
     store: Store | None = None
--- a/minthitch/embedded/client.py
+++ b/minthitch/embedded/client.py
@@ -170,7 +170,7 @@
         loop, stopped = asyncio.get_running_loop(), asyncio.Event()
 
         def notify() -> None:
-            # Danger: the loop may be closed by now, which must not raise in the engine's thread.
+            # The loop may be closed by now, which must not raise in the engine's thread.
             if not loop.is_closed():
                 loop.call_soon_threadsafe(stopped.set)
 
@@ -182,7 +182,7 @@
         with self._result_queues_lock:
             queue = self._result_queues.get(loop)
             if queue is None:
-                # Danger: without this, a host that keeps creating loops would leak memory.
+                # Without this, a host that keeps creating loops would leak memory.
                 for ended in [known for known in self._result_queues if known.is_closed()]:
                     del self._result_queues[ended]
                 queue = self._result_queues[loop] = LoopQueue(loop, LoopPendingCall.resolve)
--- a/minthitch/embedded/loop_queue.py
+++ b/minthitch/embedded/loop_queue.py
@@ -42,7 +42,7 @@
         return True
 
     def _run(self) -> None:
-        # Danger: if this were cleared after the queue is read, an item added in between would be lost.
+        # If this were cleared after the queue is read, an item added in between would be lost.
         self.wake_pending = False
         for _ in range(min(len(self.items), MAX_BATCH)):
             self.handle(self.items.popleft())
--- a/minthitch/embedded/pending.py
+++ b/minthitch/embedded/pending.py
@@ -36,7 +36,7 @@
         self._settle(error)
 
     def _settle(self, result: Result) -> None:
-        if self.result is not None:  # danger: the host must get one result only
+        if self.result is not None:  # the host must get one result only
             return
         self.result = result
         self.owner.discard(self)
@@ -71,7 +71,7 @@
 
 
 class ThreadPendingCall(PendingCall):
-    """Waited for by a blocked thread."""
+    """A pending call whose caller blocks its thread until the result has come."""
 
     __slots__ = ("done",)
 
--- a/minthitch/embedded/process_exit.py
+++ b/minthitch/embedded/process_exit.py
@@ -16,7 +16,7 @@
 
 DELIVERY_GRACE_S = 0.2  # after the last answer, for the host's tasks to receive it before the process ends
 _open_workers: weakref.WeakSet[Worker] = weakref.WeakSet()
-# Danger: destroying a loop copied by fork would change the parent's epoll set, so the child keeps references.
+# Destroying a loop copied by fork would change the parent's epoll set, so the child keeps references.
 _kept_after_fork: list[object] = []
 _sigterm_workers: list[Worker] = []
 _previous_handler: Any = None
@@ -24,7 +24,7 @@
 
 
 def register(worker: Worker) -> None:
-    """Close the worker at interpreter exit unless the host did so."""
+    """Close the worker at interpreter exit, unless the host has closed it before."""
     _open_workers.add(worker)
 
 
@@ -89,7 +89,7 @@
 def _settle_and_resend(workers: list[Worker]) -> None:
     """Runs on its own thread.
 
-    Danger: in the handler itself it would block the host's loop, and its tasks would get no answer.
+    In the handler itself it would block the host's loop, and its tasks would get no answer.
     """
     _close_concurrently(workers)
     os.kill(os.getpid(), signal.SIGTERM)
--- a/minthitch/embedded/requests.py
+++ b/minthitch/embedded/requests.py
@@ -66,7 +66,7 @@
 ) -> list[tuple[bytes, bytes]]:
     """The header fields of an incoming request, with the given service class.
 
-    Danger: a caller's own X-Service-Class is dropped, as a caller must not choose its class.
+    A caller's own X-Service-Class is dropped, as a caller must not choose its class.
     """
     kept = [(name, value) for name, value in fields if name.lower() not in REPLACED_FIELDS]
     kept.append((b"X-Service-Class", service_class.encode()))
@@ -151,7 +151,7 @@
             raise BadCall(f"timeout {timeout!r} is not a number of seconds above 0")
         if len(body) > MAX_REQUEST_BODY_BYTES:
             raise BadCall(f"the body holds {len(body)} bytes, over {MAX_REQUEST_BODY_BYTES}", 413)
-        if not TARGET.fullmatch(target):  # danger: a space or line end would allow request smuggling
+        if not TARGET.fullmatch(target):  # a space or line end would allow request smuggling
             raise BadCall(f"bad target {target[:60]!r}")
 
     def from_raw(
--- a/minthitch/embedded/worker.py
+++ b/minthitch/embedded/worker.py
@@ -68,7 +68,7 @@
 
     def check_open(self) -> None:
         """Raises ClientClosed unless the client accepts calls."""
-        # Danger: fork does not copy the engine's thread, so no call would be answered.
+        # Fork does not copy the engine's thread, so no call would be answered.
         if self.pid != os.getpid():
             raise ClientClosed(
                 f"the client belongs to process {self.pid}, before the fork: make one after the fork"
@@ -130,7 +130,7 @@
         try:
             with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
                 runner.run(self._main())
-        except BaseException as err:  # danger: callers would wait for ever for a thread that has ended
+        except BaseException as err:  # callers would wait for ever for a thread that has ended
             self.failure = err
             logger.exception("%s: the engine ended", self.config.name)
         finally:
@@ -206,7 +206,7 @@
             else:
                 pending.fail(BadCall(str(err), err.status))
             return
-        except Exception as err:  # danger: a bug in the engine must not leave the call unanswered
+        except Exception as err:  # a bug in the engine must not leave the call unanswered
             self.engine.log_error("admitting a call failed", err)
             pending.answer(pending.call, Failed(f"{type(err).__name__}: {err}"))
             return
--- a/minthitch/record/sql.py
+++ b/minthitch/record/sql.py
@@ -29,7 +29,7 @@
 )
 from minthitch.record.store import CommitUnknown, StoreError
 
-MAX_TOKENS = 1_000  # latest batch tokens kept; after a reconnect the writer asks for its last one first
+MAX_TOKENS = 1_000  # batch tokens kept: the writer looks up its last one as soon as it has reconnected
 EXPORT_PAGE_SIZE = 500  # records that an export reads at a time
 COLUMNS = (
     "identity, cls, digest, node, epoch, turn, state, server, attempts, made_at, ended_at, reason, "
--- a/tests/run.sh
+++ b/tests/run.sh
@@ -7,6 +7,7 @@
     .venv/bin/pip -q install -r requirements-dev.txt
     cat requirements.txt requirements-demo.txt requirements-mesh.txt requirements-dev.txt > .venv/installed-dev.txt
 fi
+[ ! -f KNOWN-RED.txt ] || cat KNOWN-RED.txt
 .venv/bin/ruff check .
 .venv/bin/ruff format --check .
 .venv/bin/mypy
