--- a/minthitch/engine/core.py
+++ b/minthitch/engine/core.py
@@ -22,7 +22,7 @@
 from minthitch.policy import Balancer
 
 HANDOVER_SHARE = 0.5  # part of the calls served by each process while one replaces the other
-GRACE_DIVISOR = 2  # a drain may be learned half of its grace late: attempts are written for the other half only
+GRACE_DIVISOR = 2  # a drain may be learned half of its grace late; writes stop after the other half
 RETRY_AFTER_RANGE = 0.04, 0.12  # retry-after over the limit of open requests, as part of the class's aim
 
 
